--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -88,3 +88,17 @@
     assert_eq!(proxy.call("safe", "2000m").status(), 200);
     assert!(discovery.asked().contains("index=41&"));
 }
+
+/// The file is as the release of cd50ac2 left it, but for the two ports.
+#[test]
+fn a_list_that_an_older_release_left_is_read() {
+    let (discovery, host, platform) = (Discovery::start(), Host::serving("ok"), Platform::new());
+    let recorded = r#"{"discovery":"127.0.0.1:49229","list":{"index":42,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","zone":"a","type":"m1","group":3,"status":"draining","weight":1.5,"since_ms":1700000000000},{"name":"s-2","address":"127.0.0.1:10","zone":"b","type":"","group":0,"status":"up","weight":0.0,"since_ms":0}]}}"#;
+    let left = recorded
+        .replace("127.0.0.1:49229", &discovery.address.to_string())
+        .replace("127.0.0.1:10", &host.address.to_string());
+    std::fs::write(platform.folder.join("oakport-list.json"), left).expect("a file");
+    let proxy = platform.start(&text(&discovery, &[]));
+    assert!(discovery.asked().contains("index=42&"), "it goes on from the list that was left");
+    assert_eq!(proxy.call("safe", "2000m").status(), 200, "by way of the host that only that list names");
+}
--- a/crates/core/examples/recorded/worlds.rs
+++ b/crates/core/examples/recorded/worlds.rs
@@ -1,13 +1,13 @@
-//! Plays a fixed stream of events to the module and prints each event with the actions that it brought. Two versions
-//! of the module that decide alike print the same bytes; `cmp` tells.
-//!
-//! Each world is drawn from a seed of its own: calls of four classes, servers that are quick, slow, failing, cold or
-//! silent, lists and settings that change, probes, large bodies, clients that leave.
+//! Worlds drawn from seeds, played to the balancer: calls of four classes, servers that are quick, slow, failing, cold
+//! or silent, lists and settings that change, probes, large bodies, clients that leave. Each event is written with the
+//! actions that it brought, as [`script`] has it.
 
+use crate::script;
 use oakport_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
 
 const MS: Micros = 1_000;
 /// Steps of each world; a step is an event of the world, whatever timers come beside it.
@@ -26,6 +26,7 @@
 }
 
 struct World {
+    script: String,
     balancer: Balancer,
     random: Random,
     now: Micros,
@@ -73,7 +74,9 @@
         let balancer = Balancer::new(world, settings(world));
         let (wakes, ends, attempts) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         let now = 1_000_000_000;
-        let mut made = World { balancer, random, now, wakes, ends, attempts, entries: Vec::new(), serial: 0 };
+        let script = String::new();
+        let mut made =
+            World { script, balancer, random, now, wakes, ends, attempts, entries: Vec::new(), serial: 0 };
         let servers = [6, 12, 40, 9, 25, 3][world as usize % 6];
         made.entries = (0..servers).map(|n| made.entry(n)).collect();
         made
@@ -93,14 +96,11 @@
     }
 
     fn event(&mut self, event: Event) {
-        println!("{} {event:?}", self.now);
+        let _ = writeln!(self.script, "{} {}", self.now, script::event(&event));
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            match &action {
-                Action::Log(note) => println!("  log {note}"),
-                other => println!("  {other:?}"),
-            }
+            let _ = writeln!(self.script, "  {}", script::action(&action));
             self.act(action);
         }
     }
@@ -247,13 +247,15 @@
     }
 }
 
-fn main() {
-    for number in 0..6 {
+/// Plays all worlds; the text of each.
+pub fn play() -> impl Iterator<Item = String> {
+    (0..6).map(|number| {
         let (mut world, spec) = (World::new(number), settings(number));
         world.event(Event::Start);
         for step in 0..STEPS {
             world.step(step, &spec);
         }
         world.run_until(world.now + 10_000_000);
-    }
+        world.script
+    })
 }
--- /dev/null
+++ b/crates/fleet/tests/recorded.rs
@@ -0,0 +1,88 @@
+//! What processes of the release before write on the wire: this one writes the same bytes and reads theirs.
+
+#[allow(dead_code)]
+mod common;
+
+use common::*;
+use oakport_fleet::Kind;
+use xxhash_rust::xxh3::Xxh3;
+
+/// Hash of all datagrams of `recorded_fleet`, in their order.
+const DATAGRAMS_HASH: u64 = 0xc092b2c98c6f2c8e;
+/// One datagram of each kind out of `recorded_fleet`, as hexadecimal digits.
+const SWIM: &str = concat!(
+    "6f616b0156c3db9970c1edcfcafee76e026e30000a000000d836c0843d0131027a30000000026e39000a000009d836c0",
+    "843d0131027a30000002036e3138000a000012d836c0843d0131027a3000002d0000",
+);
+const SCOPES: &str = concat!(
+    "6f616b11569c5b5a318a7d9b30981051000a000000d836027a300004027a300808089bfba98c030002000a000006d836",
+    "000a000003d836027a32010101e5a5fbf6016408000a000008d836000a00000ed836000a000005d836000a000002d836",
+    "000a000017d836000a000014d836000a000011d836000a00000bd836027a32080808d5f4989108850400027a31080808",
+    "95d4b2e009dd0201000a000010d836",
+);
+const SYNC_ASK: &str = concat!("6f616b2156c3db9922befa87d2a9057200000a000000d836000122befa87",);
+const SYNC_GIVE: &str = concat!(
+    "6f616b2156c3db99318a7d9b20f6eec701000a000000d8360007036e3231000a000015d836a88c3d0131027a30000102",
+    "6e39000a000009d836a88c3d0131027a300001036e3135000a00000fd836a88c3d0131027a300001036e3132000a0000",
+    "0cd836a88c3d0131027a300001036e3138000a000012d836a88c3d0131027a300001026e33000a000003d836a88c3d01",
+    "31027a300001026e36000a000006d836a88c3d0131027a300001",
+);
+
+/// Plays a fleet of three scopes through a start, a partition, a restart and a departure; hands each datagram to `sent`.
+fn recorded_fleet(mut sent: impl FnMut(usize, &[u8])) {
+    let mut net = Net::new(11, 24, 3);
+    for milli in 0..30_000 {
+        match milli {
+            8_000 => net.cut = Box::new(|from, to| (from < 9) != (to < 9)),
+            12_000 => net.cut = Box::new(|_, _| false),
+            16_000 => net.processes[5] = net.process(5, "z2"),
+            20_000 => {
+                let now = net.now;
+                net.processes[7].peers.leave(now);
+                net.post(7);
+            }
+            _ => {}
+        }
+        net.until(net.now + MILLI);
+        net.said.drain(..).for_each(|(from, datagram)| sent(from, &datagram));
+    }
+}
+
+fn bytes(hexadecimal: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hexadecimal[at..at + 2], 16).expect("two digits");
+    (0..hexadecimal.len()).step_by(2).map(digits).collect()
+}
+
+#[test]
+fn the_recorded_fleet_writes_the_same_datagrams() {
+    let mut hasher = Xxh3::new();
+    recorded_fleet(|from, datagram| {
+        hasher.update(&(from as u64).to_be_bytes());
+        hasher.update(datagram);
+    });
+    assert_eq!(format!("{:016x}", hasher.digest()), format!("{DATAGRAMS_HASH:016x}"));
+}
+
+/// The process that they were sent to, started anew, knows their sender and the other scopes, answers what is asked
+/// and takes in what is given.
+#[test]
+fn recorded_datagrams_of_each_kind_are_read() {
+    let mut net = Net::new(11, 24, 3);
+    let (now, mut reader) = (net.now, net.process(9, "z0").peers);
+    let mut read = |kind: Kind, datagram: &str| {
+        let datagram = bytes(datagram);
+        assert_eq!(datagram[3], kind as u8);
+        reader.outbox();
+        reader.datagram(now, &datagram);
+        assert!(reader.odd.is_empty(), "{kind:?} {:?}", reader.odd);
+        (reader.view().size(), reader.scopes().len(), reader.outbox().len())
+    };
+    let (size, _, _) = read(Kind::Members, SWIM);
+    assert!(size > 1, "its sender is a member");
+    let (_, scopes, _) = read(Kind::Scopes, SCOPES);
+    assert_eq!(scopes, 2, "the other scopes are known");
+    let (_, _, answers) = read(Kind::Sync, SYNC_ASK);
+    assert!(answers > 0, "what is asked is answered");
+    let (grown, _, _) = read(Kind::Sync, SYNC_GIVE);
+    assert!(grown > size, "{grown} members, {size} before");
+}
