--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/races.rs
@@ -1,5 +1,5 @@
 //! What if a request, an answer, a close or a signal comes between two lines? Each test forces one such crossing: a peer
-//! holds something back, waits for a state, then acts (`docs/crossings.md`).
+//! holds something back, waits for a state, then acts (`docs/races.md`).
 
 mod peers;
 
--- a/crates/fleet/examples/cost.rs
+++ b/crates/membership/examples/cost.rs
@@ -2,7 +2,7 @@
 //! MOMENT is `started` (all at once, the default), `zone` (the last eleventh is lost), `rack` (forty are) or
 //! `parted` (a third does not reach the others for three minutes); without SCOPES the fleet is one scope.
 
-use oakport_fleet::{Config, Hearing, Identity, Micros, Peers, Standing};
+use oakport_membership::{Config, Hearing, Identity, Micros, Peers, Standing};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::cmp::Reverse;
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of processes in virtual time, for the tests.
 
-use oakport_fleet::{Config, Identity, Kind, Micros, News, Peers};
+use oakport_membership::{Config, Identity, Kind, Micros, News, Peers};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many processes in virtual time: deaths, leaves, cuts, losses, wrong names, foreign datagrams.
 
-use oakport_fleet::{Config, Count, Envelope, Identity, Micros, News, Peers, Standing};
+use oakport_membership::{Config, Count, Envelope, Identity, Micros, News, Peers, Standing};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::BTreeMap;
--- a/crates/fleet/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use oakport_fleet::Kind;
+use oakport_membership::Kind;
 use xxhash_rust::xxh3::Xxh3;
 
 /// Hash of all datagrams of `recorded_fleet`, in their order.
@@ -20,7 +20,7 @@
     "000a000017d836000a000014d836000a000011d836000a00000bd836027a32080808d5f4989108850400027a31080808",
     "95d4b2e009dd0201000a000010d836",
 );
-const SYNC_ASK: &str = concat!("6f616b2156c3db9922befa87d2a9057200000a000000d836000122befa87",);
+const SYNC_ASK: &str = "6f616b2156c3db9922befa87d2a9057200000a000000d836000122befa87";
 const SYNC_GIVE: &str = concat!(
     "6f616b2156c3db99318a7d9b20f6eec701000a000000d8360007036e3231000a000015d836a88c3d0131027a30000102",
     "6e39000a000009d836a88c3d0131027a300001036e3135000a00000fd836a88c3d0131027a300001036e3132000a0000",
--- a/crates/fleet/tests/scopes.rs
+++ b/crates/membership/tests/scopes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use oakport_fleet::{Envelope, Hearing, Kind, News, Standing};
+use oakport_membership::{Envelope, Hearing, Kind, News, Standing};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::BTreeMap;
--- a/crates/fleet/tests/sync.rs
+++ b/crates/membership/tests/sync.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use oakport_fleet::{Envelope, Kind};
+use oakport_membership::{Envelope, Kind};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The datagram socket and the timers of `oakport-fleet`. Without `peers` in the configuration nothing here
+//! The datagram socket and the timers of `oakport-membership`. Without `peers` in the configuration nothing here
 //! runs.
 
 mod report;
@@ -9,7 +9,7 @@
 use crate::config::PeersConfig;
 use crate::driver::Driver;
 use crate::upgrade::Heir;
-use oakport_fleet::{Config, Hearing, Identity, News, Peers, Standing};
+use oakport_membership::{Config, Hearing, Identity, News, Peers, Standing};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/proxy/src/peers/report.rs
+++ b/crates/proxy/src/peers/report.rs
@@ -1,6 +1,6 @@
 //! What operators are told of the peers.
 
-use oakport_fleet::{Hearing, Micros, Peers, Scope, Seen, Standing};
+use oakport_membership::{Hearing, Micros, Peers, Scope, Seen, Standing};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/model/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: servers, network, discovery, clients and client proxies, from one seed.
 //!
 //! [`Scenario`] is a day as it is written, [`play`] plays it with one policy and judges it. One seed gives one result,
-//! whatever the machine: `docs/model.md` says how, and what the model leaves out.
+//! whatever the machine: `docs/simulator.md` says how, and what the model leaves out.
 
 mod arrivals;
 pub mod chance;
--- a/crates/model/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! Whole days of the model: what must hold whatever the policy, and what the judge must see.
 
 use oakport_core::{Action, Balancer, CallId, Event, Micros, ServerId, Settings, State};
-use oakport_model::{play, play_with, Kind, Policy, Scenario, Sight, Truth, Verdict, KINDS};
+use oakport_simulator::{play, play_with, Kind, Policy, Scenario, Sight, Truth, Verdict, KINDS};
 use std::path::Path;
 
 fn scenario(name: &str) -> Scenario {
--- a/crates/lab/src/rig/calls.rs
+++ b/crates/testbed/src/cluster/calls.rs
@@ -2,7 +2,7 @@
 
 use super::record::Shared;
 use oakport_core::Micros;
-use oakport_model::scenario::{Trouble, What};
+use oakport_simulator::scenario::{Trouble, What};
 use std::collections::BTreeMap;
 
 /// Calls for lists and their answers, by proxy and time.
--- a/crates/lab/src/rig/cold.rs
+++ b/crates/testbed/src/cluster/cold.rs
@@ -1,8 +1,8 @@
 //! What a cold server bears: N requests of mean work in the time that the settings name, N being what they allow
-//! it then, and what chance explains, 2 root of N + 2 (`docs/rig.md`).
+//! it then, and what chance explains, 2 root of N + 2 (`docs/test-cluster.md`).
 
 use oakport_core::Micros;
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use std::collections::VecDeque;
 
 /// Requests of mean work that a server of this warmth bears within the fall time.
--- a/crates/lab/src/rig/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -9,7 +9,7 @@
 use super::servers::Machine;
 use super::site::{met, met_peers, Pair, Site};
 use oakport_core::{Micros, State};
-use oakport_model::scenario::{LinkSpec, Trouble, What};
+use oakport_simulator::scenario::{LinkSpec, Trouble, What};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/lab/src/rig/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -9,8 +9,8 @@
 use super::site::Site;
 use bytes::BytesMut;
 use nix::unistd::{sysconf, SysconfVar};
-use oakport_model::chance::{self, Part};
-use oakport_model::scenario::Scenario;
+use oakport_simulator::chance::{self, Part};
+use oakport_simulator::scenario::Scenario;
 use rand::Rng;
 use socket2::Socket;
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
 pub enum Way {
     /// Straight to one server.
     Direct,
-    /// By a relay of the rig, without a fault.
+    /// By a relay of the cluster, without a fault.
     Relay,
     /// By the lab's forwarder.
     Forwarder,
--- a/crates/lab/src/rig/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -6,7 +6,7 @@
 use super::membership;
 use super::record::{histogram, Late, Seen, Shared, Signal, Try, TryEnd, Word, TOO_LATE};
 use oakport_core::{Micros, Outcome, State};
-use oakport_model::scenario::Again;
+use oakport_simulator::scenario::Again;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/lab/src/rig/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -3,8 +3,8 @@
 use super::gate::{address, gone, Gate, Party};
 use super::http;
 use oakport_core::Micros;
-use oakport_model::chance::{self, Part};
-use oakport_model::scenario::LinkSpec;
+use oakport_simulator::chance::{self, Part};
+use oakport_simulator::scenario::LinkSpec;
 use rand::Rng;
 use socket2::SockRef;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/lab/src/rig/membership.rs
+++ b/crates/testbed/src/cluster/membership.rs
@@ -2,7 +2,7 @@
 
 use super::record::{histogram, Held, Shared, Signal, Standing};
 use oakport_core::Micros;
-use oakport_model::scenario::What;
+use oakport_simulator::scenario::What;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Whoever was stopped, started or cut off is given so long to be known again.
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback, with faults between them, judged from outside (`docs/rig.md`).
+//! A fleet of real processes on loopback, with faults between them, judged from outside (`docs/test-cluster.md`).
 
 mod calls;
 pub mod chain;
@@ -29,7 +29,7 @@
 use events::Fleet;
 use links::Datagrams;
 use oakport_core::Micros;
-use oakport_model::scenario::What;
+use oakport_simulator::scenario::What;
 use processes::{Peer, Seat};
 use record::Shared;
 use servers::Machine;
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/testbed/src/cluster/plan.rs
@@ -2,7 +2,7 @@
 
 use super::processes::Program;
 use oakport_core::Micros;
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use std::path::PathBuf;
 
 /// How a day is to be played.
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -5,7 +5,7 @@
 use super::record::{Seen, Shared, Signal};
 use nix::sys::signal::{kill, Signal as Number};
 use nix::unistd::Pid;
-use oakport_model::scenario::Again;
+use oakport_simulator::scenario::Again;
 use serde_json::{json, Value};
 use socket2::Socket;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 /// A program that can be a proxy.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program `oakport-lab`, which becomes the file and dies with whoever started it.
+    /// The program `oakport-testbed`, which becomes the file and dies with whoever started it.
     pub lab: PathBuf,
     /// The file.
     pub path: PathBuf,
@@ -182,7 +182,7 @@
 
     /// What the process is told (DEPLOY, "What a client proxy is told").
     fn configuration(&self) -> Value {
-        let seed = oakport_model::chance::seed_of(self.shared.seed ^ u64::from(self.starts), self.number);
+        let seed = oakport_simulator::chance::seed_of(self.shared.seed ^ u64::from(self.starts), self.number);
         let mut file = json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": self.discovery,
             "seed": format!("{seed:016x}"),
--- a/crates/lab/src/rig/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -2,8 +2,8 @@
 
 use hdrhistogram::Histogram;
 use oakport_core::{Micros, Outcome, State};
-use oakport_model::scenario::Scenario;
-use oakport_model::Arrival;
+use oakport_simulator::scenario::Scenario;
+use oakport_simulator::Arrival;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -166,7 +166,7 @@
 impl Shared {
     /// For a play that begins now.
     pub fn new(day: Scenario, seed: u64) -> Self {
-        let arrivals = oakport_model::Arrivals::whole_day(&day, seed);
+        let arrivals = oakport_simulator::Arrivals::whole_day(&day, seed);
         Shared {
             arrivals,
             seed,
--- a/crates/lab/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,10 +1,10 @@
-//! `oakport-lab compare`: two programs on the same day, play by play.
+//! `oakport-testbed compare`: two programs on the same day, play by play.
 
+use crate::cluster::{Play, Program, Verdict};
 use crate::fleet::{played, read, Ended, Stop};
-use crate::rig::{Play, Program, Verdict};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use serde_json::json;
 use std::path::PathBuf;
 
--- a/crates/lab/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,11 +1,11 @@
-//! `oakport-lab demo`: a small fleet in three zones while parts of it fail, shown live, with a report.
+//! `oakport-testbed demo`: a small fleet in three zones while parts of it fail, shown live, with a report.
 
+use crate::cluster::{Play, Progress};
 use crate::fleet::{table, told, write, Ended, Programs, Stop};
 use crate::report;
-use crate::rig::{Play, Progress};
 use clap::Args;
 use oakport_core::Micros;
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use std::path::PathBuf;
 use std::sync::Mutex;
 
--- a/crates/lab/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,11 +1,11 @@
-//! `oakport-lab fleet`: days with real processes on loopback, judged.
+//! `oakport-testbed fleet`: days with real processes on loopback, judged.
 
+use crate::cluster::forwarder::Broken;
+use crate::cluster::{self, Play, Program, Progress, Tell, Verdict};
 use crate::report;
-use crate::rig::forwarder::Broken;
-use crate::rig::{self, Play, Program, Progress, Tell, Verdict};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use serde_json::json;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -176,7 +176,7 @@
     let runtime = runtime.map_err(|e| Stop::Bad(format!("runtime: {e}")))?;
     runtime.block_on(async {
         tokio::select! {
-            verdict = rig::play(play, tell) => verdict.map_err(Stop::Bad),
+            verdict = cluster::play(play, tell) => verdict.map_err(Stop::Bad),
             _ = tokio::signal::ctrl_c() => Err(Stop::Interrupted),
         }
     })
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,28 +1,28 @@
-//! The program `oakport-lab`: tries oakport out.
+//! The program `oakport-testbed`: tries oakport out.
 
 use clap::{Parser, Subcommand};
-use oakport_lab::compare::Compare;
-use oakport_lab::demo::Demo;
-use oakport_lab::fleet::{Ended, Fleet, Stop};
-use oakport_lab::overhead::Overhead;
-use oakport_lab::rig::forwarder::{self, Broken};
-use oakport_lab::scale::Scale;
-use oakport_lab::sim::Sim;
+use oakport_testbed::cluster::forwarder::{self, Broken};
+use oakport_testbed::compare::Compare;
+use oakport_testbed::demo::Demo;
+use oakport_testbed::fleet::{Ended, Fleet, Stop};
+use oakport_testbed::overhead::Overhead;
+use oakport_testbed::scale::Scale;
+use oakport_testbed::sim::Sim;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
 use std::process::ExitCode;
 
 const EXAMPLES: &str = "\
 Examples:
-  oakport-lab demo --quick                                  a small fleet live while parts of it fail
-  oakport-lab fleet scenarios/fleet/zone-lost.toml          a day with real processes on loopback
-  oakport-lab sim scenarios/slow.toml                       a day with all policies, side by side
-  oakport-lab sim scenarios/*.toml --seeds 5                five draws of each of many days
-  oakport-lab sim scenarios/zone.toml --policy oakport --windows --json out.json";
+  oakport-testbed demo --quick                                  a small fleet live while parts of it fail
+  oakport-testbed fleet scenarios/fleet/zone-lost.toml          a day with real processes on loopback
+  oakport-testbed sim scenarios/slow.toml                       a day with all policies, side by side
+  oakport-testbed sim scenarios/*.toml --seeds 5                five draws of each of many days
+  oakport-testbed sim scenarios/zone.toml --policy oakport --windows --json out.json";
 
 /// Tries oakport out: plays days of a fleet, in virtual time or with real processes, and judges them.
 #[derive(Debug, Parser)]
-#[command(name = "oakport-lab", version, after_help = EXAMPLES, arg_required_else_help = true)]
+#[command(name = "oakport-testbed", version, after_help = EXAMPLES, arg_required_else_help = true)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -81,7 +81,7 @@
     match done {
         Ok(status) => ExitCode::from(status),
         Err((odd, status)) => {
-            eprintln!("oakport-lab: {odd}");
+            eprintln!("oakport-testbed: {odd}");
             ExitCode::from(status)
         }
     }
--- a/crates/lab/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,8 +1,8 @@
-//! `oakport-lab overhead`: what a hop through oakport costs, beside none, a relay and a forwarder that picks at random.
+//! `oakport-testbed overhead`: what a hop through oakport costs, beside none, a relay and a forwarder that picks at random.
 
+use crate::cluster::hops::{self, Cost, Sample, Way};
+use crate::cluster::Program;
 use crate::fleet::Stop;
-use crate::rig::hops::{self, Cost, Sample, Way};
-use crate::rig::Program;
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use std::path::PathBuf;
--- a/crates/lab/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -1,7 +1,7 @@
 //! Passing calls on: what a chain of proxies adds to a call beside the same chain without them.
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
-use crate::rig::chain::{self, Outcome, Pace, Played};
+use crate::cluster::chain::{self, Outcome, Pace, Played};
 use std::time::{Duration, Instant};
 
 /// Calls a second of a process: 310,000 by 6,300 processes, and five times that.
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,7 +11,7 @@
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::{Action, Entry, Event, Micros, Settings};
-use oakport_model::{play_with, Kind, Policy, Scenario, Truth, Verdict, Window};
+use oakport_simulator::{play_with, Kind, Policy, Scenario, Truth, Verdict, Window};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/lab/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -16,12 +16,12 @@
 //!   what a quiet second costs.
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
-use crate::rig::discovery::{Agent, Member};
-use crate::rig::outside;
-use crate::rig::processes::Seat;
-use crate::rig::record::Shared;
+use crate::cluster::discovery::{Agent, Member};
+use crate::cluster::outside;
+use crate::cluster::processes::Seat;
+use crate::cluster::record::Shared;
 use oakport_core::State;
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `oakport-lab scale`: what each role of a process costs by the size of the fleet (`docs/CAPACITY.md`).
+//! `oakport-testbed scale`: what each role of a process costs by the size of the fleet (`docs/CAPACITY.md`).
 
 pub mod calls;
 pub mod decisions;
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -1,4 +1,4 @@
-//! Knowing who is present: `oakport-fleet` by hollow processes in virtual time, in quiet and in the moments
+//! Knowing who is present: `oakport-membership` by hollow processes in virtual time, in quiet and in the moments
 //! that the operators plan with.
 //!
 //! Members lie in 11 zones of 3 regions. A datagram is under way for 2 to 5 ms within a zone, 3 to 8 ms
@@ -15,7 +15,7 @@
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use net::{Learnt, Net, Scopes, Tally, SECOND};
 use oakport_core::Micros;
-use oakport_fleet::{Hearing, Peers, Scope};
+use oakport_membership::{Hearing, Peers, Scope};
 use place::ZONES;
 
 /// The role.
--- a/crates/lab/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -3,7 +3,7 @@
 use super::place;
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::Micros;
-use oakport_fleet::{Config, Hearing, Identity, News, Peers, Standing};
+use oakport_membership::{Config, Hearing, Identity, News, Peers, Standing};
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
--- a/crates/lab/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -6,7 +6,7 @@
 use super::place;
 use crate::scale::point::Stopped;
 use oakport_core::Micros;
-use oakport_fleet::Peers;
+use oakport_membership::Peers;
 use rand::seq::index;
 use rand::Rng;
 use rand_pcg::Pcg32;
--- a/crates/lab/src/scale/point.rs
+++ b/crates/testbed/src/scale/point.rs
@@ -1,6 +1,6 @@
 //! What a role is played at, and what a play of it gives.
 
-use crate::rig::Program;
+use crate::cluster::Program;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -18,13 +18,13 @@
 //!   of it is counted in lines and bytes, the most of all processes.
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
-use crate::rig::http::{self, Side};
-use crate::rig::outside;
-use crate::rig::processes::Seat;
-use crate::rig::record::Shared;
-use crate::rig::site::Site;
+use crate::cluster::http::{self, Side};
+use crate::cluster::outside;
+use crate::cluster::processes::Seat;
+use crate::cluster::record::Shared;
+use crate::cluster::site::Site;
 use bytes::BytesMut;
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/lab/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -1,9 +1,9 @@
-//! `oakport-lab sim`: days in virtual time, all policies side by side.
+//! `oakport-testbed sim`: days in virtual time, all policies side by side.
 
 use clap::builder::PossibleValuesParser;
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use oakport_model::{play, Kind, Scenario, Verdict, KINDS};
+use oakport_simulator::{play, Kind, Scenario, Verdict, KINDS};
 use rayon::prelude::*;
 use serde_json::json;
 use std::fmt::Write;
@@ -112,7 +112,7 @@
         let mut scenario = Scenario::parse(&text).map_err(|odd| format!("{file}: {odd}"))?;
         if let Some(what) = scenario.only_on_sockets() {
             return Err(format!(
-                "{file}: event {what:?} is not played in virtual time; use oakport-lab fleet"
+                "{file}: event {what:?} is not played in virtual time; use oakport-testbed fleet"
             ));
         }
         scenario.balancers = self.balancers.map_or(scenario.balancers, |n| n as usize);
--- a/crates/lab/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -7,7 +7,7 @@
 /// The lab, started at the root of the repository.
 fn lab(arguments: &[&str]) -> Output {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    Command::new(env!("CARGO_BIN_EXE_oakport-lab"))
+    Command::new(env!("CARGO_BIN_EXE_oakport-testbed"))
         .args(arguments)
         .current_dir(root)
         .output()
--- a/crates/lab/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -2,8 +2,8 @@
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use oakport_lab::rig::{self, Play, Program, Progress};
-use oakport_model::scenario::Scenario;
+use oakport_simulator::scenario::Scenario;
+use oakport_testbed::cluster::{self, Play, Program, Progress};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 fn started(folder: &Path) -> (Child, Vec<u32>) {
     let (logs, own) = (folder.join("logs"), folder.join("own"));
     std::fs::create_dir_all(&own).expect("a folder");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     command.args(["fleet", "scenarios/fleet/small.toml", "--forwarder", "--logs"]).arg(&logs);
     command.current_dir(lab_root());
     let lab =
@@ -68,7 +68,7 @@
 #[test]
 fn a_proxy_that_does_not_start_is_told_and_leaves_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     command.args(["fleet", "scenarios/fleet/small.toml", "--oakport", "/bin/false"]);
     command.current_dir(lab_root());
     let output = command.env("TMPDIR", folder.path()).output().expect("it starts");
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_panic_of_the_rig_leaves_no_process_and_no_descriptor() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let day = std::fs::read_to_string(lab_root().join("scenarios/fleet/small.toml")).expect("the small day");
     let program = Program::forwarder(lab, None);
     let day = Scenario::parse(&day).expect("a good day");
@@ -102,7 +102,7 @@
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
             // Whoever panics takes all with it.
-            let _ = runtime.block_on(rig::play(&play, &panics));
+            let _ = runtime.block_on(cluster::play(&play, &panics));
         }));
         assert!(played.is_err(), "round {round}");
         there.push(descriptors());
@@ -115,7 +115,7 @@
 
 /// A process of the lab's program.
 fn is_lab(pid: u32) -> bool {
-    std::fs::read_link(format!("/proc/{pid}/exe")).is_ok_and(|exe| exe.ends_with("oakport-lab"))
+    std::fs::read_link(format!("/proc/{pid}/exe")).is_ok_and(|exe| exe.ends_with("oakport-testbed"))
 }
 
 fn lab_root() -> std::path::PathBuf {
--- a/crates/lab/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link, seen by a probe on both sides of it.
 
-use oakport_lab::rig::links::{copies, Datagrams, Relay};
-use oakport_model::scenario::LinkSpec;
+use oakport_simulator::scenario::LinkSpec;
+use oakport_testbed::cluster::links::{copies, Datagrams, Relay};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/tests/lists.rs
+++ b/crates/testbed/tests/lists.rs
@@ -6,12 +6,12 @@
 
 #[test]
 fn a_service_that_is_silent_is_asked_at_the_pace_and_answers_all_at_its_return() {
-    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-lab")).with_file_name("oakport");
+    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-testbed")).with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let folder = tempfile::tempdir().expect("a folder");
     let json = folder.path().join("day.json");
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     lab.args(["fleet", "scenarios/fleet/list-asked-small.toml", "--json"]).arg(&json).current_dir(root);
     let output = lab.output().expect("it starts");
     let text = std::fs::read_to_string(&json).unwrap_or_else(|e| panic!("{e}: {output:?}"));
--- a/crates/lab/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -5,10 +5,10 @@
 
 #[test]
 fn six_peers_know_of_each_other_through_deaths_upgrades_stalls_and_cuts() {
-    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-lab")).with_file_name("oakport");
+    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-testbed")).with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let output = lab.args(["fleet", "scenarios/fleet/membership-small.toml"]).current_dir(root).output();
     let output = output.expect("it starts");
     let (told, errors) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
--- a/crates/lab/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,8 +1,8 @@
 //! The scale test: its slopes, and the tables drawn from them.
 
-use oakport_lab::scale::fit::Fit;
-use oakport_lab::scale::page;
-use oakport_lab::scale::point::{Bound, Figures, Part, Point, Stopped};
+use oakport_testbed::scale::fit::Fit;
+use oakport_testbed::scale::page;
+use oakport_testbed::scale::point::{Bound, Figures, Part, Point, Stopped};
 
 #[test]
 fn a_power_law_is_found_again() {
--- a/crates/lab/tests/scale_calls.rs
+++ b/crates/testbed/tests/scale_calls.rs
@@ -1,11 +1,11 @@
 //! The scale test of `calls`: each call passes each hop once and comes back, and nothing is left behind.
 
-use oakport_lab::rig::chain::{self, Pace, Trip, SERVERS};
-use oakport_lab::rig::Program;
+use oakport_testbed::cluster::chain::{self, Pace, Trip, SERVERS};
+use oakport_testbed::cluster::Program;
 use std::path::Path;
 
 fn chain_of(hops: usize) {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = lab.with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let paces = [Pace { rate: 49.0, length: 2_000_000 }, Pace { rate: 245.0, length: 500_000 }];
--- a/crates/lab/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -1,7 +1,7 @@
 //! The scale test of `decisions`: rules are kept, cold servers stand, and the way back from a burst is found.
 
-use oakport_lab::scale::decisions::{course, Course, Day};
-use oakport_lab::scale::point::Stopped;
+use oakport_testbed::scale::decisions::{course, Course, Day};
+use oakport_testbed::scale::point::Stopped;
 use std::time::{Duration, Instant};
 
 /// Longest time for a day.
--- a/crates/lab/tests/scale_list.rs
+++ b/crates/testbed/tests/scale_list.rs
@@ -1,8 +1,8 @@
 //! The scale test's list: a process has each server that it is told, and a change changes what it names.
 
-use oakport_lab::rig::Program;
-use oakport_lab::scale::list::{measure, Extent, PART};
-use oakport_lab::scale::point::{Figures, Point};
+use oakport_testbed::cluster::Program;
+use oakport_testbed::scale::list::{measure, Extent, PART};
+use oakport_testbed::scale::point::{Figures, Point};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 };
 
 fn played(size: usize) -> Figures {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = lab.with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let program = Program::oakport(lab, &oakport);
@@ -51,9 +51,9 @@
 
 #[test]
 fn what_would_not_end_in_its_time_is_told_as_not_run() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let program = Program::oakport(lab, &lab.with_file_name("oakport"));
     let point = Point { size: 6, seed: 1, until: Instant::now(), program };
     let stopped = measure(&point, SHORT).expect_err("there is no time");
-    assert!(matches!(stopped, oakport_lab::scale::point::Stopped::NotRun(_)), "{stopped:?}");
+    assert!(matches!(stopped, oakport_testbed::scale::point::Stopped::NotRun(_)), "{stopped:?}");
 }
--- a/crates/lab/tests/scale_peers.rs
+++ b/crates/testbed/tests/scale_peers.rs
@@ -1,10 +1,10 @@
 //! The scale test's role `peers` at its smallest two sizes: what members know and count, not how long this
 //! machine takes.
 
-use oakport_lab::rig::Program;
-use oakport_lab::scale::peers::net::Scopes;
-use oakport_lab::scale::peers::{moments, Moment};
-use oakport_lab::scale::point::{Figures, Point, Stopped};
+use oakport_testbed::cluster::Program;
+use oakport_testbed::scale::peers::net::Scopes;
+use oakport_testbed::scale::peers::{moments, Moment};
+use oakport_testbed::scale::point::{Figures, Point, Stopped};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/lab/tests/scale_settings.rs
+++ b/crates/testbed/tests/scale_settings.rs
@@ -1,15 +1,15 @@
 //! The scale test's settings: the last of many changes is in force everywhere, and a wrong one nowhere.
 
-use oakport_lab::rig::Program;
-use oakport_lab::scale::point::{Figures, Point, Stopped};
-use oakport_lab::scale::settings::{measure, Extent, PART};
+use oakport_testbed::cluster::Program;
+use oakport_testbed::scale::point::{Figures, Point, Stopped};
+use oakport_testbed::scale::settings::{measure, Extent, PART};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const SHORT: Extent = Extent { changes: 1, rest: Duration::ZERO, apart: Duration::from_millis(20) };
 
 fn played(size: usize) -> Result<Figures, Stopped> {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = lab.with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let program = Program::oakport(lab, &oakport);
--- a/crates/lab/tests/throng.rs
+++ b/crates/testbed/tests/throng.rs
@@ -9,7 +9,7 @@
 fn play(arguments: &[&str], folder: &Path) -> Value {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let json = folder.join(format!("{}.json", arguments.len()));
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-lab"));
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     lab.args(["fleet", "scenarios/fleet/throng-small.toml", "--json"]).arg(&json).args(arguments);
     let output = lab.current_dir(root).output().expect("it starts");
     let errors = String::from_utf8_lossy(&output.stderr);
@@ -20,7 +20,7 @@
 
 #[test]
 fn thirty_processes_push_no_cold_server_over_and_a_random_pick_is_caught() {
-    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-lab")).with_file_name("oakport");
+    let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-testbed")).with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let folder = tempfile::tempdir().expect("a folder");
     let verdict = play(&[], folder.path());
