--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -4,8 +4,10 @@
 
 mod wire;
 
-use oakport_core::settings;
-use oakport_core::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId};
+use oakport_core::settings_wire;
+use oakport_core::{
+    Action, Balancer, CallId, ClassId, EndpointId, EndpointInfo, Event, ListUpdateKind, Outcome, TenantId,
+};
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
@@ -82,10 +84,10 @@
         if verb == "CREATE" {
             let facts = need(input.facts, verb, "facts")?;
             let seed = need(input.seed, verb, "seed")?;
-            let facts = settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
+            let facts = settings_wire::parse(&facts).map_err(|e| format!("facts: {e}"))?;
             let balancer = Balancer::new(seed, facts.settings);
             let (numbers, names) = (HashMap::new(), HashMap::new());
-            let (classes, tenants) = (facts.classes, facts.tenants);
+            let (classes, tenants) = (facts.class_names, facts.tenant_names);
             let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
             self.instances.insert(proxy, instance);
         } else if verb == "DETACH" {
@@ -99,14 +101,14 @@
             "CREATE" => Event::Start,
             "MEMBERS" => {
                 let kind = match need(input.scope, verb, "scope")? {
-                    0 => ListKind::Failed,
-                    1 => ListKind::Cached,
-                    2 => ListKind::Delta,
-                    3 => ListKind::Full,
+                    0 => ListUpdateKind::Failed,
+                    1 => ListUpdateKind::Cached,
+                    2 => ListUpdateKind::Delta,
+                    3 => ListUpdateKind::Snapshot,
                     other => return Err(format!("MEMBERS with unknown scope {other}")),
                 };
-                let entries: Vec<Entry> = match kind {
-                    ListKind::Failed => Vec::new(),
+                let entries: Vec<EndpointInfo> = match kind {
+                    ListUpdateKind::Failed => Vec::new(),
                     _ => {
                         let list = need(input.roster_id, verb, "roster_id")?;
                         let list =
@@ -114,11 +116,11 @@
                         list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
                     }
                 };
-                Event::Members { kind, entries }
+                Event::EndpointList { kind, endpoints: entries }
             }
             "ALARM" => Event::Timer,
-            "PROBED" => Event::Probed {
-                server: ServerId(need(input.host, verb, "host")?),
+            "PROBED" => Event::LoadPolled {
+                endpoint: EndpointId(need(input.host, verb, "host")?),
                 outcome: wire::outcome(&need(input.result, verb, "result")?),
                 elapsed: input.elapsed_us.unwrap_or(0),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
@@ -139,8 +141,8 @@
                             call,
                             class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
                             tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
-                            time_left: need(input.time_budget_us, verb, "time_budget_us")?,
-                            resent: input.resent,
+                            remaining_time: need(input.time_budget_us, verb, "time_budget_us")?,
+                            is_retry: input.resent,
                         }
                     }
                     "DONE" => {
@@ -149,21 +151,23 @@
                             name.out = name.out.saturating_sub(1);
                             name.ended |= input.terminal;
                         }
-                        Event::Outcome {
+                        Event::AttemptEnded {
                             call,
                             attempt: need(input.seq_no, verb, "seq_no")?,
                             outcome,
                             elapsed: input.elapsed_us.unwrap_or(0),
-                            closed: input.terminal,
+                            call_closed: input.terminal,
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
-                    "UNDER_WAY" => Event::Streaming { call, attempt: need(input.seq_no, verb, "seq_no")? },
+                    "UNDER_WAY" => {
+                        Event::ResponseStarted { call, attempt: need(input.seq_no, verb, "seq_no")? }
+                    }
                     _ => {
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::Gone { call }
+                        Event::ClientDisconnected { call }
                     }
                 }
             }
@@ -186,12 +190,12 @@
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
     let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
     Some(match action {
-        Action::Send { call, server, until, .. } => {
+        Action::Send { call, endpoint: server, timeout_at: until, .. } => {
             let name = instance.names.get_mut(&call)?;
             name.out += 1;
             Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: until }
         }
-        Action::Refuse { call, retry_after } => {
+        Action::Reject { call, retry_after } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
             let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
@@ -208,10 +212,10 @@
         Action::Cancel { call, attempt } => {
             Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
         }
-        Action::Probe { server } => Command::Test { proxy, host: server.0 },
-        Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
-        Action::Subscribe => Command::Listen { proxy, enable: true },
-        Action::Log(note) => Command::Trace { proxy, note_text: note.to_string() },
+        Action::PollLoad { endpoint: server } => Command::Test { proxy, host: server.0 },
+        Action::SetTimer { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
+        Action::PollEndpointList => Command::Listen { proxy, enable: true },
+        Action::Log(note) => Command::Trace { proxy, note_text: wire::note_text(note) },
     })
 }
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the wire, as they are read and written.
 
-use oakport_core::settings;
-use oakport_core::{CellId, Entry, Load, Outcome, ServerId, State};
+use oakport_core::settings_wire;
+use oakport_core::{CellId, DecisionEvent, EndpointId, EndpointInfo, EndpointState, LoadReport, Outcome};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -51,8 +51,13 @@
 }
 
 impl Stats {
-    pub fn load(&self) -> Load {
-        Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu, error_rate: self.err_rps }
+    pub fn load(&self) -> LoadReport {
+        LoadReport {
+            in_flight: self.active,
+            queued: self.waiting,
+            utilisation: self.cpu,
+            error_rate: self.err_rps,
+        }
     }
 }
 
@@ -73,21 +78,21 @@
 }
 
 impl Element {
-    pub fn entry(&self) -> Result<Entry, String> {
+    pub fn entry(&self) -> Result<EndpointInfo, String> {
         let state = match self.state {
-            0 => State::Draining,
-            1 => State::Ready,
-            2 => State::Gone,
+            0 => EndpointState::Draining,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Removed,
             other => return Err(format!("host {} in unknown state {other}", self.host)),
         };
-        Ok(Entry {
-            server: ServerId(self.host),
+        Ok(EndpointInfo {
+            id: EndpointId(self.host),
             state,
-            zone: settings::zone(&self.az),
+            zone: settings_wire::zone_id(&self.az),
             cell: CellId(self.cohort),
-            kind: settings::kind(&self.shape),
+            machine_type: settings_wire::machine_type_id(&self.shape),
             weight: self.weight,
-            started: self.last_start_us,
+            started_at: self.last_start_us,
         })
     }
 }
@@ -96,11 +101,11 @@
     match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::TurnedAway,
+        "turned_away" => Outcome::Rejected,
         "no_answer" => Outcome::TimedOut,
-        "no_connection" => Outcome::NoConnection,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::Reset,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
         _ => Outcome::Unknown,
     }
@@ -153,3 +158,32 @@
         note_text: String,
     },
 }
+
+/// The text of a logged decision, in the words that the wire has always had.
+pub fn note_text(decision: DecisionEvent) -> String {
+    match decision {
+        DecisionEvent::AllEndpointsEjected => "no server is up: refusing".to_owned(),
+        DecisionEvent::EndpointEjected { endpoint, outcome } => {
+            format!("server {} set aside: {}", endpoint.0, outcome_word(outcome))
+        }
+        DecisionEvent::EndpointReadmitted { endpoint } => format!("server {} taken back", endpoint.0),
+        DecisionEvent::ClassFailing { endpoint, class } => {
+            format!("server {} fails class #{}", endpoint.0, class.0)
+        }
+    }
+}
+
+fn outcome_word(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "Served",
+        Outcome::Error => "Error",
+        Outcome::InvalidRequest => "Rejected",
+        Outcome::Rejected => "TurnedAway",
+        Outcome::TimedOut => "TimedOut",
+        Outcome::ConnectFailed => "NoConnection",
+        Outcome::Reset => "Reset",
+        Outcome::Cancelled => "CalledOff",
+        Outcome::NotSent => "NotSent",
+        Outcome::Unknown => "Unknown",
+    }
+}
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `oakport check`: reads a configuration as serve would and tells what it would do.
 
 use comfy_table::{presets, Table};
-use oakport_core::{Micros, Repeat, Scope};
+use oakport_core::{DeduplicationScope, Idempotency, Micros};
 use oakport_proxy::{places, Checked, Config};
 use serde_json::Value;
 use std::fmt::Write;
@@ -57,26 +57,29 @@
     line("memory", format!("{} MiB, a third of it for bodies", limits.memory_mb));
     line(
         "requests",
-        format!("{} open at a time, {} attempts each", transport.max_open, settings.limits.max_attempts),
+        format!(
+            "{} open at a time, {} attempts each",
+            transport.max_open_requests, settings.limits.max_attempts
+        ),
     );
     let allowed = |allowed, what: &str| if allowed { what.to_owned() } else { format!("no {what}") };
     let site = [
-        allowed(settings.limits.second_copies, "second copies"),
-        allowed(settings.limits.cancel, "calling off"),
-        allowed(settings.limits.probes, "probes"),
+        allowed(settings.limits.hedging, "second copies"),
+        allowed(settings.limits.cancellation, "calling off"),
+        allowed(settings.limits.load_polling, "probes"),
         match settings.limits.max_retry_after {
             0 => "no Retry-After".to_owned(),
             most => format!("Retry-After up to {}", time(most)),
         },
     ];
     line("the site allows", site.join(", "));
-    line("client proxies", settings.balancers.to_string());
+    line("client proxies", settings.proxy_count.to_string());
     line(
         "connections",
         format!(
             "given up after {}, closed when idle for {}",
             time(transport.connect_timeout),
-            time(transport.conn_idle / 4 * 3)
+            time(transport.idle_connection_timeout / 4 * 3)
         ),
     );
     line("draining servers", format!("get nothing new after {}", time(settings.rules.drain_grace)));
@@ -84,8 +87,8 @@
         "cold servers",
         format!(
             "have {:.0}% at first, all after {}",
-            settings.rules.cold_share * 100.0,
-            time(settings.rules.cold_time)
+            settings.rules.warm_up_initial_ratio * 100.0,
+            time(settings.rules.warm_up_duration)
         ),
     );
     let mut classes = Table::new();
@@ -96,21 +99,21 @@
         "worth",
         "may run again",
     ]);
-    for (name, class) in config.facts.classes.iter().zip(&settings.classes) {
-        let repeat = match class.repeat {
-            Repeat::Free => "yes".to_owned(),
-            Repeat::SingleShot => "never".to_owned(),
-            Repeat::Guarded { scope, window } => {
+    for (name, class) in config.facts.class_names.iter().zip(&settings.classes) {
+        let repeat = match class.idempotency {
+            Idempotency::Idempotent => "yes".to_owned(),
+            Idempotency::NonIdempotent => "never".to_owned(),
+            Idempotency::Deduplicated { scope, window } => {
                 let scope = match scope {
-                    Scope::All => "on any server",
-                    Scope::Zone => "in the same zone",
-                    Scope::Cell => "in the same cell",
+                    DeduplicationScope::All => "on any server",
+                    DeduplicationScope::Zone => "in the same zone",
+                    DeduplicationScope::Cell => "in the same cell",
                 };
                 format!("{scope} for {}", time(window))
             }
         };
-        let (aim, deadline) = (time(class.aim), time(class.deadline));
-        classes.add_row([format!("  {name}"), aim, deadline, class.worth.to_string(), repeat]);
+        let (aim, deadline) = (time(class.latency_objective), time(class.client_timeout));
+        classes.add_row([format!("  {name}"), aim, deadline, class.priority_weight.to_string(), repeat]);
     }
     for row in classes.lines() {
         let _ = writeln!(text, "{}", row.trim_end());
--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -59,27 +59,27 @@
     balancer: Balancer,
     now: Micros,
     actions: Vec<Action>,
-    out: VecDeque<(CallId, u32, ServerId)>,
-    kept: VecDeque<(CallId, u32, ServerId)>,
+    out: VecDeque<(CallId, u32, EndpointId)>,
+    kept: VecDeque<(CallId, u32, EndpointId)>,
     attempts: std::collections::HashMap<CallId, u32>,
     next: u64,
     trouble: Trouble,
 }
 
-fn entry(server: u32, started: Micros) -> Entry {
-    Entry {
-        server: ServerId(server),
+fn entry(server: u32, started: Micros) -> EndpointInfo {
+    EndpointInfo {
+        id: EndpointId(server),
         zone: ZoneId(server % 3),
-        kind: KindId(server % 2),
-        started,
-        ..Entry::default()
+        machine_type: MachineTypeId(server % 2),
+        started_at: started,
+        ..EndpointInfo::default()
     }
 }
 
 impl Bench {
     fn new(servers: u32, balancers: u32, trouble: Trouble) -> Self {
-        let class = Class { repeat: Repeat::Free, ..Settings::default().classes[0] };
-        let settings = Settings { balancers, classes: vec![class], ..Settings::default() };
+        let class = Class { idempotency: Idempotency::Idempotent, ..Settings::default().classes[0] };
+        let settings = Settings { proxy_count: balancers, classes: vec![class], ..Settings::default() };
         let mut bench = Bench {
             balancer: Balancer::new(7, settings),
             now: 1_000_000_000_000,
@@ -92,7 +92,7 @@
         };
         bench.event(Event::Start);
         let entries = (0..servers).map(|server| entry(server, 0)).collect();
-        bench.event(Event::Members { kind: ListKind::Full, entries });
+        bench.event(Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints: entries });
         bench
     }
 
@@ -101,7 +101,7 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { call, server, .. } => {
+                Action::Send { call, endpoint: server, .. } => {
                     let number = self.attempts.entry(call).or_default();
                     let sent = (call, *number, server);
                     *number += 1;
@@ -116,7 +116,7 @@
                         self.out.push_back(sent)
                     }
                 }
-                Action::Refuse { call, .. } | Action::Fail { call } => {
+                Action::Reject { call, .. } | Action::Fail { call } => {
                     self.attempts.remove(&call);
                 }
                 _ => {}
@@ -132,19 +132,19 @@
             call,
             class: ClassId(0),
             tenant: None,
-            time_left: 1_000_000,
-            resent: false,
+            remaining_time: 1_000_000,
+            is_retry: false,
         });
     }
 
-    fn end(&mut self, (call, attempt, server): (CallId, u32, ServerId)) {
+    fn end(&mut self, (call, attempt, server): (CallId, u32, EndpointId)) {
         let down = self.trouble == Trouble::TenthAside && server.0.is_multiple_of(10);
-        let outcome = if down { Outcome::NoConnection } else { Outcome::Served };
+        let outcome = if down { Outcome::ConnectFailed } else { Outcome::Served };
         if !down {
             self.attempts.remove(&call);
         }
-        let load = Load::default();
-        self.event(Event::Outcome { call, attempt, outcome, elapsed: 20_000, closed: !down, load });
+        let load = LoadReport::default();
+        self.event(Event::AttemptEnded { call, attempt, outcome, elapsed: 20_000, call_closed: !down, load });
     }
 
     /// A request, and the outcome of one that is out.
@@ -227,7 +227,7 @@
                 bench.now += 10;
                 changed = (changed + 7_919) % servers;
                 let entries = vec![entry(changed, bench.now - 1)];
-                bench.event(Event::Members { kind: ListKind::Delta, entries });
+                bench.event(Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries });
             });
         });
         // A tenth of the list is replaced in one piece of news; the figure is for all of it.
@@ -239,7 +239,7 @@
                 round += 1;
                 let replaced = (0..servers).filter(|server| (server + round) % 10 == 0);
                 let entries = replaced.map(|server| entry(server, bench.now - 1)).collect();
-                bench.event(Event::Members { kind: ListKind::Delta, entries });
+                bench.event(Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries });
             });
         });
     }
--- a/crates/core/examples/picks.rs
+++ b/crates/core/examples/picks.rs
@@ -36,34 +36,45 @@
 ];
 
 impl World {
-    fn entry(&self, server: u32) -> Entry {
-        Entry {
-            server: ServerId(server),
+    fn entry(&self, server: u32) -> EndpointInfo {
+        EndpointInfo {
+            id: EndpointId(server),
             zone: ZoneId(server % 3),
             weight: if self.sized { f64::from(1 + server % 4) } else { 1.0 },
-            started: if server + self.cold >= self.servers { START - 6_000 * MS } else { 0 },
-            ..Entry::default()
+            started_at: if server + self.cold >= self.servers { START - 6_000 * MS } else { 0 },
+            ..EndpointInfo::default()
         }
     }
 
     /// Where the calls of one seed went.
     fn play(&self, seed: u64) -> Vec<u32> {
-        let class = Class { repeat: Repeat::Free, ..Settings::default().classes[0] };
+        let class = Class { idempotency: Idempotency::Idempotent, ..Settings::default().classes[0] };
         let charges = Charges { cross_zone: 0.02, ..Charges::default() };
         let (balancers, weights) = (self.balancers, WeightSource::Nominal);
-        let settings = Settings { balancers, weights, charges, classes: vec![class], ..Settings::default() };
+        let settings = Settings {
+            proxy_count: balancers,
+            weight_source: weights,
+            charges,
+            classes: vec![class],
+            ..Settings::default()
+        };
         let (mut balancer, mut now, mut went) = (Balancer::new(seed, settings), START, Vec::new());
         let (mut actions, mut out) = (Vec::new(), Vec::new());
         let entries = (0..self.servers).map(|server| self.entry(server)).collect();
-        balancer.handle(now, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+        balancer.handle(
+            now,
+            Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints: entries },
+            &mut actions,
+        );
         for number in 0..self.calls {
             let call = CallId(u64::from(number));
             now += 5 * MS;
             let (class, time_left) = (ClassId(0), 900 * MS);
-            let event = Event::Request { call, class, tenant: None, time_left, resent: false };
+            let event =
+                Event::Request { call, class, tenant: None, remaining_time: time_left, is_retry: false };
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                if let Action::Send { call, server, .. } = action {
+                if let Action::Send { call, endpoint: server, .. } = action {
                     if went.len() < number as usize + 1 {
                         went.resize(number as usize, u32::MAX);
                         went.push(server.0);
@@ -76,8 +87,9 @@
             if let Some((call, server)) = ends.map(|at| out.remove(at)) {
                 let fails = server < self.failing;
                 let outcome = if fails { Outcome::Error } else { Outcome::Served };
-                let (elapsed, load) = (10 * MS, Load::default());
-                let event = Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load };
+                let (elapsed, load) = (10 * MS, LoadReport::default());
+                let event =
+                    Event::AttemptEnded { call, attempt: 0, outcome, elapsed, call_closed: true, load };
                 balancer.handle(now, event, &mut actions);
                 actions.clear();
             }
--- a/crates/core/examples/recorded/script.rs
+++ b/crates/core/examples/recorded/script.rs
@@ -6,25 +6,30 @@
 pub fn event(event: &Event) -> String {
     match event {
         Event::Start => "start".to_owned(),
-        Event::Members { kind, entries } => {
+        Event::EndpointList { kind, endpoints: entries } => {
             let entries: Vec<String> = entries.iter().map(entry).collect();
             format!("list {} [{}]", list_kind(*kind), entries.join(", "))
         }
-        Event::Request { call, class, tenant, time_left, resent } => {
+        Event::Request { call, class, tenant, remaining_time, is_retry: resent } => {
             let tenant = tenant.map(|tenant| tenant.0);
             let retry = u8::from(*resent);
-            format!("request {} class {} tenant {tenant:?} left {time_left} retry {retry}", call.0, class.0)
+            format!(
+                "request {} class {} tenant {tenant:?} left {remaining_time} retry {retry}",
+                call.0, class.0
+            )
         }
-        Event::Outcome { call, attempt, outcome: how, elapsed, closed, load: report } => {
+        Event::AttemptEnded { call, attempt, outcome: how, elapsed, call_closed: closed, load: report } => {
             let (how, closed, load) = (outcome(*how), u8::from(*closed), load(report));
             format!("ended {} attempt {attempt} {how} after {elapsed} closed {closed} {load}", call.0)
         }
-        Event::Whole { call, time_left } => format!("complete {} left {time_left}", call.0),
-        Event::Streaming { call, attempt } => format!("streaming {} attempt {attempt}", call.0),
-        Event::Probed { server, outcome: how, elapsed, load: report } => {
+        Event::RequestComplete { call, remaining_time } => {
+            format!("complete {} left {remaining_time}", call.0)
+        }
+        Event::ResponseStarted { call, attempt } => format!("streaming {} attempt {attempt}", call.0),
+        Event::LoadPolled { endpoint: server, outcome: how, elapsed, load: report } => {
             format!("polled {} {} after {elapsed} {}", server.0, outcome(*how), load(report))
         }
-        Event::Gone { call } => format!("gone {}", call.0),
+        Event::ClientDisconnected { call } => format!("gone {}", call.0),
         Event::Timer => "timer".to_owned(),
         Event::Settings(settings) => settings_in_force(settings),
     }
@@ -33,34 +38,38 @@
 /// One action, all of its fields.
 pub fn action(action: &Action) -> String {
     match action {
-        Action::Send { call, server, until, by } => {
+        Action::Send { call, endpoint: server, timeout_at: until, send_before: by } => {
             format!("send {} to {} until {until:?} by {by:?}", call.0, server.0)
         }
-        Action::Refuse { call, retry_after } => format!("reject {} for {retry_after}", call.0),
+        Action::Reject { call, retry_after } => format!("reject {} for {retry_after}", call.0),
         Action::Fail { call } => format!("fail {}", call.0),
         Action::Cancel { call, attempt } => format!("cancel {} attempt {attempt}", call.0),
-        Action::Probe { server } => format!("poll {}", server.0),
-        Action::Wake { after } => format!("wake {after}"),
-        Action::Subscribe => "subscribe".to_owned(),
+        Action::PollLoad { endpoint: server } => format!("poll {}", server.0),
+        Action::SetTimer { after } => format!("wake {after}"),
+        Action::PollEndpointList => "subscribe".to_owned(),
         Action::Log(note) => logged(note),
     }
 }
 
-fn logged(note: &Note) -> String {
+fn logged(note: &DecisionEvent) -> String {
     match note {
-        Note::NoneUp => "log none".to_owned(),
-        Note::SetAside { server, outcome: how } => format!("log ejected {} {}", server.0, outcome(*how)),
-        Note::TakenBack { server } => format!("log readmitted {}", server.0),
-        Note::FailsClass { server, class } => format!("log failing {} class {}", server.0, class.0),
+        DecisionEvent::AllEndpointsEjected => "log none".to_owned(),
+        DecisionEvent::EndpointEjected { endpoint: server, outcome: how } => {
+            format!("log ejected {} {}", server.0, outcome(*how))
+        }
+        DecisionEvent::EndpointReadmitted { endpoint: server } => format!("log readmitted {}", server.0),
+        DecisionEvent::ClassFailing { endpoint: server, class } => {
+            format!("log failing {} class {}", server.0, class.0)
+        }
     }
 }
 
-fn list_kind(kind: ListKind) -> &'static str {
+fn list_kind(kind: ListUpdateKind) -> &'static str {
     match kind {
-        ListKind::Delta => "delta",
-        ListKind::Full => "full",
-        ListKind::Cached => "cached",
-        ListKind::Failed => "failed",
+        ListUpdateKind::Delta => "delta",
+        ListUpdateKind::Snapshot => "full",
+        ListUpdateKind::Cached => "cached",
+        ListUpdateKind::Failed => "failed",
     }
 }
 
@@ -68,29 +77,29 @@
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
-        Outcome::Rejected => "invalid",
-        Outcome::TurnedAway => "rejected",
+        Outcome::InvalidRequest => "invalid",
+        Outcome::Rejected => "rejected",
         Outcome::TimedOut => "timed-out",
-        Outcome::NoConnection => "unconnected",
+        Outcome::ConnectFailed => "unconnected",
         Outcome::Reset => "reset",
-        Outcome::CalledOff => "cancelled",
+        Outcome::Cancelled => "cancelled",
         Outcome::NotSent => "unsent",
         Outcome::Unknown => "unknown",
     }
 }
 
-fn load(load: &Load) -> String {
-    let Load { in_hand, waiting, busy, error_rate } = load;
+fn load(load: &LoadReport) -> String {
+    let LoadReport { in_flight: in_hand, queued: waiting, utilisation: busy, error_rate } = load;
     format!("load {in_hand:?} {waiting:?} {busy:?} {error_rate:?}")
 }
 
-fn entry(entry: &Entry) -> String {
+fn entry(entry: &EndpointInfo) -> String {
     let state = match entry.state {
-        State::Ready => "ready",
-        State::Draining => "draining",
-        State::Gone => "removed",
+        EndpointState::Ready => "ready",
+        EndpointState::Draining => "draining",
+        EndpointState::Removed => "removed",
     };
-    let Entry { server, zone, cell, kind, weight, started, .. } = entry;
+    let EndpointInfo { id: server, zone, cell, machine_type: kind, weight, started_at: started, .. } = entry;
     format!(
         "{} {state} zone {} cell {} type {} weight {weight} started {started}",
         server.0, zone.0, cell.0, kind.0
@@ -99,5 +108,5 @@
 
 /// Of settings, what the worlds change.
 fn settings_in_force(settings: &Settings) -> String {
-    format!("settings {} attempts {}", settings.balancers, settings.limits.max_attempts)
+    format!("settings {} attempts {}", settings.proxy_count, settings.limits.max_attempts)
 }
--- a/crates/core/examples/recorded/worlds.rs
+++ b/crates/core/examples/recorded/worlds.rs
@@ -34,36 +34,52 @@
     /// Attempts that are out, by when they end.
     ends: BTreeMap<(Micros, u64), Event>,
     attempts: BTreeMap<CallId, u32>,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointInfo>,
     serial: u64,
 }
 
 fn settings(world: u64) -> Settings {
-    let class =
-        |aim, deadline, worth, repeat| Class { aim, deadline, worth, late_value: 0.0, repeat, live: true };
+    let class = |aim, deadline, worth, repeat| Class {
+        latency_objective: aim,
+        client_timeout: deadline,
+        priority_weight: worth,
+        late_weight_ratio: 0.0,
+        idempotency: repeat,
+        active: true,
+    };
     let window = 400 * MS;
     Settings {
-        balancers: [1, 4, 300, 20, 1_000, 2][world as usize % 6],
+        proxy_count: [1, 4, 300, 20, 1_000, 2][world as usize % 6],
         zone: ZoneId(1),
-        ask: true,
+        polls_endpoint_list: true,
         classes: vec![
-            class(200 * MS, 600 * MS, 1.0, Repeat::Free),
-            class(500 * MS, 1_200 * MS, 3.0, Repeat::SingleShot),
-            class(400 * MS, 900 * MS, 0.5, Repeat::Guarded { scope: Scope::Cell, window }),
-            class(900 * MS, 2_000 * MS, 2.0, Repeat::Guarded { scope: Scope::All, window }),
+            class(200 * MS, 600 * MS, 1.0, Idempotency::Idempotent),
+            class(500 * MS, 1_200 * MS, 3.0, Idempotency::NonIdempotent),
+            class(
+                400 * MS,
+                900 * MS,
+                0.5,
+                Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window },
+            ),
+            class(
+                900 * MS,
+                2_000 * MS,
+                2.0,
+                Idempotency::Deduplicated { scope: DeduplicationScope::All, window },
+            ),
         ],
         limits: Limits {
-            probes: world.is_multiple_of(2),
-            second_copies: !world.is_multiple_of(3),
+            load_polling: world.is_multiple_of(2),
+            hedging: !world.is_multiple_of(3),
             max_attempts: 3,
             ..Settings::default().limits
         },
-        charges: Charges { cross_zone: 0.02, probe: 0.005, ..Charges::default() },
-        reports: Reports {
-            how: if world.is_multiple_of(2) { Reporting::OnProbe } else { Reporting::Inline },
-            in_hand: true,
+        charges: Charges { cross_zone: 0.02, load_poll: 0.005, ..Charges::default() },
+        load_reporting: LoadReporting {
+            delivery: if world.is_multiple_of(2) { ReportDelivery::OnPoll } else { ReportDelivery::Inline },
+            includes_in_flight: true,
         },
-        weights: if world.is_multiple_of(3) { WeightSource::Rough } else { WeightSource::Off },
+        weight_source: if world.is_multiple_of(3) { WeightSource::Approximate } else { WeightSource::Off },
         ..Settings::default()
     }
 }
@@ -82,16 +98,16 @@
         made
     }
 
-    fn entry(&mut self, server: u32) -> Entry {
+    fn entry(&mut self, server: u32) -> EndpointInfo {
         let cold = self.random.one_in(6);
-        Entry {
-            server: ServerId(server),
-            state: State::Ready,
+        EndpointInfo {
+            id: EndpointId(server),
+            state: EndpointState::Ready,
             zone: ZoneId(server % 3),
             cell: CellId(server % 2),
-            kind: KindId(server % 4),
+            machine_type: MachineTypeId(server % 4),
             weight: 1.0 + f64::from(server % 5),
-            started: if cold { self.now - self.random.below(9_000_000) } else { 0 },
+            started_at: if cold { self.now - self.random.below(9_000_000) } else { 0 },
         }
     }
 
@@ -107,7 +123,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { call, server, until, .. } => {
+            Action::Send { call, endpoint: server, timeout_at: until, .. } => {
                 let attempt = self.attempts.entry(call).or_default();
                 let number = *attempt;
                 *attempt += 1;
@@ -117,64 +133,79 @@
                 took = took.min(patience);
                 let load = match outcome {
                     Outcome::Served if self.random.one_in(2) => self.load(),
-                    _ => Load::default(),
+                    _ => LoadReport::default(),
                 };
                 if outcome == Outcome::Served && self.random.one_in(20) {
-                    self.later(took / 2, Event::Streaming { call, attempt: number });
+                    self.later(took / 2, Event::ResponseStarted { call, attempt: number });
                 }
                 let (elapsed, closed) = (took, outcome == Outcome::Served);
-                self.later(took, Event::Outcome { call, attempt: number, outcome, elapsed, closed, load });
+                self.later(
+                    took,
+                    Event::AttemptEnded {
+                        call,
+                        attempt: number,
+                        outcome,
+                        elapsed,
+                        call_closed: closed,
+                        load,
+                    },
+                );
             }
             Action::Cancel { call, attempt } => {
-                let out = |e: &Event| matches!(e, Event::Outcome { call: c, attempt: a, .. } if (*c, *a) == (call, attempt));
+                let out = |e: &Event| matches!(e, Event::AttemptEnded { call: c, attempt: a, .. } if (*c, *a) == (call, attempt));
                 let found = self.ends.iter().find(|(_, e)| out(e)).map(|(k, _)| *k);
-                if let Some(Event::Outcome { call, attempt, load, .. }) =
+                if let Some(Event::AttemptEnded { call, attempt, load, .. }) =
                     found.and_then(|k| self.ends.remove(&k))
                 {
-                    let (outcome, elapsed) = (Outcome::CalledOff, 5 * MS);
-                    self.later(0, Event::Outcome { call, attempt, outcome, elapsed, closed: true, load });
+                    let (outcome, elapsed) = (Outcome::Cancelled, 5 * MS);
+                    self.later(
+                        0,
+                        Event::AttemptEnded { call, attempt, outcome, elapsed, call_closed: true, load },
+                    );
                 }
             }
-            Action::Probe { server } => {
+            Action::PollLoad { endpoint: server } => {
                 let outcome = if self.random.one_in(9) { Outcome::TimedOut } else { Outcome::Served };
                 let (elapsed, load) = (2 * MS, self.load());
-                self.later(elapsed, Event::Probed { server, outcome, elapsed, load });
+                self.later(elapsed, Event::LoadPolled { endpoint: server, outcome, elapsed, load });
             }
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 self.wakes.insert(self.now + after);
             }
-            Action::Subscribe => {
-                let kind = if self.random.one_in(4) { ListKind::Failed } else { ListKind::Full };
-                let entries = if kind == ListKind::Full { self.entries.clone() } else { Vec::new() };
-                self.later(7 * MS, Event::Members { kind, entries });
+            Action::PollEndpointList => {
+                let kind =
+                    if self.random.one_in(4) { ListUpdateKind::Failed } else { ListUpdateKind::Snapshot };
+                let entries =
+                    if kind == ListUpdateKind::Snapshot { self.entries.clone() } else { Vec::new() };
+                self.later(7 * MS, Event::EndpointList { kind, endpoints: entries });
             }
-            Action::Refuse { .. } | Action::Fail { .. } | Action::Log(_) => {}
+            Action::Reject { .. } | Action::Fail { .. } | Action::Log(_) => {}
         }
     }
 
     /// How a server does with an attempt: by its number and the time of the world, so that trouble lasts.
-    fn fate(&mut self, server: ServerId) -> (Outcome, Micros) {
+    fn fate(&mut self, server: EndpointId) -> (Outcome, Micros) {
         let spell = self.now / 3_000_000 + u64::from(server.0) * 7;
         let usual = 10 * MS + self.random.below(60 * MS);
         match spell % 11 {
             0 if !self.random.one_in(3) => (Outcome::Error, 2 * MS),
-            1 if !self.random.one_in(3) => (Outcome::TurnedAway, MS),
-            2 if !self.random.one_in(4) => (Outcome::NoConnection, 3 * MS),
+            1 if !self.random.one_in(3) => (Outcome::Rejected, MS),
+            2 if !self.random.one_in(4) => (Outcome::ConnectFailed, 3 * MS),
             3 if self.random.one_in(2) => (Outcome::Reset, 9 * MS),
             4 => (Outcome::Served, usual * 9),
             5 if self.random.one_in(2) => (Outcome::Served, 9_000 * MS),
-            _ if self.random.one_in(200) => (Outcome::Rejected, MS),
+            _ if self.random.one_in(200) => (Outcome::InvalidRequest, MS),
             _ if self.random.one_in(300) => (Outcome::NotSent, 0),
             _ => (Outcome::Served, usual),
         }
     }
 
-    fn load(&mut self) -> Load {
+    fn load(&mut self) -> LoadReport {
         let in_hand = self.random.below(12) as f64;
-        Load {
-            in_hand: Some(in_hand),
-            waiting: Some((in_hand - 5.0).max(0.0)),
-            busy: Some(0.5),
+        LoadReport {
+            in_flight: Some(in_hand),
+            queued: Some((in_hand - 5.0).max(0.0)),
+            utilisation: Some(0.5),
             error_rate: None,
         }
     }
@@ -210,12 +241,12 @@
             0 => {
                 let place = self.random.below(self.entries.len() as u64) as usize;
                 let entry = &mut self.entries[place];
-                (entry.state, entry.started) = match entry.state {
-                    State::Ready => (State::Draining, entry.started),
-                    _ => (State::Ready, self.now),
+                (entry.state, entry.started_at) = match entry.state {
+                    EndpointState::Ready => (EndpointState::Draining, entry.started_at),
+                    _ => (EndpointState::Ready, self.now),
                 };
                 let entries = vec![*entry];
-                self.event(Event::Members { kind: ListKind::Delta, entries });
+                self.event(Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries });
             }
             1 if step.is_multiple_of(7) => {
                 let mut other = spec.clone();
@@ -224,23 +255,23 @@
             }
             2 if self.serial > 0 => {
                 let call = CallId(step as u64 - self.random.below(9).min(step as u64));
-                self.event(Event::Gone { call });
+                self.event(Event::ClientDisconnected { call });
             }
             3 => {
                 let call = CallId(step as u64 - self.random.below(3).min(step as u64));
-                self.event(Event::Whole { call, time_left: 500 * MS });
+                self.event(Event::RequestComplete { call, remaining_time: 500 * MS });
             }
             _ => {
                 let class = ClassId(self.random.below(4) as usize);
-                let deadline = spec.classes[class.0].deadline;
+                let deadline = spec.classes[class.0].client_timeout;
                 let resent = self.random.one_in(8);
                 let time_left = if resent { deadline / 2 } else { deadline };
                 self.event(Event::Request {
                     call: CallId(step as u64),
                     class,
                     tenant: None,
-                    time_left,
-                    resent,
+                    remaining_time: time_left,
+                    is_retry: resent,
                 });
             }
         }
--- a/crates/core/src/balance/ask.rs
+++ b/crates/core/src/balance/ask.rs
@@ -13,11 +13,12 @@
 impl Balancer {
     /// Servers to ask before this call goes: a balancer of little traffic knows nothing fresh of nearly all.
     pub(super) fn ask(&self, id: CallId, room: &[usize], random: &mut Pcg32) -> Option<Vec<usize>> {
-        let (limits, reports) = (self.settings.limits, self.settings.reports);
-        let told = limits.probes && reports.how == Reporting::OnProbe && reports.in_hand;
-        let most = (ASK_POINTS / self.settings.charges.probe.max(f64::MIN_POSITIVE)) as usize;
+        let (limits, reports) = (self.settings.limits, self.settings.load_reporting);
+        let told =
+            limits.load_polling && reports.delivery == ReportDelivery::OnPoll && reports.includes_in_flight;
+        let most = (ASK_POINTS / self.settings.charges.load_poll.max(f64::MIN_POSITIVE)) as usize;
         let call = &self.calls[id];
-        let usual = self.classes.usual(call.class_id, call.class.aim);
+        let usual = self.classes.usual(call.class_id, call.class.latency_objective);
         let in_time = (self.now + self.ask_wait(call)) as f64 + usual < call.aim_at() as f64;
         if !told || !self.sparse() || most < 2 || !in_time {
             // What has found all full does not go blindly in the end.
@@ -35,21 +36,21 @@
         let wake = self.now + self.ask_wait(&self.calls[id]);
         let Some(call) = self.calls.get_mut(id) else { return };
         (call.asks, call.asks_at) = (servers.iter().map(|&i| self.servers[i].id).collect(), self.now);
-        self.actions.extend(call.asks.iter().map(|&server| Action::Probe { server }));
+        self.actions.extend(call.asks.iter().map(|&server| Action::PollLoad { endpoint: server }));
         self.asking.push(id);
         self.calls.wakes.set(id, Some(wake));
     }
 
     /// A server told its load, or did not answer: then it is taken for the most loaded.
-    pub(crate) fn probed(&mut self, id: ServerId, outcome: Outcome, load: Load) {
+    pub(crate) fn probed(&mut self, id: EndpointId, outcome: Outcome, load: LoadReport) {
         let Some(place) = self.servers.place(id) else { return };
-        let told = load.in_hand.filter(|l| outcome == Outcome::Served && l.is_finite());
+        let told = load.in_flight.filter(|l| outcome == Outcome::Served && l.is_finite());
         let server = &mut self.servers[place];
         (server.in_hand, server.asked) = (told.map_or(f64::MAX, |l| l.max(0.0)), self.now);
         for call in std::mem::take(&mut self.asking) {
             let Some(c) = self.calls.get(call).filter(|c| !c.asks.is_empty()) else { continue };
             let waits =
-                |&id: &ServerId| self.servers.place(id).is_some_and(|p| self.servers[p].asked < c.asks_at);
+                |&id: &EndpointId| self.servers.place(id).is_some_and(|p| self.servers[p].asked < c.asks_at);
             if c.asks.iter().any(waits) {
                 self.asking.push(call);
             } else {
@@ -62,7 +63,7 @@
     pub(super) fn decide(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let (asked, since) = (std::mem::take(&mut call.asks), call.asks_at);
-        let (rules, tick, most) = (self.settings.rules, self.settings.tick, self.crowd_limit(id));
+        let (rules, tick, most) = (self.settings.rules, self.settings.clock_tick, self.crowd_limit(id));
         let mut places = Vec::new();
         for server in asked {
             let Some(place) = self.servers.place(server) else { continue };
@@ -98,12 +99,12 @@
     pub(super) fn crowd_limit(&self, id: CallId) -> f64 {
         let listed = &self.sets.listed;
         let start = START_CONCURRENCY * listed.len() as f64 / listed.total().max(f64::MIN_POSITIVE);
-        let aim = self.calls[id].class.aim as f64 * CROWD_AIM;
+        let aim = self.calls[id].class.latency_objective as f64 * CROWD_AIM;
         let (time, crowd) = (self.told.0 + aim / SMOOTHING, self.told.1 + start / SMOOTHING);
         aim * crowd / time.max(1.0)
     }
 
     pub(super) fn ask_wait(&self, call: &Call) -> Micros {
-        ((call.class.aim as f64 * ASK_WAIT) as Micros).max(self.settings.tick)
+        ((call.class.latency_objective as f64 * ASK_WAIT) as Micros).max(self.settings.clock_tick)
     }
 }
--- a/crates/core/src/balance/budget.rs
+++ b/crates/core/src/balance/budget.rs
@@ -94,7 +94,7 @@
         // A strained server grows no further, nor one whose last change has not shown what it did.
         let settled_at = if changed == 0 { 0 } else { server.settled_at(self.classes.longest_usual()) };
         let grows_at = if strain > 1.0 { Micros::MAX } else { trial_at.max(settled_at) };
-        let warm_at = server.started.saturating_add(rules.cold_time);
+        let warm_at = server.started.saturating_add(rules.warm_up_duration);
         let moments = [warm_at, not_before, trial_at, if full { grows_at } else { 0 }];
         let until = moments.into_iter().filter(|&at| listed && at > self.now && at < Micros::MAX).min();
         Standing {
--- a/crates/core/src/balance/hold.rs
+++ b/crates/core/src/balance/hold.rs
@@ -14,21 +14,22 @@
     /// Puts a call into the hold; one that goes again is older than those waiting and goes to the front.
     pub(super) fn enqueue(&mut self, id: CallId, again: bool) {
         let call = &self.calls[id];
-        let (class_id, aim, end, last) = (call.class_id, call.class.aim, call.aim_at(), call.deadline);
+        let (class_id, aim, end, last) =
+            (call.class_id, call.class.latency_objective, call.aim_at(), call.deadline);
         // Its way out: when a usual answer could not come in time, and always before the client gives up.
         let wake = end.saturating_sub(self.classes.usual(class_id, aim) as Micros).max(self.now + 1);
         let shed = self.sparse() && call.found_full == 0;
         let wake = if shed { wake.min(self.now + self.wait_limit(id)) } else { wake };
-        self.calls.wait(id, again, wake.min(last.saturating_sub(self.settings.tick).max(self.now)));
+        self.calls.wait(id, again, wake.min(last.saturating_sub(self.settings.clock_tick).max(self.now)));
     }
 
     /// How long may the hold's head have waited for this call to join? Without a bound all would be served
     /// late. Classes of much worth for their work wait longest.
     pub(super) fn wait_limit(&self, id: CallId) -> Micros {
         let call = &self.calls[id];
-        let usual = self.classes.usual(call.class_id, call.class.aim);
+        let usual = self.classes.usual(call.class_id, call.class.latency_objective);
         let aim = call.aim_at().saturating_sub(call.arrived) as f64;
-        let shortest = self.classes.live().map(|c| c.0.aim).min().unwrap_or(0) as f64;
+        let shortest = self.classes.live().map(|c| c.0.latency_objective).min().unwrap_or(0) as f64;
         let limit = aim.min(WAIT_LONGEST * shortest) * WAIT_AIM;
         let protected = if self.protected(call) { aim - SPARE_TIMES * usual } else { 0.0 };
         limit.max(protected).min(aim - usual).max(0.0) as Micros
@@ -38,11 +39,11 @@
         let (worth, work) = self
             .classes
             .live()
-            .fold((0.0, 0.0), |(w, t), (c, p)| (w + p.asked * c.worth, t + p.asked * p.base));
+            .fold((0.0, 0.0), |(w, t), (c, p)| (w + p.asked * c.priority_weight, t + p.asked * p.base));
         let base = self.classes.base(call.class_id);
-        let density = call.class.worth / base * work / worth.max(f64::MIN_POSITIVE);
-        let goal = &self.settings.goal;
-        goal.whole * density > goal.whole + goal.worst_class
+        let density = call.class.priority_weight / base * work / worth.max(f64::MIN_POSITIVE);
+        let goal = &self.settings.objective_weights;
+        goal.overall * density > goal.overall + goal.worst_class
     }
 
     pub(crate) fn drain_hold(&mut self) {
@@ -67,7 +68,7 @@
                 }
                 Route::Refuse { retry_after } => {
                     if !std::mem::replace(&mut self.refusing, true) {
-                        self.actions.push(Action::Log(Note::NoneUp));
+                        self.actions.push(Action::Log(DecisionEvent::AllEndpointsEjected));
                     }
                     self.give_up(id, retry_after);
                 }
@@ -80,7 +81,7 @@
 
     /// A set-aside server is tried by a call that can go again, where the site has such calls.
     pub(super) fn may_test(&self, call: &Call) -> bool {
-        let repeats = |c: &Class| c.repeat != Repeat::SingleShot;
+        let repeats = |c: &Class| c.idempotency != Idempotency::NonIdempotent;
         // Else trials of many servers set aside would take most calls of a balancer of little traffic.
         let few = !self.sparse() || call.chance < SMOOTHING;
         few && call.attempts.is_empty()
--- a/crates/core/src/balance/learn.rs
+++ b/crates/core/src/balance/learn.rs
@@ -41,19 +41,21 @@
 
 impl Balancer {
     /// As many waiting as in work, or nearly all cores busy, is as much as an answer at its limit.
-    pub(crate) fn report(&mut self, id: CallId, attempt: u32, load: Load) {
+    pub(crate) fn report(&mut self, id: CallId, attempt: u32, load: LoadReport) {
         let Some(tried) = self.calls.get(id).and_then(|c| c.attempts.get(attempt as usize)) else { return };
         let Some(place) = self.servers.place(tried.server) else { return };
         let crowding = match load {
-            Load { in_hand: Some(all), waiting: Some(waiting), .. } => waiting / (all - waiting).max(1.0),
-            Load { busy: Some(busy), .. } => busy / BUSY_FULL,
+            LoadReport { in_flight: Some(all), queued: Some(waiting), .. } => {
+                waiting / (all - waiting).max(1.0)
+            }
+            LoadReport { utilisation: Some(busy), .. } => busy / BUSY_FULL,
             _ => return,
         };
         self.servers[place].crowding = if crowding.is_finite() { crowding.clamp(0.0, 4.0) } else { 0.0 };
     }
 
     /// An answer that had begun to flow has ended: its server was done with it, but may have cut it.
-    pub(crate) fn flowed(&mut self, id: ServerId, outcome: Outcome) {
+    pub(crate) fn flowed(&mut self, id: EndpointId, outcome: Outcome) {
         let cut = matches!(outcome, Outcome::Reset | Outcome::TimedOut);
         if let Some(place) = self.servers.place(id).filter(|_| cut) {
             let failing = &mut self.servers[place].failing;
@@ -69,7 +71,7 @@
             (self.first_backoff(), self.classes.longest_usual(), self.classes.longest_aim());
         let may_set_aside = self.may_set_aside();
         let Some(place) = self.servers.place(id) else { return };
-        let aim = self.classes.class(class_id).map_or(f64::MAX, |c| c.aim as f64);
+        let aim = self.classes.class(class_id).map_or(f64::MAX, |c| c.latency_objective as f64);
         let base = self.classes.base(class_id);
         let limit = (base * STRAIN_TIMES).min(aim * STRAIN_AIM).max(base);
         let server = &mut self.servers[place];
@@ -79,9 +81,9 @@
         // Errors and resets tell nothing of load; who never went, or was called off early, nothing at all.
         let late_back = match outcome {
             Outcome::Served => Some(elapsed as f64 > aim * LATE_AIM),
-            Outcome::TimedOut | Outcome::TurnedAway => Some(true),
+            Outcome::TimedOut | Outcome::Rejected => Some(true),
             // A dead process refuses at once, a crowded one is slow to accept.
-            Outcome::NoConnection => (strain > 1.0).then_some(true),
+            Outcome::ConnectFailed => (strain > 1.0).then_some(true),
             _ => None,
         };
         let at = (server.zone, server.kind);
@@ -91,7 +93,7 @@
             Outcome::Served => false,
             // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
             Outcome::TimedOut if server.answered > sent => false,
-            Outcome::CalledOff | Outcome::NotSent | Outcome::Rejected => {
+            Outcome::Cancelled | Outcome::NotSent | Outcome::InvalidRequest => {
                 // A loser called off was at least this slow.
                 server.strain += (strain - server.strain).max(0.0) * SMOOTHING;
                 server.budget.trial_out &= !trial;
@@ -108,7 +110,10 @@
             fare.note(self.now, outcome != Outcome::Served, first);
             self.sets.fails(class_id, place, fare.fails());
             if fare.fails() && !failed_before {
-                self.actions.push(Action::Log(Note::FailsClass { server: id, class: ClassId(class_id) }));
+                self.actions.push(Action::Log(DecisionEvent::ClassFailing {
+                    endpoint: id,
+                    class: ClassId(class_id),
+                }));
             }
         }
         // A time-out proves less than an error: a crowded server may owe a lone call for that long.
@@ -140,7 +145,7 @@
             server.answered = self.now;
         }
         // Latency well above an unloaded server's is the sign, beside refusals, of too much in flight.
-        if outcome == Outcome::TurnedAway {
+        if outcome == Outcome::Rejected {
             server.budget.cut(CUT_FULL, 0.0);
             // Fast refusals leave it looking idle: without a pause it would draw in call after call.
             server.not_before = server.not_before.max(self.now + longest as Micros);
@@ -152,7 +157,7 @@
             (server.answers_since, server.changed) = (0, self.now);
         }
         let was_up = server.budget.steps > 0;
-        if matches!(outcome, Outcome::NoConnection | Outcome::Reset)
+        if matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
             && (server.budget.steps > 1 || may_set_aside)
         {
             server.budget.steps = server.budget.steps.saturating_sub(1);
@@ -167,7 +172,7 @@
                 server.budget.trial_served();
                 (server.answers_since, server.changed) = (0, self.now);
                 if !was_up {
-                    self.actions.push(Action::Log(Note::TakenBack { server: id }));
+                    self.actions.push(Action::Log(DecisionEvent::EndpointReadmitted { endpoint: id }));
                 }
             } else {
                 // One good answer of a server that fails most does not bring it back: several in a row do.
@@ -181,7 +186,7 @@
         if was_up && server.budget.steps == 0 {
             server.budget.back_off(self.now, first);
             server.strain = 1.0;
-            self.actions.push(Action::Log(Note::SetAside { server: id, outcome }));
+            self.actions.push(Action::Log(DecisionEvent::EndpointEjected { endpoint: id, outcome }));
         }
         self.refile(place);
     }
--- a/crates/core/src/balance/mod.rs
+++ b/crates/core/src/balance/mod.rs
@@ -17,7 +17,7 @@
 
 impl Balancer {
     /// Listed servers that are sent nothing now: set aside, or resting after a refusal as full.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn unavailable_endpoints(&self, now: Micros) -> usize {
         self.servers.iter().filter(|s| s.listed && !s.usable(now)).count()
     }
 
--- a/crates/core/src/balance/overload.rs
+++ b/crates/core/src/balance/overload.rs
@@ -28,7 +28,7 @@
     pub(super) calls: f64,
     pub(super) out: u32,
     /// Share of late ones among the latest answers of each group of servers, and when the last came.
-    late: BTreeMap<(ZoneId, KindId), (f64, Micros)>,
+    late: BTreeMap<(ZoneId, MachineTypeId), (f64, Micros)>,
     /// Where the last cut left it: below that it grows by a call a good answer, above by one a round.
     known: f64,
     /// How long calls are out of late.
@@ -45,12 +45,12 @@
     /// What an even part of the servers bears, if all balancers send as much.
     fn even_part(&self) -> f64 {
         let able = self.sets.listed.len() - self.sets.aside;
-        START_CONCURRENCY * able as f64 / f64::from(self.settings.balancers.max(1))
+        START_CONCURRENCY * able as f64 / f64::from(self.settings.proxy_count.max(1))
     }
 
     /// May another call go out? Few balancers are bound by their budgets alone.
     pub(super) fn may_send(&mut self) -> bool {
-        if f64::from(self.settings.balancers) <= FLOOR_CONCURRENCY {
+        if f64::from(self.settings.proxy_count) <= FLOOR_CONCURRENCY {
             return true;
         }
         let (start, now) = (self.even_part().max(START_LEAST), self.now);
@@ -74,7 +74,7 @@
 
     /// A call that was out for `elapsed` is back from a group of servers, in good time or late; `None`: that
     /// tells nothing of load.
-    pub(super) fn comes_back(&mut self, from: (ZoneId, KindId), elapsed: Micros, late: Option<bool>) {
+    pub(super) fn comes_back(&mut self, from: (ZoneId, MachineTypeId), elapsed: Micros, late: Option<bool>) {
         let (aim, safe) = (self.classes.longest_aim(), (self.even_part() * SAFE).max(LEAST));
         let (now, allowance) = (self.now, &mut self.allowance);
         allowance.out = allowance.out.saturating_sub(1);
--- a/crates/core/src/balance/retry.rs
+++ b/crates/core/src/balance/retry.rs
@@ -11,12 +11,14 @@
 impl Call {
     /// May this call go again, here? Proof over all its attempts decides, never the last outcome alone.
     pub(super) fn may_go(&self, now: Micros, server: &Server, tick: Micros) -> bool {
-        match (self.binding(), self.class.repeat) {
-            (None, _) | (_, Repeat::Free) => true,
-            (Some(_), Repeat::SingleShot) => false,
-            (Some(first), Repeat::Guarded { scope, window }) => {
-                let zone = scope == Scope::Zone && first.zone == server.zone;
-                let inside = scope == Scope::All || zone || scope == Scope::Cell && first.cell == server.cell;
+        match (self.binding(), self.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NonIdempotent) => false,
+            (Some(first), Idempotency::Deduplicated { scope, window }) => {
+                let zone = scope == DeduplicationScope::Zone && first.zone == server.zone;
+                let inside = scope == DeduplicationScope::All
+                    || zone
+                    || scope == DeduplicationScope::Cell && first.cell == server.cell;
                 inside && now.saturating_add(tick) < first.sent.saturating_add(window)
             }
         }
@@ -24,12 +26,15 @@
 
     /// Until when may another attempt be sent, where a server drops repeats for a while only?
     pub(super) fn window_end(&self, tick: Micros) -> Option<Micros> {
-        let Repeat::Guarded { window, .. } = self.class.repeat else { return None };
+        let Idempotency::Deduplicated { window, .. } = self.class.idempotency else { return None };
         self.binding().map(|first| first.sent.saturating_add(window).saturating_sub(tick))
     }
 
     pub(super) fn may_be_refused(&self) -> bool {
-        let harmless = matches!(self.class.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
+        let harmless = matches!(
+            self.class.idempotency,
+            Idempotency::Idempotent | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. }
+        );
         harmless || self.binding().is_none()
     }
 }
@@ -37,7 +42,7 @@
 impl Balancer {
     pub(crate) fn request(&mut self, id: CallId, (class, left, lot): (ClassId, Micros, bool)) {
         // A class that the settings do not name is unsafe.
-        let unknown = Class { aim: left, deadline: left, ..Class::default() };
+        let unknown = Class { latency_objective: left, client_timeout: left, ..Class::default() };
         let spec = self.classes.class(class.0).unwrap_or(unknown);
         let call = Call {
             class: spec,
@@ -83,7 +88,7 @@
             return 0;
         }
         pace.turned_back -= 1;
-        class.deadline.saturating_sub(left)
+        class.client_timeout.saturating_sub(left)
     }
 
     /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
@@ -92,7 +97,7 @@
             self.calls.end(id);
             self.cancel_others(id, None);
         } else if self.calls.get(id).is_some_and(|c| !c.ended && !c.held && c.out() == 0) {
-            if outcome == Outcome::Rejected {
+            if outcome == Outcome::InvalidRequest {
                 self.close(id, Action::Fail { call: id });
             } else {
                 self.again(id, outcome);
@@ -104,12 +109,15 @@
     /// After an attempt that did not serve: again, or the end.
     pub(super) fn again(&mut self, id: CallId, outcome: Outcome) {
         let call = &self.calls[id];
-        let in_time =
-            self.now as f64 + self.classes.usual(call.class_id, call.class.aim) < call.aim_at() as f64;
-        let some =
-            self.sets.listed.iter().any(|p| call.may_go(self.now, &self.servers[p], self.settings.tick));
+        let in_time = self.now as f64 + self.classes.usual(call.class_id, call.class.latency_objective)
+            < call.aim_at() as f64;
+        let some = self
+            .sets
+            .listed
+            .iter()
+            .any(|p| call.may_go(self.now, &self.servers[p], self.settings.clock_tick));
         let more = self.more(call);
-        let paid = self.retries >= 1.0 || outcome == Outcome::NoConnection;
+        let paid = self.retries >= 1.0 || outcome == Outcome::ConnectFailed;
         if in_time && some && more && paid && !call.streaming {
             self.retries = (self.retries - 1.0).max(0.0);
             self.enqueue(id, true);
@@ -155,12 +163,12 @@
         self.classes.pace(class_id).into_iter().for_each(|p| p.turned_back += 1);
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
         let refuse = self.calls[id].may_be_refused();
-        let last = if refuse { Action::Refuse { call: id, retry_after } } else { Action::Fail { call: id } };
+        let last = if refuse { Action::Reject { call: id, retry_after } } else { Action::Fail { call: id } };
         self.close(id, last);
     }
 
     pub(crate) fn cancel_others(&mut self, id: CallId, but: Option<u32>) {
-        if self.settings.limits.cancel {
+        if self.settings.limits.cancellation {
             self.actions.extend(self.calls.losers(id, but));
         }
     }
--- a/crates/core/src/balance/route.rs
+++ b/crates/core/src/balance/route.rs
@@ -61,7 +61,7 @@
     fn pick(&self, id: CallId, well: bool, random: &mut Pcg32) -> Route {
         let (call, servers, sets, settings) = (&self.calls[id], &self.servers, &self.sets, &self.settings);
         let no_warm = sets.up.is_empty();
-        let may = |p: usize| call.may_go(self.now, &servers[p], settings.tick);
+        let may = |p: usize| call.may_go(self.now, &servers[p], settings.clock_tick);
         let new = |p: usize| call.untried(servers[p].id);
         let some_new = call.attempts.is_empty()
             || if no_warm { &sets.cold } else { &sets.up }.iter().any(|p| may(p) && new(p));
@@ -69,7 +69,7 @@
             may(p) && (!some_new || new(p)) && !(well && servers[p].shuns(call.class_id, self.now))
         };
         // Cold ones if there is no other, or if none has room and even parts of all are not too much.
-        let all = |s: &Server| (f64::from(s.in_flight) + 0.5) * f64::from(settings.balancers);
+        let all = |s: &Server| (f64::from(s.in_flight) + 0.5) * f64::from(settings.proxy_count);
         let even = |s: &Server| all(s) <= START_CONCURRENCY * s.warmth(self.now, &settings.rules);
         // Each of many balancers would send its own: they have the lot alone.
         let helps = |p: usize| !self.sparse() && (no_warm || sets.room.is_empty() && even(&servers[p]));
@@ -134,10 +134,12 @@
         if sets.cold.is_empty() {
             return None;
         }
-        let (cold, grown) = (sets.cold.total(), sets.cold_ages(self.now) / rules.cold_time.max(1) as f64);
-        let present = cold * rules.cold_share + grown * (1.0 - rules.cold_share);
+        let (cold, grown) =
+            (sets.cold.total(), sets.cold_ages(self.now) / rules.warm_up_duration.max(1) as f64);
+        let present = cold * rules.warm_up_initial_ratio + grown * (1.0 - rules.warm_up_initial_ratio);
         let all = sets.listed.total();
-        let chance = (COLD_DUTY / (all - cold + present)).min(COLD_BUDGET * rules.fall_multiple / all);
+        let chance =
+            (COLD_DUTY / (all - cold + present)).min(COLD_BUDGET * rules.warm_up_overload_factor / all);
         if lot >= chance * present {
             return None;
         }
@@ -183,7 +185,7 @@
         server.in_flight += 1;
         server.in_hand += 1.0;
         server.budget.trial_out |= trial;
-        let tick = self.settings.tick;
+        let tick = self.settings.clock_tick;
         let Some(call) = self.calls.get_mut(id) else { return };
         let by = call.window_end(tick);
         let (server, zone, cell) = (server.id, server.zone, server.cell);
@@ -192,15 +194,14 @@
         let (copies, class_id) = (call.attempts.len(), call.class_id);
         // An answer after the aim is worth little: its server is better used by others.
         let (aim, arrived) = (call.aim_at(), call.arrived);
-        let (deadline, usual) = (call.deadline, self.classes.usual(class_id, self.calls[id].class.aim));
+        let (deadline, usual) =
+            (call.deadline, self.classes.usual(class_id, self.calls[id].class.latency_objective));
         let until = (aim < deadline && aim as f64 > self.now as f64 + usual).then_some(aim);
-        self.actions.push(Action::Send { call: id, server, until, by });
+        self.actions.push(Action::Send { call: id, endpoint: server, timeout_at: until, send_before: by });
         // A second copy as late as can be in time, but not before the first is slow.
         let copy_at = (aim as f64 - SPARE_TIMES * usual).max(arrived as f64 + 1.5 * usual);
-        let copy = copies == 1
-            && !self.sparse()
-            && self.settings.limits.second_copies
-            && copy_at + usual <= aim as f64;
+        let copy =
+            copies == 1 && !self.sparse() && self.settings.limits.hedging && copy_at + usual <= aim as f64;
         self.calls.wakes.set(id, copy.then_some((copy_at as Micros).max(self.now + 1)));
         self.goes_out();
         self.refile(place);
--- a/crates/core/src/balance/state.rs
+++ b/crates/core/src/balance/state.rs
@@ -1,12 +1,15 @@
 //! What a balancer remembers, and what is read off it alike everywhere.
 
 pub(super) use super::overload::Allowance;
-pub(super) use crate::api::*;
+pub(super) use crate::action::*;
 pub(super) use crate::classes::Classes;
+pub(super) use crate::event::*;
+pub(super) use crate::ids::*;
 pub(super) use crate::ledger::{Attempt, Call, Effect, Ledger};
 pub(super) use crate::roster::Roster;
 pub(super) use crate::server::{Budget, Fare, Server};
 pub(super) use crate::sets::{Mark, Sets, Standing};
+pub(super) use crate::settings::*;
 use rand::{Rng, SeedableRng};
 pub(super) use rand_pcg::Pcg32;
 pub(super) use std::collections::BTreeMap;
@@ -53,7 +56,7 @@
     /// Loads told of late over what servers bear: asking pays where this is high.
     pub(crate) pressure: f64,
     /// Strain of late of each machine kind in each zone.
-    pub(crate) groups: BTreeMap<(ZoneId, KindId), Group>,
+    pub(crate) groups: BTreeMap<(ZoneId, MachineTypeId), Group>,
     pub(crate) classes: Classes,
     pub(crate) retries: f64,
     pub(crate) timer_at: Micros,
@@ -91,7 +94,7 @@
 
     /// Is an even part of a server's calls under one? Then own calls in flight tell little.
     pub(super) fn sparse(&self) -> bool {
-        let balancers = f64::from(self.settings.balancers);
+        let balancers = f64::from(self.settings.proxy_count);
         balancers > START_CONCURRENCY && balancers > self.sets.listed.len() as f64
     }
 
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,6 +1,7 @@
 //! The classes of calls, and how long answers of each take, as measured; what follows from that is judged elsewhere.
 
-use crate::api::{Class, Micros};
+use crate::ids::Micros;
+use crate::settings::Class;
 
 /// Weight of a new answer in a class's mean: about twenty are remembered.
 const PACE_WEIGHT: f64 = 0.05;
@@ -26,7 +27,7 @@
 impl Pace {
     /// Before any answer: an unloaded server is taken to need a quarter of the aim.
     fn new(class: &Class) -> Self {
-        let guess = class.aim as f64 / 4.0;
+        let guess = class.latency_objective as f64 / 4.0;
         Pace { mean: guess, base: guess, ..Pace::default() }
     }
 
@@ -68,7 +69,7 @@
 
     /// The classes in force, with their answer times.
     pub(crate) fn live(&self) -> impl Iterator<Item = &(Class, Pace)> {
-        self.0.iter().filter(|c| c.0.live)
+        self.0.iter().filter(|c| c.0.active)
     }
 
     /// What answers of a class usually take; a guess by its aim where it has no number.
@@ -82,7 +83,7 @@
     }
 
     pub(crate) fn longest_aim(&self) -> f64 {
-        self.live().map(|c| c.0.aim).max().unwrap_or(0).max(1) as f64
+        self.live().map(|c| c.0.latency_objective).max().unwrap_or(0).max(1) as f64
     }
 
     pub(crate) fn longest_usual(&self) -> f64 {
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,8 +1,10 @@
 //! The way of an event into the module: to whom it goes, and when the module next wants to hear the time. Nothing is
 //! decided here.
 
-use crate::api::*;
+use crate::action::*;
 use crate::balance::Balancer;
+use crate::event::*;
+use crate::ids::*;
 
 impl Balancer {
     /// Takes one event at time `now` and appends what is to be done.
@@ -16,7 +18,7 @@
         self.drain_hold();
         if now >= self.ask_at {
             self.ask_at = Micros::MAX;
-            self.actions.push(Action::Subscribe);
+            self.actions.push(Action::PollEndpointList);
         }
         self.set_timer();
         actions.append(&mut self.actions);
@@ -24,13 +26,17 @@
 
     fn take_in(&mut self, event: Event) {
         match event {
-            Event::Start => self.actions.extend(self.settings.ask.then_some(Action::Subscribe)),
-            Event::Probed { server, outcome, load, .. } => self.probed(server, outcome, load),
-            Event::Members { kind, entries } => self.members(kind, &entries),
-            Event::Request { call, class, time_left, resent, .. } if self.calls.get(call).is_none() => {
+            Event::Start => {
+                self.actions.extend(self.settings.polls_endpoint_list.then_some(Action::PollEndpointList))
+            }
+            Event::LoadPolled { endpoint: server, outcome, load, .. } => self.probed(server, outcome, load),
+            Event::EndpointList { kind, endpoints: entries } => self.members(kind, &entries),
+            Event::Request { call, class, remaining_time: time_left, is_retry: resent, .. }
+                if self.calls.get(call).is_none() =>
+            {
                 self.request(call, (class, time_left, !resent));
             }
-            Event::Outcome { call, attempt, outcome, elapsed, closed, load } => {
+            Event::AttemptEnded { call, attempt, outcome, elapsed, call_closed: closed, load } => {
                 self.report(call, attempt, load);
                 if let Some((mut tried, class_id)) = self.calls.attempt_over(call, attempt, outcome) {
                     tried.sent = tried.sent.min(self.now.saturating_sub(elapsed));
@@ -42,16 +48,16 @@
                     self.proceed(call, outcome, closed);
                 }
             }
-            Event::Streaming { call, attempt } if self.calls.get(call).is_some_and(|c| !c.ended) => {
+            Event::ResponseStarted { call, attempt } if self.calls.get(call).is_some_and(|c| !c.ended) => {
                 if let Some((tried, class_id)) = self.calls.flows(call, attempt) {
                     self.learn(tried, class_id, Outcome::Served);
                 }
                 self.cancel_others(call, Some(attempt));
             }
             // A number that is taken, and an answer of a call that has ended, say nothing.
-            Event::Request { .. } | Event::Streaming { .. } => {}
-            Event::Whole { call, time_left } => self.whole(call, time_left),
-            Event::Gone { call } => {
+            Event::Request { .. } | Event::ResponseStarted { .. } => {}
+            Event::RequestComplete { call, remaining_time } => self.whole(call, remaining_time),
+            Event::ClientDisconnected { call } => {
                 self.calls.end(call);
                 self.cancel_others(call, None);
                 self.calls.forget(call);
@@ -71,7 +77,7 @@
         }
         if next < self.timer_at {
             self.timer_at = next;
-            self.actions.push(Action::Wake { after: next.saturating_sub(self.now).max(1) });
+            self.actions.push(Action::SetTimer { after: next.saturating_sub(self.now).max(1) });
         }
     }
 }
@@ -80,6 +86,7 @@
 mod tests {
     use super::*;
     use crate::sets::Standing;
+    use crate::settings::*;
     use rand::{Rng, SeedableRng};
     use rand_pcg::Pcg32;
 
@@ -89,9 +96,9 @@
     fn each_server_is_filed_where_it_stands() {
         for seed in 0..60 {
             let mut random = Pcg32::seed_from_u64(seed);
-            let class = Class { repeat: Repeat::Free, ..Settings::default().classes[0] };
+            let class = Class { idempotency: Idempotency::Idempotent, ..Settings::default().classes[0] };
             let balancers = [1, 7, 300][seed as usize % 3];
-            let settings = Settings { balancers, classes: vec![class], ..Settings::default() };
+            let settings = Settings { proxy_count: balancers, classes: vec![class], ..Settings::default() };
             let mut balancer = Balancer::new(seed, settings.clone());
             let (mut now, mut out, mut actions) = (1_000_000_000, Vec::new(), Vec::new());
             for step in 0..1_500u64 {
@@ -99,30 +106,48 @@
                 let event = match random.gen_range(0..20) {
                     0 => Event::Timer,
                     1 => {
-                        let kind = if random.gen_ratio(1, 4) { ListKind::Full } else { ListKind::Delta };
-                        let state = if random.gen_ratio(1, 4) { State::Draining } else { State::Ready };
+                        let kind = if random.gen_ratio(1, 4) {
+                            ListUpdateKind::Snapshot
+                        } else {
+                            ListUpdateKind::Delta
+                        };
+                        let state = if random.gen_ratio(1, 4) {
+                            EndpointState::Draining
+                        } else {
+                            EndpointState::Ready
+                        };
                         let started = if random.gen_ratio(1, 3) { now } else { 0 };
-                        let some = if kind == ListKind::Full { 9 } else { random.gen_range(1..3) };
-                        let server = |_| ServerId(random.gen_range(0..12));
-                        let servers: Vec<ServerId> = (0..some).map(server).collect();
-                        let entry = |server| Entry { server, state, started, ..Entry::default() };
-                        Event::Members { kind, entries: servers.into_iter().map(entry).collect() }
+                        let some = if kind == ListUpdateKind::Snapshot { 9 } else { random.gen_range(1..3) };
+                        let server = |_| EndpointId(random.gen_range(0..12));
+                        let servers: Vec<EndpointId> = (0..some).map(server).collect();
+                        let entry = |server| EndpointInfo {
+                            id: server,
+                            state,
+                            started_at: started,
+                            ..EndpointInfo::default()
+                        };
+                        Event::EndpointList { kind, endpoints: servers.into_iter().map(entry).collect() }
                     }
                     2 if step % 7 == 0 => Event::Settings(Box::new(settings.clone())),
                     3..=11 if !out.is_empty() => {
                         let (call, attempt, closed) = out.swap_remove(random.gen_range(0..out.len()));
                         let outcomes =
-                            [Outcome::Served, Outcome::Served, Outcome::Served, Outcome::NoConnection];
-                        let more =
-                            [Outcome::Error, Outcome::TurnedAway, Outcome::TimedOut, Outcome::CalledOff];
+                            [Outcome::Served, Outcome::Served, Outcome::Served, Outcome::ConnectFailed];
+                        let more = [Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Cancelled];
                         let outcome =
                             [outcomes, more][usize::from(random.gen_ratio(1, 3))][random.gen_range(0..4)];
-                        let (elapsed, load) = (random.gen_range(1_000..200_000), Load::default());
-                        Event::Outcome { call, attempt, outcome, elapsed, closed, load }
+                        let (elapsed, load) = (random.gen_range(1_000..200_000), LoadReport::default());
+                        Event::AttemptEnded { call, attempt, outcome, elapsed, call_closed: closed, load }
                     }
                     _ => {
                         let (call, class, time_left) = (CallId(step), ClassId(0), 900_000);
-                        Event::Request { call, class, tenant: None, time_left, resent: false }
+                        Event::Request {
+                            call,
+                            class,
+                            tenant: None,
+                            remaining_time: time_left,
+                            is_retry: false,
+                        }
                     }
                 };
                 balancer.handle(now, event, &mut actions);
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,7 +1,10 @@
 //! Calls from arrival to end: their attempts, who waits in which order, and when each is due. It files what is done
 //! and decides nothing.
 
-use crate::api::*;
+use crate::action::*;
+use crate::event::*;
+use crate::ids::*;
+use crate::settings::*;
 use crate::timetable::Timetable;
 use std::collections::{HashMap, VecDeque};
 use std::ops::Index;
@@ -16,7 +19,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) sent: Micros,
@@ -45,7 +48,7 @@
     /// From 0 to 1: it goes to groups of at least this share.
     pub(crate) chance: f64,
     /// Servers asked for their load, and since when; the call goes to one of them.
-    pub(crate) asks: Vec<ServerId>,
+    pub(crate) asks: Vec<EndpointId>,
     pub(crate) asks_at: Micros,
     /// It asks again from then on, and how often it has found all full.
     pub(crate) ask_next: Micros,
@@ -68,12 +71,16 @@
 
     /// Until when an answer earns something.
     pub(crate) fn aim_at(&self) -> Micros {
-        let aim = if self.class.late_value > 0.0 { self.class.deadline } else { self.class.aim };
+        let aim = if self.class.late_weight_ratio > 0.0 {
+            self.class.client_timeout
+        } else {
+            self.class.latency_objective
+        };
         self.deadline.min(self.asked.saturating_add(aim))
     }
 
     /// Has none of its attempts gone there?
-    pub(crate) fn untried(&self, server: ServerId) -> bool {
+    pub(crate) fn untried(&self, server: EndpointId) -> bool {
         self.attempts.iter().all(|a| a.server != server)
     }
 }
@@ -141,7 +148,7 @@
     ) -> Option<(Attempt, usize)> {
         let call = self.calls.get_mut(&id)?;
         let tried = call.attempts.get_mut(attempt as usize).filter(|a| a.effect == Effect::Out)?;
-        tried.effect = if outcome.never_ran() { Effect::NeverRan } else { Effect::MayHaveRan };
+        tried.effect = if outcome.proves_not_started() { Effect::NeverRan } else { Effect::MayHaveRan };
         Some((*tried, call.class_id))
     }
 
@@ -212,7 +219,7 @@
     #[test]
     fn an_attempt_ends_once_and_a_call_with_one_out_is_kept() {
         let mut ledger = Ledger::default();
-        let (zone, cell, server) = (ZoneId(0), CellId(0), ServerId(1));
+        let (zone, cell, server) = (ZoneId(0), CellId(0), EndpointId(1));
         let attempt = Attempt {
             server,
             zone,
@@ -225,7 +232,7 @@
         };
         let call = CallId(7);
         ledger.open(call, Call { attempts: vec![attempt, attempt], ..Call::default() });
-        assert!(ledger.attempt_over(call, 0, Outcome::NoConnection).is_some());
+        assert!(ledger.attempt_over(call, 0, Outcome::ConnectFailed).is_some());
         assert!(ledger.attempt_over(call, 0, Outcome::Served).is_none(), "once");
         assert!(ledger.attempt_over(call, 9, Outcome::Served).is_none());
         assert_eq!(ledger.losers(call, None).collect::<Vec<_>>(), [Action::Cancel { call, attempt: 1 }]);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,23 +1,30 @@
-//! oakport-core makes the decisions of a client-side load balancer: which server
-//! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! oakport-core makes the decisions of a client-side load balancer: which endpoint gets a call, and when a call is
+//! queued, retried, hedged, rejected or failed. It does no I/O and reads no clock.
 //!
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use oakport_core::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
+//! use oakport_core::{
+//!     Action, Balancer, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, Settings,
+//! };
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
 //! balancer.handle(0, Event::Start, &mut actions);
-//! let entries = vec![Entry { server: ServerId(1), state: State::Ready, ..Entry::default() }];
-//! balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
-//! let call = CallId(1);
-//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, resent: false };
+//! let endpoints = vec![EndpointInfo { id: EndpointId(1), state: EndpointState::Ready, ..EndpointInfo::default() }];
+//! balancer.handle(0, Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints }, &mut actions);
+//! let event = Event::Request {
+//!     call: CallId(1),
+//!     class: ClassId(0),
+//!     tenant: None,
+//!     remaining_time: 500_000,
+//!     is_retry: false,
+//! };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
-//!         Action::Wake { after } => println!("send Event::Timer in {after} us"),
+//!         Action::Send { call, endpoint, .. } => println!("send {call:?} to {endpoint:?}"),
+//!         Action::SetTimer { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
@@ -25,17 +32,26 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod api;
+mod action;
 mod balance;
 mod classes;
+mod event;
 mod events;
+mod ids;
 mod ledger;
 mod roster;
 mod server;
 mod sets;
-pub mod settings;
+mod settings;
+pub mod settings_wire;
 mod timetable;
 mod weighted;
 
-pub use api::*;
+pub use action::{Action, DecisionEvent};
 pub use balance::Balancer;
+pub use event::{EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport, Outcome};
+pub use ids::{CallId, CellId, ClassId, EndpointId, MachineTypeId, Micros, TenantId, ZoneId};
+pub use settings::{
+    Charges, Class, DeduplicationScope, Idempotency, Limits, LoadReporting, ObjectiveWeights, ReportDelivery,
+    Rules, Settings, Tenant, WeightSource,
+};
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,6 +1,6 @@
 //! Servers by their numbers, each at a place that it keeps. It files them and decides nothing.
 
-use crate::api::ServerId;
+use crate::ids::EndpointId;
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
@@ -9,7 +9,7 @@
 pub(crate) struct Roster<T> {
     records: Vec<T>,
     free: Vec<usize>,
-    places: HashMap<ServerId, usize>,
+    places: HashMap<EndpointId, usize>,
 }
 
 impl<T> Default for Roster<T> {
@@ -19,12 +19,12 @@
 }
 
 impl<T: Default> Roster<T> {
-    pub(crate) fn place(&self, id: ServerId) -> Option<usize> {
+    pub(crate) fn place(&self, id: EndpointId) -> Option<usize> {
         self.places.get(&id).copied()
     }
 
     /// The place of this number, made if there is none.
-    pub(crate) fn enter(&mut self, id: ServerId) -> usize {
+    pub(crate) fn enter(&mut self, id: EndpointId) -> usize {
         *self.places.entry(id).or_insert_with(|| {
             self.free.pop().unwrap_or_else(|| {
                 self.records.push(T::default());
@@ -34,7 +34,7 @@
     }
 
     /// Frees a place, if it is still that of this number.
-    pub(crate) fn leave(&mut self, id: ServerId, place: usize) {
+    pub(crate) fn leave(&mut self, id: EndpointId, place: usize) {
         if self.place(id) == Some(place) {
             self.places.remove(&id);
             self.records[place] = T::default();
@@ -75,18 +75,18 @@
     fn places_are_kept_and_free_ones_are_used_again() {
         let mut roster: Roster<u32> = Roster::default();
         for id in 0..4 {
-            let place = roster.enter(ServerId(id));
+            let place = roster.enter(EndpointId(id));
             roster[place] = id + 10;
         }
-        let kept = roster.place(ServerId(3));
-        let freed = roster.enter(ServerId(1));
-        roster.leave(ServerId(1), freed);
-        roster.leave(ServerId(0), freed);
-        assert_eq!((roster.place(ServerId(1)), roster.place(ServerId(3))), (None, kept));
-        assert_eq!(roster.place(ServerId(0)), Some(0), "a place that is not its own is not freed for it");
-        let place = roster.enter(ServerId(9));
+        let kept = roster.place(EndpointId(3));
+        let freed = roster.enter(EndpointId(1));
+        roster.leave(EndpointId(1), freed);
+        roster.leave(EndpointId(0), freed);
+        assert_eq!((roster.place(EndpointId(1)), roster.place(EndpointId(3))), (None, kept));
+        assert_eq!(roster.place(EndpointId(0)), Some(0), "a place that is not its own is not freed for it");
+        let place = roster.enter(EndpointId(9));
         assert_eq!((roster.len(), roster[place]), (4, 0), "the free place, as new");
-        assert_eq!(roster.enter(ServerId(9)), place);
+        assert_eq!(roster.enter(EndpointId(9)), place);
         assert_eq!(roster.iter().copied().collect::<Vec<_>>(), [10, 0, 12, 13]);
     }
 }
--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -1,8 +1,10 @@
 //! What is remembered of a server: what the list and the rules say of it, and the figures that the module learns. It
 //! keeps them and judges nothing.
 
-use crate::api::*;
+use crate::event::*;
+use crate::ids::*;
 use crate::roster::Roster;
+use crate::settings::*;
 use std::collections::{BTreeMap, HashSet};
 
 /// Per-server in-flight budget: steps x concurrency, grown one served trial at a time under a shared backoff.
@@ -20,10 +22,10 @@
 /// A server as this balancer sees it.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub(crate) id: ServerId,
+    pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    pub(crate) kind: KindId,
+    pub(crate) kind: MachineTypeId,
     /// This balancer's own order of preference, drawn once: least first.
     pub(crate) rank: u32,
     /// Size by the list; 1 where it tells none.
@@ -65,9 +67,9 @@
 
 impl Server {
     /// A server as the list names it.
-    pub(crate) fn new(entry: &Entry, weights: WeightSource, budget: Budget) -> Self {
-        let &Entry { server: id, zone, cell, kind, started, weight, .. } = entry;
-        let told = matches!(weights, WeightSource::Nominal | WeightSource::Rough);
+    pub(crate) fn new(entry: &EndpointInfo, weights: WeightSource, budget: Budget) -> Self {
+        let &EndpointInfo { id, zone, cell, machine_type: kind, started_at: started, weight, .. } = entry;
+        let told = matches!(weights, WeightSource::Nominal | WeightSource::Approximate);
         let size = if told && weight.is_normal() && weight > 0.0 { weight } else { 1.0 };
         Server { id, zone, cell, kind, size, started, budget, ..Server::default() }
     }
@@ -75,10 +77,11 @@
     /// Share of its capacity that a server has at the least, by the rules' cold share and time.
     pub(crate) fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
         let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= rules.cold_time {
+        if self.started == 0 || age >= rules.warm_up_duration {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+        rules.warm_up_initial_ratio
+            + (1.0 - rules.warm_up_initial_ratio) * age as f64 / rules.warm_up_duration as f64
     }
 
     /// Calls of all balancers there after one more, for its present size.
@@ -96,28 +99,28 @@
     pub(crate) fn merge(
         &mut self,
         whole: bool,
-        entries: &[Entry],
-        mut fresh: impl FnMut(&Entry) -> Server,
+        entries: &[EndpointInfo],
+        mut fresh: impl FnMut(&EndpointInfo) -> Server,
     ) -> Vec<(usize, Option<Server>)> {
         let mut changed = Vec::with_capacity(entries.len());
         if whole {
-            let named: HashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            let named: HashSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             let gone = |s: &Server| s.listed && !named.contains(&s.id);
             changed.extend((0..self.len()).filter(|&p| gone(&self[p])).map(|place| (place, None)));
             changed.iter().for_each(|&(place, _)| self[place].listed = false);
         }
         for entry in entries {
-            let known = self.place(entry.server).is_some();
-            let place = self.enter(entry.server);
+            let known = self.place(entry.id).is_some();
+            let place = self.enter(entry.id);
             let mut old = None;
-            if !known || entry.started > self[place].started {
+            if !known || entry.started_at > self[place].started {
                 let mut server = fresh(entry);
                 (server.in_flight, server.budget.trial_out) =
                     (self[place].in_flight, self[place].budget.trial_out);
                 old = Some(std::mem::replace(&mut self[place], server));
             }
             let server = &mut self[place];
-            server.listed = entry.state == State::Ready;
+            server.listed = entry.state == EndpointState::Ready;
             (server.zone, server.cell) = (entry.zone, entry.cell);
             changed.push((place, old));
         }
--- a/crates/core/src/sets.rs
+++ b/crates/core/src/sets.rs
@@ -1,6 +1,6 @@
 //! Sets of servers, kept as the module judges each one. They file what they are told and decide nothing.
 
-use crate::api::Micros;
+use crate::ids::Micros;
 use crate::timetable::Timetable;
 use crate::weighted::WeightedSet;
 use std::collections::BTreeSet;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,385 +1,232 @@
-//! The reader of the settings object, shared by the adapter (its first message) and the program (its
-//! configuration). Unknown keys are ignored, absent ones get harmless values.
-//!
-//! The types are its one description: the schema that `oakport schema` prints and `oakport check` goes by is drawn
-//! from them, their comments included. Names and units are those of WIRE, "Settings".
-
-use crate::api::*;
-use schemars::JsonSchema;
-use serde::{Deserialize, Serialize};
-use serde_json::Value;
-
-/// No window or time-out of these is longer, in microseconds: what is was meant in another unit.
-const HOUR: u64 = 3_600_000_000;
-
-/// What the site has settled: classes of requests, limits, rules, prices.
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-pub struct SettingsFile {
-    /// How many client proxies send to these servers, this one included.
-    #[schemars(range(min = 1))]
-    balancers: u32,
-    /// The classes of requests; the first part of a request's path names its class.
-    #[schemars(length(min = 1))]
-    classes: Vec<ClassFacts>,
-    /// Tenants, if there are any.
-    #[serde(default)]
-    tenants: Vec<TenantFacts>,
-    /// "push" or "ask"; on sockets the list always comes by a watch.
-    #[serde(default)]
-    discovery: String,
-    /// What the site allows.
-    limits: LimitFacts,
-    /// Figures of the rules that must hold.
-    invariants: RuleFacts,
-    /// Weights of the parts of the result.
-    #[serde(default)]
-    result_mix: GoalFacts,
-    /// Smallest step of the clock, in microseconds.
-    #[serde(default)]
-    tick_us: u64,
-    /// The zone of this client proxy, as the list names it.
-    #[serde(default)]
-    locality: String,
-    /// What costs points.
-    #[serde(default)]
-    charges: ChargeFacts,
-    /// What servers report of their load.
-    #[serde(default)]
-    report: ReportFacts,
-    /// What the list's weights mean.
-    #[serde(default)]
-    #[schemars(extend("enum" = ["", "off", "nominal", "rough", "live"]))]
-    weight_source: String,
-    /// What a request is worth beyond its tenant's share, against one within.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    over_share_worth: Option<f64>,
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema, Default)]
-#[serde(default)]
-struct ChargeFacts {
-    /// Price of an attempt that crosses zones.
-    cross_zone: f64,
-    /// Price of a probe.
-    probe: f64,
-    /// Price of a new connection.
-    handshake: f64,
-    /// Price of server work that gave no answer.
-    waste: f64,
-    /// Price of worth that failed only after its aim.
-    late_fail: f64,
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema, Default)]
-#[serde(default)]
-struct ReportFacts {
-    /// Where servers report their load.
-    #[schemars(extend("enum" = ["", "off", "inline", "on_probe"]))]
-    how: String,
-    /// Names of the figures that they report.
-    columns: Vec<String>,
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-struct ClassFacts {
-    /// The class, as the first part of the path has it.
-    #[schemars(length(min = 1))]
-    name: String,
-    /// The aim: an answer within this time earns the full worth, in microseconds.
-    objective_us: u64,
-    /// How long a client waits in all, in microseconds.
-    #[schemars(range(min = 1))]
-    deadline_us: u64,
-    /// Worth of an answer in time.
-    #[serde(default)]
-    worth: f64,
-    /// Share of the worth for an answer between aim and deadline, 0 to 1.
-    #[serde(default)]
-    late_value: f64,
-    /// Whether a request may run again: "free", "guarded" (where servers drop repeats) or "single_shot" (never).
-    #[schemars(extend("enum" = ["free", "guarded", "single_shot"]))]
-    idempotency: String,
-    /// Which servers drop repeats of a guarded request.
-    #[serde(default)]
-    #[schemars(extend("enum" = ["", "all", "zone", "cell"]))]
-    dedup_scope: String,
-    /// For how long they do, in microseconds.
-    #[serde(default)]
-    repeat_window_us: u64,
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-struct TenantFacts {
-    /// The tenant, as `X-Tenant-Id` has it.
-    name: String,
-    /// Its share of the service, 0 to 1.
-    #[serde(default)]
-    portion: f64,
-    /// Requests a second over all client proxies that are within its share; 0: not told.
-    #[serde(default)]
-    quota_per_s: f64,
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(default)]
-struct LimitFacts {
-    /// Whether an attempt may be called off.
-    cancel: bool,
-    /// Whether servers may be probed.
-    probes: bool,
-    /// Whether a request may have two attempts out at once.
-    second_copies: bool,
-    /// Most attempts for a request.
-    #[schemars(range(min = 1))]
-    max_attempts: u32,
-    /// Whether clients heed `Retry-After`.
-    retry_after: bool,
-    /// The longest that they heed, in microseconds.
-    max_retry_after_us: u64,
-    /// Attempts that one connection carries at a time; 0: not told.
-    max_streams: u32,
-    /// Requests that may be open at once; more are turned away.
-    #[schemars(range(min = 1))]
-    max_open: usize,
-    /// Servers close a connection that has been idle for this long, in microseconds.
-    #[schemars(range(min = 1, max = HOUR))]
-    conn_idle_us: u64,
-    /// A connection that is not up by then has failed, in microseconds.
-    #[schemars(range(min = 1, max = HOUR))]
-    connect_timeout_us: u64,
-}
-
-impl Default for LimitFacts {
-    fn default() -> Self {
-        let (cancel, probes, second_copies, retry_after) = (false, false, false, false);
-        LimitFacts {
-            cancel,
-            probes,
-            second_copies,
-            max_attempts: 1,
-            retry_after,
-            max_retry_after_us: 0,
-            max_streams: 0,
-            max_open: 10_000,
-            conn_idle_us: 15_000_000,
-            connect_timeout_us: 250_000,
-        }
-    }
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-struct RuleFacts {
-    /// A server starts at this share of its capacity or more, 0 to 1.
-    cold_from: f64,
-    /// And is warm after this at the latest, in microseconds.
-    cold_us: u64,
-    /// A cold server that is sent too much for this long falls over, in microseconds.
-    #[schemars(range(min = 1, max = HOUR))]
-    tip_after_us: u64,
-    /// Too much is this multiple of what it can then do.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    fall_multiple: Option<f64>,
-    /// Latest that requests may still go to a server after word that it drains or is gone, in microseconds.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    #[schemars(range(min = 1, max = HOUR))]
-    drain_grace_us: Option<u64>,
-    /// Longest that a client proxy may go without asking for the list, in microseconds.
-    #[serde(default = "ask_every")]
-    #[schemars(range(min = 1, max = HOUR))]
-    ask_every_us: u64,
-}
-
-fn ask_every() -> u64 {
-    Settings::default().rules.ask_every
-}
-
-#[derive(Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(default)]
-struct GoalFacts {
-    /// Weight of all requests together.
-    whole: f64,
-    /// Weight of the worst-served class.
-    worst_class: f64,
-    /// Weight of the worst-served tenant, within its share.
-    worst_tenant: f64,
-    /// Weight of the worst stretch of time.
-    worst_window: f64,
-}
-
-impl Default for GoalFacts {
-    fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0, worst_tenant: 0.0, worst_window: 0.0 }
-    }
-}
-
-/// What the settings say of the sockets; the module decides nothing by it.
+//! The settings that decisions follow: classes of calls, tenants, limits, rules and costs.
+
+use crate::ids::{Micros, ZoneId};
+
+/// Which endpoints recognise a repeated call and do not execute it again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeduplicationScope {
+    /// All endpoints.
+    All,
+    /// The endpoints of one zone.
+    Zone,
+    /// The endpoints of one cell.
+    Cell,
+}
+
+/// Whether a call of a class may be executed more than once.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Idempotency {
+    /// Repeating it is harmless.
+    Idempotent,
+    /// Endpoints of `scope` drop a repeat that is sent within `window` of the first attempt that may have run.
+    Deduplicated {
+        /// Which endpoints drop the repeat.
+        scope: DeduplicationScope,
+        /// How long they do, in microseconds.
+        window: Micros,
+    },
+    /// It must run at most once.
+    #[default]
+    NonIdempotent,
+}
+
+/// A class of calls: how soon, how important and how repeatable they are.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Class {
+    /// An answer within this time has its full priority weight, in microseconds.
+    pub latency_objective: Micros,
+    /// How long the client waits in all, in microseconds.
+    pub client_timeout: Micros,
+    /// Priority weight of a call that is answered within its latency objective.
+    pub priority_weight: f64,
+    /// Share of the priority weight that an answer between latency objective and client timeout has, 0 to 1.
+    pub late_weight_ratio: f64,
+    /// Whether a call may be executed more than once.
+    pub idempotency: Idempotency,
+    /// Whether the settings in force name the class; one that they dropped keeps its number for calls in flight.
+    pub active: bool,
+}
+
+/// A tenant's part of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transport {
-    /// Requests that may be open at once.
-    pub max_open: usize,
-    /// Hosts close a connection that has been idle for this long.
-    pub conn_idle: Micros,
-    /// A connection that is not up by then has failed.
-    pub connect_timeout: Micros,
-    /// Price of a new connection, in the worth of a call.
+pub struct Tenant {
+    /// Share of the service, 0 to 1.
+    pub share: f64,
+    /// Calls per second over all client proxies that are within the share; 0 if unknown.
+    pub quota_per_sec: f64,
+}
+
+/// What [`EndpointInfo::weight`](crate::EndpointInfo::weight) means.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum WeightSource {
+    /// Nothing.
+    #[default]
+    Off,
+    /// The registered capacity of the endpoint.
+    Nominal,
+    /// Its approximate capacity.
+    Approximate,
+    /// Its capacity over its load at some recent moment.
+    LoadAdjusted,
+}
+
+/// How endpoints deliver load reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ReportDelivery {
+    /// Not at all.
+    #[default]
+    Off,
+    /// With each answer, to calls and to load polls.
+    Inline,
+    /// With answers to load polls only.
+    OnPoll,
+}
+
+/// What endpoints report of their load, and how.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LoadReporting {
+    /// How reports are delivered.
+    pub delivery: ReportDelivery,
+    /// Whether reports include [`LoadReport::in_flight`](crate::LoadReport::in_flight).
+    pub includes_in_flight: bool,
+}
+
+/// What an operation costs, as a share of the priority weight of one call.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Charges {
+    /// An attempt that crosses zones.
+    pub cross_zone: f64,
+    /// A load poll.
+    pub load_poll: f64,
+    /// A new connection.
     pub handshake: f64,
-    /// The shortest aim of a class: an answer within it is in time.
-    pub aim: Micros,
-}
-
-/// All that is read from the settings object.
+    /// Work of an endpoint that gave no answer, as much as a call needs.
+    pub wasted_work: f64,
+    /// A call that failed only after its latency objective.
+    pub late_failure: f64,
+}
+
+/// What the deployment allows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// Attempts may be cancelled.
+    pub cancellation: bool,
+    /// Endpoints may be polled for their load.
+    pub load_polling: bool,
+    /// A call may have two attempts in flight at once.
+    pub hedging: bool,
+    /// Attempts per call.
+    pub max_attempts: u32,
+    /// Longest `Retry-After` that clients heed, in microseconds; 0 if they heed none.
+    pub max_retry_after: Micros,
+    /// Attempts that one connection carries at a time; 0 if unknown.
+    pub max_streams: u32,
+}
+
+/// Parameters of the invariants that the service must keep.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Rules {
+    /// Share of its capacity that an endpoint has at least when it starts, 0 to 1.
+    pub warm_up_initial_ratio: f64,
+    /// Time after which it has its full capacity, in microseconds.
+    pub warm_up_duration: Micros,
+    /// An endpoint that is warming up is overloaded by this multiple of its present capacity ...
+    pub warm_up_overload_factor: f64,
+    /// ... sent over this span, in microseconds.
+    pub warm_up_overload_window: Micros,
+    /// How long calls may still go to an endpoint after it was reported draining or removed, in microseconds.
+    pub drain_grace: Micros,
+    /// Longest time between polls of the endpoint list, in microseconds.
+    pub max_poll_interval: Micros,
+}
+
+/// Weights of the parts of the service objective.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ObjectiveWeights {
+    /// All calls together.
+    pub overall: f64,
+    /// The worst-served class.
+    pub worst_class: f64,
+    /// The worst-served tenant, within its share.
+    pub worst_tenant: f64,
+    /// The worst-served window of time.
+    pub worst_window: f64,
+}
+
+/// What a balancer is given at start, and again by [`Event::Settings`](crate::Event::Settings).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
-    /// What the module is told.
-    pub settings: Settings,
-    /// Names of the classes, in the order of their numbers.
-    pub classes: Vec<String>,
-    /// Names of the tenants, in the order of their numbers.
-    pub tenants: Vec<String>,
-    /// What the sockets go by.
-    pub transport: Transport,
-}
-
-/// A number for a name (FNV-1a), the same wherever it is met.
-fn number(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
-}
-
-/// The number of a zone by its name.
-pub fn zone(name: &str) -> ZoneId {
-    ZoneId(number(name))
-}
-
-/// The number of a machine kind by its name.
-pub fn kind(name: &str) -> KindId {
-    KindId(number(name))
-}
-
-/// What makes settings useless although each key holds a value of its kind.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Odd {
-    /// Where, as a JSON pointer into the settings (`/classes/0/deadline_us`); empty: the settings as a whole.
-    pub pointer: String,
-    /// What is odd there.
-    pub problem: String,
-}
-
-impl Odd {
-    fn new(pointer: impl Into<String>, problem: impl Into<String>) -> Self {
-        Odd { pointer: pointer.into(), problem: problem.into() }
-    }
-}
-
-impl std::fmt::Display for Odd {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.pointer.trim_start_matches('/').replace('/', "."), self.problem)
-    }
-}
-
-/// Reads the settings object.
-///
-/// # Errors
-/// Says which part is missing or odd.
-pub fn read(facts: &Value) -> Result<Facts, Odd> {
-    take(SettingsFile::deserialize(facts).map_err(|e| Odd::new("", e.to_string()))?)
-}
-
-/// Takes settings that have been read.
-///
-/// # Errors
-/// A deadline or number of attempts of 0, and a class that is named twice.
-pub fn take(facts: SettingsFile) -> Result<Facts, Odd> {
-    let mut classes = Vec::new();
-    for (place, class) in facts.classes.iter().enumerate() {
-        let scope = match class.dedup_scope.as_str() {
-            "all" => Some(Scope::All),
-            "zone" => Some(Scope::Zone),
-            "cell" => Some(Scope::Cell),
-            _ => None,
-        };
-        // A kind or a scope that is not known is taken to allow no repeat.
-        let repeat = match (class.idempotency.as_str(), scope) {
-            ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
-            _ => Repeat::SingleShot,
-        };
-        let (aim, deadline) = (class.objective_us, class.deadline_us);
-        if deadline == 0 {
-            return Err(Odd::new(format!("/classes/{place}/deadline_us"), "a deadline of 0"));
-        }
-        if facts.classes[..place].iter().any(|c| c.name == class.name) {
-            let problem = format!("class {} is named twice", class.name);
-            return Err(Odd::new(format!("/classes/{place}/name"), problem));
+pub struct Settings {
+    /// Client proxies that send to these endpoints, this one included.
+    pub proxy_count: u32,
+    /// The zone of this client proxy.
+    pub zone: ZoneId,
+    /// Smallest step of the clock, in microseconds.
+    pub clock_tick: Micros,
+    /// Whether the endpoint list has to be polled for updates.
+    pub polls_endpoint_list: bool,
+    /// Classes of calls.
+    pub classes: Vec<Class>,
+    /// Tenants, if there are any.
+    pub tenants: Vec<Tenant>,
+    /// What the deployment allows.
+    pub limits: Limits,
+    /// Parameters of the invariants.
+    pub rules: Rules,
+    /// Weights of the service objective.
+    pub objective_weights: ObjectiveWeights,
+    /// What operations cost.
+    pub charges: Charges,
+    /// What endpoints report.
+    pub load_reporting: LoadReporting,
+    /// What the weights of the endpoint list mean.
+    pub weight_source: WeightSource,
+    /// Priority weight of a call beyond its tenant's share, against one within it.
+    pub over_share_weight: f64,
+}
+
+impl Default for Settings {
+    /// One client proxy, a pushed endpoint list, one class of non-idempotent calls.
+    fn default() -> Self {
+        Settings {
+            proxy_count: 1,
+            zone: ZoneId::default(),
+            clock_tick: 1_000,
+            polls_endpoint_list: false,
+            classes: vec![Class {
+                latency_objective: 500_000,
+                client_timeout: 1_000_000,
+                priority_weight: 1.0,
+                late_weight_ratio: 0.0,
+                idempotency: Idempotency::NonIdempotent,
+                active: true,
+            }],
+            tenants: Vec::new(),
+            limits: Limits {
+                cancellation: true,
+                load_polling: false,
+                hedging: false,
+                max_attempts: 3,
+                max_retry_after: 1_000_000,
+                max_streams: 0,
+            },
+            rules: Rules {
+                warm_up_initial_ratio: 0.1,
+                warm_up_duration: 20_000_000,
+                warm_up_overload_factor: 3.0,
+                warm_up_overload_window: 2_000_000,
+                drain_grace: 1_000_000,
+                max_poll_interval: 10_000_000,
+            },
+            objective_weights: ObjectiveWeights {
+                overall: 1.0,
+                worst_class: 0.0,
+                worst_tenant: 0.0,
+                worst_window: 0.0,
+            },
+            charges: Charges::default(),
+            load_reporting: LoadReporting::default(),
+            weight_source: WeightSource::default(),
+            over_share_weight: 1.0,
         }
-        let (worth, late_value) = (class.worth, class.late_value);
-        classes.push(Class { aim, deadline, worth, late_value, repeat, live: true });
-    }
-    let limits = &facts.limits;
-    if limits.max_attempts == 0 {
-        return Err(Odd::new("/limits/max_attempts", "0 attempts"));
     }
-    let rules = &facts.invariants;
-    let (mix, charges, harmless) = (&facts.result_mix, &facts.charges, Settings::default());
-    let weights = match facts.weight_source.as_str() {
-        "nominal" => WeightSource::Nominal,
-        "rough" => WeightSource::Rough,
-        "live" => WeightSource::Live,
-        _ => WeightSource::Off,
-    };
-    let how = match facts.report.how.as_str() {
-        "inline" => Reporting::Inline,
-        "on_probe" => Reporting::OnProbe,
-        _ => Reporting::Off,
-    };
-    let settings = Settings {
-        balancers: facts.balancers,
-        zone: zone(&facts.locality),
-        tick: facts.tick_us,
-        ask: facts.discovery == "ask",
-        classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion, quota: t.quota_per_s }).collect(),
-        limits: Limits {
-            cancel: limits.cancel,
-            probes: limits.probes,
-            second_copies: limits.second_copies,
-            max_attempts: limits.max_attempts,
-            max_streams: limits.max_streams,
-            max_retry_after: if limits.retry_after { limits.max_retry_after_us } else { 0 },
-        },
-        rules: Rules {
-            cold_share: rules.cold_from,
-            cold_time: rules.cold_us,
-            fall_multiple: rules.fall_multiple.unwrap_or(harmless.rules.fall_multiple),
-            fall_time: rules.tip_after_us,
-            drain_grace: rules.drain_grace_us.unwrap_or(harmless.rules.drain_grace),
-            ask_every: rules.ask_every_us,
-        },
-        goal: Goal {
-            whole: mix.whole,
-            worst_class: mix.worst_class,
-            worst_tenant: mix.worst_tenant,
-            worst_window: mix.worst_window,
-        },
-        charges: Charges {
-            cross_zone: charges.cross_zone,
-            probe: charges.probe,
-            handshake: charges.handshake,
-            waste: charges.waste,
-            late_fail: charges.late_fail,
-        },
-        reports: Reports { how, in_hand: facts.report.columns.iter().any(|c| c == "active") },
-        weights,
-        over_share_worth: facts.over_share_worth.unwrap_or(harmless.over_share_worth),
-    };
-    let aim = facts.classes.iter().map(|c| c.objective_us).min().unwrap_or(Micros::MAX);
-    let classes = facts.classes.into_iter().map(|c| c.name).collect();
-    let transport = Transport {
-        max_open: limits.max_open,
-        conn_idle: limits.conn_idle_us,
-        connect_timeout: limits.connect_timeout_us,
-        handshake: charges.handshake,
-        aim,
-    };
-    let tenants = facts.tenants.into_iter().map(|t| t.name).collect();
-    Ok(Facts { settings, classes, tenants, transport })
 }
--- a/crates/core/src/timetable.rs
+++ b/crates/core/src/timetable.rs
@@ -1,6 +1,6 @@
 //! When which thing is due. It orders moments and decides nothing.
 
-use crate::api::Micros;
+use crate::ids::Micros;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -71,19 +71,24 @@
 
 fn settings(world: &World) -> Settings {
     let class = |repeat| Class {
-        aim: 400 * MS,
-        deadline: 1_500 * MS,
-        worth: 3.0,
-        late_value: 0.0,
-        repeat,
-        live: true,
+        latency_objective: 400 * MS,
+        client_timeout: 1_500 * MS,
+        priority_weight: 3.0,
+        late_weight_ratio: 0.0,
+        idempotency: repeat,
+        active: true,
     };
     let usual = Settings::default();
     Settings {
-        balancers: world.balancers as u32,
-        classes: vec![class(Repeat::Free), class(Repeat::SingleShot)],
-        limits: Limits { second_copies: world.copies, ..usual.limits },
-        rules: Rules { cold_share: 0.13, cold_time: 24 * SECOND, fall_time: 3 * SECOND, ..usual.rules },
+        proxy_count: world.balancers as u32,
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
+        limits: Limits { hedging: world.copies, ..usual.limits },
+        rules: Rules {
+            warm_up_initial_ratio: 0.13,
+            warm_up_duration: 24 * SECOND,
+            warm_up_overload_window: 3 * SECOND,
+            ..usual.rules
+        },
         ..usual
     }
 }
@@ -94,12 +99,12 @@
     let begin = 100 * SECOND;
     // The servers are known and warm for a while; then some of them start anew.
     let (starts, end) = (begin + 4 * SECOND, begin + 12 * SECOND);
-    let entry = |server: usize, started| Entry {
-        server: ServerId(server as u32),
-        state: State::Ready,
-        started,
+    let entry = |server: usize, started| EndpointInfo {
+        id: EndpointId(server as u32),
+        state: EndpointState::Ready,
+        started_at: started,
         zone: ZoneId(server as u32 % 3),
-        ..Entry::default()
+        ..EndpointInfo::default()
     };
     let mut balancers: Vec<Balancer> =
         (0..world.balancers).map(|b| Balancer::new(world.seed ^ b as u64, settings.clone())).collect();
@@ -125,7 +130,11 @@
         let mut actions = Vec::new();
         balancer.handle(begin, Event::Start, &mut actions);
         let entries = full.clone();
-        balancer.handle(begin, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+        balancer.handle(
+            begin,
+            Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints: entries },
+            &mut actions,
+        );
         push(&mut heap, begin + gap(&mut random, b), What::Arrives(b, false));
         push(&mut heap, starts + random.gen_range(0..=world.notice), What::Told(b));
     }
@@ -153,11 +162,20 @@
                 calls.push(Call { balancer: b, until, attempts: Vec::new(), closed: false });
                 let class = ClassId(usize::from(random.gen_bool(world.once)));
                 let resent = again && world.marked;
-                (b, Event::Request { call, class, tenant: None, time_left: 1_500 * MS, resent })
+                (
+                    b,
+                    Event::Request {
+                        call,
+                        class,
+                        tenant: None,
+                        remaining_time: 1_500 * MS,
+                        is_retry: resent,
+                    },
+                )
             }
             What::Told(b) => {
                 let entries = (0..world.cold).map(|s| entry(s, starts)).collect();
-                (b, Event::Members { kind: ListKind::Delta, entries })
+                (b, Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries })
             }
             What::Wakes(b) => (b, Event::Timer),
             What::Ends(b, id, attempt) => {
@@ -168,7 +186,17 @@
                 }
                 let (elapsed, closed) = (now - sent, call.closed);
                 let call = CallId(id);
-                (b, Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
+                (
+                    b,
+                    Event::AttemptEnded {
+                        call,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        call_closed: closed,
+                        load: LoadReport::default(),
+                    },
+                )
             }
         };
         let mut events = VecDeque::from([event]);
@@ -177,7 +205,7 @@
             balancers[b].handle(now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { call, server, until, .. } => {
+                    Action::Send { call, endpoint: server, timeout_at: until, .. } => {
                         let machine = &mut machines[server.0 as usize];
                         let until = until.unwrap_or(Micros::MAX).min(calls[call.0 as usize].until);
                         let (ends, outcome) = arrives(machine, now, until, &rules, &mut random, &mut seen);
@@ -188,26 +216,26 @@
                     Action::Cancel { call, attempt } => {
                         let it = &mut calls[call.0 as usize];
                         if let Some((sent, _)) = it.attempts[attempt as usize].take() {
-                            let (elapsed, closed, outcome) = (now - sent, it.closed, Outcome::CalledOff);
-                            events.push_back(Event::Outcome {
+                            let (elapsed, closed, outcome) = (now - sent, it.closed, Outcome::Cancelled);
+                            events.push_back(Event::AttemptEnded {
                                 call,
                                 attempt,
                                 outcome,
                                 elapsed,
-                                closed,
-                                load: Load::default(),
+                                call_closed: closed,
+                                load: LoadReport::default(),
                             });
                         }
                     }
-                    Action::Refuse { call, .. } | Action::Fail { call } => {
+                    Action::Reject { call, .. } | Action::Fail { call } => {
                         calls[call.0 as usize].closed = true;
                         let from = calls[call.0 as usize].balancer;
                         if random.gen_bool(world.again) {
                             push(&mut heap, now + random.gen_range(15..120) * MS, What::Arrives(from, true));
                         }
                     }
-                    Action::Wake { after } => push(&mut heap, now + after, What::Wakes(b)),
-                    Action::Subscribe | Action::Probe { .. } | Action::Log(_) => {}
+                    Action::SetTimer { after } => push(&mut heap, now + after, What::Wakes(b)),
+                    Action::PollEndpointList | Action::PollLoad { .. } | Action::Log(_) => {}
                 }
             }
         }
@@ -225,17 +253,20 @@
     seen: &mut Seen,
 ) -> (Micros, Outcome) {
     let age = now.saturating_sub(machine.started);
-    let warmth = if machine.started == 0 || age >= rules.cold_time {
+    let warmth = if machine.started == 0 || age >= rules.warm_up_duration {
         1.0
     } else {
-        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+        rules.warm_up_initial_ratio
+            + (1.0 - rules.warm_up_initial_ratio) * age as f64 / rules.warm_up_duration as f64
     };
     if warmth < 1.0 {
         machine.sent.push_back(now);
-        while machine.sent.front().is_some_and(|&at| at + rules.fall_time < now) {
+        while machine.sent.front().is_some_and(|&at| at + rules.warm_up_overload_window < now) {
             machine.sent.pop_front();
         }
-        let budget = rules.fall_multiple * CORES as f64 * warmth * rules.fall_time as f64 / WORK;
+        let budget =
+            rules.warm_up_overload_factor * CORES as f64 * warmth * rules.warm_up_overload_window as f64
+                / WORK;
         let excess = machine.sent.len() as f64 - (budget + 2.0 * budget.sqrt() + 2.0);
         seen.excess = seen.excess.max(excess);
         seen.share = seen.share.max(machine.sent.len() as f64 / budget);
@@ -244,7 +275,7 @@
         machine.ends.pop_front();
     }
     if machine.ends.len() >= QUEUE + CORES {
-        return (now + MS, Outcome::TurnedAway);
+        return (now + MS, Outcome::Rejected);
     }
     let work = -(1.0 - random.gen::<f64>()).ln() * WORK / warmth;
     let core = (0..CORES).min_by_key(|&c| machine.free[c]).expect("a core");
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -14,19 +14,25 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(repeat: Repeat) -> Settings {
-    let class =
-        Class { aim: 500 * MS, deadline: 1_200 * MS, worth: 1.0, late_value: 0.0, repeat, live: true };
+pub fn settings(repeat: Idempotency) -> Settings {
+    let class = Class {
+        latency_objective: 500 * MS,
+        client_timeout: 1_200 * MS,
+        priority_weight: 1.0,
+        late_weight_ratio: 0.0,
+        idempotency: repeat,
+        active: true,
+    };
     Settings {
         classes: vec![class],
-        balancers: 7,
+        proxy_count: 7,
         limits: Limits { max_attempts: 5, ..Settings::default().limits },
         ..Settings::default()
     }
 }
 
-pub fn ready(server: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ..Entry::default() }
+pub fn ready(server: u32) -> EndpointInfo {
+    EndpointInfo { id: EndpointId(server), state: EndpointState::Ready, ..EndpointInfo::default() }
 }
 
 impl Proxy {
@@ -35,7 +41,7 @@
         let mut proxy =
             Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
         proxy.event(Event::Start);
-        proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+        proxy.list(ListUpdateKind::Snapshot, (1..=servers).map(ready).collect());
         proxy
     }
 
@@ -46,15 +52,15 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+    pub fn list(&mut self, kind: ListUpdateKind, entries: Vec<EndpointInfo>) -> Vec<Action> {
+        self.event(Event::EndpointList { kind, endpoints: entries })
     }
 
     pub fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
         self.next += 1;
         let call = CallId(self.next);
         let class = ClassId(class);
-        let event = Event::Request { call, class, tenant: None, time_left: 1_200 * MS, resent: false };
+        let event = Event::Request { call, class, tenant: None, remaining_time: 1_200 * MS, is_retry: false };
         (call, self.event(event))
     }
 
@@ -64,11 +70,18 @@
 
     pub fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
         let closed = outcome == Outcome::Served;
-        self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
+        self.event(Event::AttemptEnded {
+            call,
+            attempt,
+            outcome,
+            elapsed,
+            call_closed: closed,
+            load: LoadReport::default(),
+        })
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
-    pub fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
+    pub fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (call, actions) = self.call();
         let server = sent(&actions).first().map(|s| s.1);
         self.now += elapsed;
@@ -95,18 +108,18 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(CallId, ServerId)> {
+pub fn sent(actions: &[Action]) -> Vec<(CallId, EndpointId)> {
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { call, server, .. } => Some((*call, *server)),
+            Action::Send { call, endpoint: server, .. } => Some((*call, *server)),
             _ => None,
         })
         .collect()
 }
 
 pub fn refused(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { call, .. } if *call == id))
 }
 
 pub fn failed(actions: &[Action], id: CallId) -> bool {
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
-fn full_server(repeat: Repeat) -> (Proxy, CallId) {
+fn full_server(repeat: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(repeat), 1);
     let (first, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
@@ -15,16 +15,16 @@
 
 #[test]
 fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
-    assert_eq!(sent(&actions), [(trial, ServerId(1))]);
+    assert_eq!(sent(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.call();
     assert!(sent(&actions).is_empty(), "one trial at a time");
 }
 
 #[test]
 fn a_served_trial_adds_one_step() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
@@ -33,7 +33,7 @@
     let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
     // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
     // what it does.
-    assert_eq!(sent(&actions), [(a, ServerId(1))]);
+    assert_eq!(sent(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end(a, 0, Outcome::Served, 100 * MS);
     proxy.now += 100 * MS;
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let mut trial = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
@@ -91,7 +91,7 @@
 
 #[test]
 fn waiting_calls_go_out_in_the_order_of_arrival() {
-    let (mut proxy, first) = full_server(Repeat::SingleShot);
+    let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
@@ -105,34 +105,35 @@
 
 #[test]
 fn the_less_loaded_of_two_is_chosen() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 2);
-    let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
+    let mut proxy = Proxy::new(Settings { proxy_count: 1, ..settings(Idempotency::NonIdempotent) }, 2);
+    let mut load: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for _ in 0..10 {
         let server = sent(&proxy.call().1)[0].1;
         *load.entry(server).or_default() += 1;
     }
-    assert_eq!(load[&ServerId(1)], 5);
-    assert_eq!(load[&ServerId(2)], 5);
+    assert_eq!(load[&EndpointId(1)], 5);
+    assert_eq!(load[&EndpointId(2)], 5);
 }
 
 #[test]
 fn ties_go_to_the_server_with_the_shorter_recent_times() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
-        let elapsed = if sent(&actions)[0].1 == ServerId(1) { 200 * MS } else { 40 * MS };
+        let elapsed = if sent(&actions)[0].1 == EndpointId(1) { 200 * MS } else { 40 * MS };
         proxy.now += elapsed;
         proxy.end(call, 0, Outcome::Served, elapsed);
     }
-    let chosen = (0..20).filter(|_| proxy.serve(40 * MS) == Some(ServerId(2))).count();
+    let chosen = (0..20).filter(|_| proxy.serve(40 * MS) == Some(EndpointId(2))).count();
     assert_eq!(chosen, 20);
 }
 
 #[test]
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 20);
-    let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
+    let servers: std::collections::BTreeSet<EndpointId> =
+        (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
     assert_eq!(servers.len(), 20, "every budget is used before any is passed");
 }
 
@@ -140,7 +141,8 @@
 /// one that ended so.
 fn room_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy =
+        Proxy::new(Settings { proxy_count: 1, limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let calls: Vec<CallId> = (0..7).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 7, "what one balancer starts with");
     proxy.now += 5 * MS;
@@ -155,7 +157,7 @@
 #[test]
 fn a_refusal_as_full_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
-    assert_eq!(room_after(Outcome::TurnedAway), 7, "four fifths of seven, and a trial");
+    assert_eq!(room_after(Outcome::Rejected), 7, "four fifths of seven, and a trial");
 }
 
 /// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
@@ -169,7 +171,7 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::Gone { call: waiting });
+    proxy.event(Event::ClientDisconnected { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
@@ -177,13 +179,13 @@
 #[test]
 fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
     assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
     for _ in 0..9 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1);
-        proxy.end(call, 0, Outcome::NoConnection, MS);
+        proxy.end(call, 0, Outcome::ConnectFailed, MS);
         for _ in 0..8 {
             proxy.serve(40 * MS);
         }
@@ -194,11 +196,11 @@
 
 #[test]
 fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
-    let other = sent(&proxy.end(call, 0, Outcome::NoConnection, MS))[0].1;
+    let other = sent(&proxy.end(call, 0, Outcome::ConnectFailed, MS))[0].1;
     assert_ne!(broken, other);
     proxy.now += MS;
     proxy.end(call, 1, Outcome::Served, MS);
@@ -213,7 +215,7 @@
     proxy.end(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end(trial, 0, Outcome::Served, MS);
-    let mut used: Vec<ServerId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
+    let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 2, "taken back");
@@ -221,16 +223,16 @@
 
 #[test]
 fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
     proxy.end(call, 0, Outcome::Reset, MS);
-    proxy.list(ListKind::Full, vec![ready(broken.0)]);
+    proxy.list(ListUpdateKind::Snapshot, vec![ready(broken.0)]);
     let (call, actions) = proxy.call();
     let advice = actions.iter().find_map(|a| match a {
-        Action::Refuse { call: id, retry_after } if *id == call => Some(*retry_after),
+        Action::Reject { call: id, retry_after } if *id == call => Some(*retry_after),
         _ => None,
     });
     assert!(advice.is_some_and(|a| a > 0), "{actions:?}");
@@ -238,12 +240,12 @@
 
 #[test]
 fn a_request_at_fault_fails_at_once_and_is_not_held_against_its_server() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1, "no server is set aside");
         proxy.now += MS;
-        let actions = proxy.end(call, 0, Outcome::Rejected, MS);
+        let actions = proxy.end(call, 0, Outcome::InvalidRequest, MS);
         assert!(failed(&actions, call) && sent(&actions).is_empty(), "{actions:?}");
     }
     assert!(!proxy.actions.iter().any(|a| matches!(a, Action::Log { .. })), "{:?}", proxy.actions);
@@ -252,8 +254,8 @@
 /// Servers 1 and 2 of five hold calls of the second class until their time is up and serve all others.
 #[test]
 fn a_class_that_fails_at_some_servers_goes_to_the_others() {
-    let mut settings = settings(Repeat::Free);
-    let class = Class { repeat: Repeat::SingleShot, ..settings.classes[0] };
+    let mut settings = settings(Idempotency::Idempotent);
+    let class = Class { idempotency: Idempotency::NonIdempotent, ..settings.classes[0] };
     settings.classes.push(class);
     let mut proxy = Proxy::new(settings, 5);
     let mut lost = Vec::new();
@@ -282,21 +284,21 @@
 fn every_refusal_says_when_to_come_back() {
     let advice = |actions: &[Action]| -> Vec<Micros> {
         let advice = |a: &Action| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
         actions.iter().filter_map(advice).collect()
     };
     // Held in vain behind a full budget and its trial.
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (_, waits) = (proxy.call(), proxy.call());
     assert!(sent(&waits.1).is_empty());
     let told = advice(&proxy.wait(500 * MS));
     assert!(told.len() == 1 && told[0] > 0, "{told:?}");
     // Out of tries, none of which was ever sent.
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 9);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 9);
     let (call, _) = proxy.call();
-    (0..5).for_each(|attempt| drop(proxy.end(call, attempt, Outcome::NoConnection, MS)));
+    (0..5).for_each(|attempt| drop(proxy.end(call, attempt, Outcome::ConnectFailed, MS)));
     let told = advice(&proxy.actions);
     assert!(told.len() == 1 && told[0] > 0, "{told:?}");
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -30,11 +30,11 @@
 
 impl Fleet {
     fn new(balancers: u32, servers: u32) -> Self {
-        let settings = Settings { balancers, ..settings(Repeat::Free) };
+        let settings = Settings { proxy_count: balancers, ..settings(Idempotency::Idempotent) };
         let proxies = (0..balancers).map(|n| {
             let mut proxy = Proxy::new(settings.clone(), 0);
             proxy.balancer = Balancer::new(u64::from(n) + 1, settings.clone());
-            proxy.list(ListKind::Full, (0..servers).map(ready).collect());
+            proxy.list(ListUpdateKind::Snapshot, (0..servers).map(ready).collect());
             proxy
         });
         Fleet {
@@ -48,7 +48,7 @@
     fn act(&mut self, proxy: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { call, server, .. } => {
+                Action::Send { call, endpoint: server, .. } => {
                     let since = self.proxies[proxy].now;
                     self.servers[server.0 as usize].push(Work { left: WORK as f64, proxy, call, since });
                 }
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -9,7 +9,7 @@
 
 #[derive(Default)]
 struct Seen {
-    attempts: Vec<(ServerId, Option<Outcome>, Micros)>,
+    attempts: Vec<(EndpointId, Option<Outcome>, Micros)>,
     ended: bool,
     deadline: Micros,
     class: usize,
@@ -26,23 +26,24 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
-        Repeat::Free,
-        Repeat::SingleShot,
-        Repeat::Guarded { scope: Scope::Cell, window: 300 * MS },
-        Repeat::Guarded { scope: Scope::All, window: 300 * MS },
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 300 * MS },
+        Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 300 * MS },
     ];
-    let mut settings = settings(Repeat::Free);
-    settings.classes = kinds.iter().map(|&repeat| Class { repeat, ..settings.classes[0] }).collect();
-    settings.limits.second_copies = seed.is_multiple_of(2);
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.classes =
+        kinds.iter().map(|&repeat| Class { idempotency: repeat, ..settings.classes[0] }).collect();
+    settings.limits.hedging = seed.is_multiple_of(2);
     settings.limits.max_attempts = 4;
-    settings.balancers = [1, 2, 3, 5, 300][below(5) as usize];
-    settings.ask = seed.is_multiple_of(3);
-    let many = settings.balancers == 300;
-    let (second_copies, classes) = (settings.limits.second_copies, settings.classes.clone());
+    settings.proxy_count = [1, 2, 3, 5, 300][below(5) as usize];
+    settings.polls_endpoint_list = seed.is_multiple_of(3);
+    let many = settings.proxy_count == 300;
+    let (second_copies, classes) = (settings.limits.hedging, settings.classes.clone());
     let mut proxy = Proxy::new(settings, 0);
     let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
-    let mut list: BTreeMap<ServerId, State> = BTreeMap::new();
-    let mut known: BTreeSet<ServerId> = BTreeSet::new();
+    let mut list: BTreeMap<EndpointId, EndpointState> = BTreeMap::new();
+    let mut known: BTreeSet<EndpointId> = BTreeSet::new();
     for step in 0..4_000_u64 {
         proxy.now += below(8) * MS;
         let open: Vec<(CallId, usize)> = calls
@@ -63,8 +64,8 @@
                 let (id, attempt) = open[below(open.len() as u64) as usize];
                 let outcome = match below(12) {
                     0 => Outcome::Error,
-                    1 => Outcome::TurnedAway,
-                    2 => Outcome::NoConnection,
+                    1 => Outcome::Rejected,
+                    2 => Outcome::ConnectFailed,
                     3 => Outcome::Reset,
                     4 => Outcome::Unknown,
                     _ => Outcome::Served,
@@ -76,15 +77,29 @@
                 proxy.end(id, attempt as u32, outcome, elapsed)
             }
             8 if step % 7 == 0 => {
-                let server = ServerId(below(8) as u32);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
+                let server = EndpointId(below(8) as u32);
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][below(4) as usize];
                 let started = if below(4) > 0 { 0 } else { proxy.now };
                 known.insert(server);
                 list.insert(server, state);
                 let cell = CellId(server.0 % 2);
-                proxy.list(ListKind::Delta, vec![Entry { server, state, started, cell, ..Entry::default() }])
+                proxy.list(
+                    ListUpdateKind::Delta,
+                    vec![EndpointInfo {
+                        id: server,
+                        state,
+                        started_at: started,
+                        cell,
+                        ..EndpointInfo::default()
+                    }],
+                )
             }
-            8 if step % 31 == 0 => proxy.list(ListKind::Failed, vec![]),
+            8 if step % 31 == 0 => proxy.list(ListUpdateKind::Failed, vec![]),
             _ => {
                 // Deadlines first, as the proxy's clock would bring them.
                 let mut all = Vec::new();
@@ -135,39 +150,46 @@
 fn check(
     actions: &[Action],
     calls: &mut BTreeMap<CallId, Seen>,
-    list: &BTreeMap<ServerId, State>,
-    known: &BTreeSet<ServerId>,
+    list: &BTreeMap<EndpointId, EndpointState>,
+    known: &BTreeSet<EndpointId>,
     classes: &[Class],
     second_copies: bool,
     now: Micros,
 ) {
     for action in actions {
         match *action {
-            Action::Send { call, server, .. } => {
+            Action::Send { call, endpoint: server, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!seen.ended, "sent after its end");
-                assert!(known.contains(&server) && list[&server] == State::Ready, "sent to one not ready");
+                assert!(
+                    known.contains(&server) && list[&server] == EndpointState::Ready,
+                    "sent to one not ready"
+                );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
                 assert!(out == 0 || second_copies && out == 1);
-                let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
-                match (classes[seen.class].repeat, first) {
-                    (Repeat::SingleShot, Some(_)) => panic!("an unsafe call went again"),
-                    (Repeat::Guarded { scope, window }, Some(first)) => {
-                        assert!(scope == Scope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
+                let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.proves_not_started()));
+                match (classes[seen.class].idempotency, first) {
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::Deduplicated { scope, window }, Some(first)) => {
+                        assert!(
+                            scope == DeduplicationScope::All || first.0 .0 % 2 == server.0 % 2,
+                            "left its cell"
+                        );
                         assert!(now <= first.2 + window, "left its window");
                     }
                     _ => {}
                 }
                 seen.attempts.push((server, None, now));
             }
-            Action::Refuse { call, .. } => {
+            Action::Reject { call, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
-                let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
+                let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::proves_not_started));
                 let harmless = matches!(
-                    classes[seen.class].repeat,
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. }
+                    classes[seen.class].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. }
                 );
                 assert!(proven || harmless, "refused though it may have run");
             }
@@ -186,7 +208,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut proxy = Proxy::new(settings(Repeat::Free), 5);
+        let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
             proxy.serve((i % 17) * MS);
         }
@@ -197,17 +219,17 @@
 
 #[test]
 fn odd_input_is_survived() {
-    let mut odd = settings(Repeat::Free);
-    odd.balancers = 0;
+    let mut odd = settings(Idempotency::Idempotent);
+    odd.proxy_count = 0;
     odd.limits.max_attempts = 0;
-    odd.tenants = vec![Tenant { share: 0.0, quota: 0.0 }];
+    odd.tenants = vec![Tenant { share: 0.0, quota_per_sec: 0.0 }];
     odd.rules = Rules {
-        cold_share: 0.0,
-        cold_time: 0,
-        fall_multiple: 0.0,
-        fall_time: 0,
+        warm_up_initial_ratio: 0.0,
+        warm_up_duration: 0,
+        warm_up_overload_factor: 0.0,
+        warm_up_overload_window: 0,
         drain_grace: 0,
-        ask_every: 0,
+        max_poll_interval: 0,
     };
     let empty = Settings { classes: vec![], ..odd.clone() };
     for settings in [odd, empty] {
@@ -217,7 +239,7 @@
             let class = ClassId(if i % 2 == 0 { 0 } else { usize::MAX });
             let call = CallId(1_000 + i as u64);
             let tenant = Some(TenantId(i));
-            let event = Event::Request { call, class, tenant, time_left, resent: true };
+            let event = Event::Request { call, class, tenant, remaining_time: time_left, is_retry: true };
             proxy.event(event.clone());
             proxy.event(event);
             for attempt in [0, 0, 7] {
@@ -225,15 +247,20 @@
             }
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
-        proxy.event(Event::Gone { call: CallId(99) });
-        proxy.event(Event::Streaming { call: CallId(99), attempt: 3 });
-        let load = Load { in_hand: Some(f64::NAN), waiting: Some(-1.0), ..Load::default() };
-        proxy.event(Event::Probed { server: ServerId(9), outcome: Outcome::Served, elapsed: 0, load });
-        proxy.list(ListKind::Full, vec![]);
+        proxy.event(Event::ClientDisconnected { call: CallId(99) });
+        proxy.event(Event::ResponseStarted { call: CallId(99), attempt: 3 });
+        let load = LoadReport { in_flight: Some(f64::NAN), queued: Some(-1.0), ..LoadReport::default() };
+        proxy.event(Event::LoadPolled {
+            endpoint: EndpointId(9),
+            outcome: Outcome::Served,
+            elapsed: 0,
+            load,
+        });
+        proxy.list(ListUpdateKind::Snapshot, vec![]);
         proxy.now = u64::MAX - 10;
-        proxy.list(ListKind::Delta, vec![Entry { started: u64::MAX, ..ready(1) }]);
+        proxy.list(ListUpdateKind::Delta, vec![EndpointInfo { started_at: u64::MAX, ..ready(1) }]);
         let (call, _) = proxy.call();
         proxy.wait(5);
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::ClientDisconnected { call });
     }
 }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -4,22 +4,22 @@
 use common::*;
 use oakport_core::*;
 
-const CELL: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 400 * MS };
+const CELL: Idempotency = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 400 * MS };
 
-fn two_cells() -> Vec<Entry> {
-    (1..=4).map(|i| Entry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
+fn two_cells() -> Vec<EndpointInfo> {
+    (1..=4).map(|i| EndpointInfo { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
 }
 
 // No lost request.
 
 #[test]
 fn held_calls_are_ended_before_their_client_gives_up() {
-    for repeat in [Repeat::Free, Repeat::SingleShot, CELL] {
+    for repeat in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
         let mut proxy = Proxy::new(settings(repeat), 0);
         let (call, actions) = proxy.call();
         assert!(sent(&actions).is_empty());
         let after =
-            actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+            actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
         let actions = proxy.wait(after.expect("a timer for the held call"));
         assert!(refused(&actions, call), "never sent, so refused");
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
@@ -28,7 +28,9 @@
 
 #[test]
 fn the_deadlines_own_no_answer_ends_the_call() {
-    for (repeat, may_refuse) in [(Repeat::Free, true), (Repeat::SingleShot, false), (CELL, false)] {
+    for (repeat, may_refuse) in
+        [(Idempotency::Idempotent, true), (Idempotency::NonIdempotent, false), (CELL, false)]
+    {
         let mut proxy = Proxy::new(settings(repeat), 1);
         let (call, _) = proxy.call();
         proxy.now += 1_200 * MS;
@@ -43,37 +45,48 @@
 
 const CODES: [Outcome; 8] = [
     Outcome::Error,
-    Outcome::TurnedAway,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::NoConnection,
+    Outcome::ConnectFailed,
     Outcome::Reset,
-    Outcome::CalledOff,
+    Outcome::Cancelled,
     Outcome::NotSent,
     Outcome::Unknown,
 ];
 
 #[test]
 fn each_outcome_against_each_kind_of_call() {
-    let guarded = |scope| Repeat::Guarded { scope, window: 400 * MS };
-    let kinds =
-        [Repeat::Free, Repeat::SingleShot, guarded(Scope::All), guarded(Scope::Zone), guarded(Scope::Cell)];
+    let guarded = |scope| Idempotency::Deduplicated { scope, window: 400 * MS };
+    let kinds = [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        guarded(DeduplicationScope::All),
+        guarded(DeduplicationScope::Zone),
+        guarded(DeduplicationScope::Cell),
+    ];
     for repeat in kinds {
         for first in CODES {
             for second in CODES {
                 let mut proxy = Proxy::new(settings(repeat), 0);
-                proxy.list(ListKind::Full, two_cells());
+                proxy.list(ListUpdateKind::Snapshot, two_cells());
                 let (call, actions) = proxy.call();
                 let home = sent(&actions)[0].1;
                 proxy.now += MS;
                 let actions = proxy.end(call, 0, first, MS);
                 let again = sent(&actions);
-                let proven = first.never_ran();
-                if repeat == Repeat::SingleShot && !proven {
+                let proven = first.proves_not_started();
+                if repeat == Idempotency::NonIdempotent && !proven {
                     assert!(again.is_empty() && failed(&actions, call), "{first:?}");
                     continue;
                 }
                 assert_eq!(again.len(), 1, "{repeat:?} after {first:?}");
-                let bound = matches!(repeat, Repeat::Guarded { scope: Scope::Zone | Scope::Cell, .. });
+                let bound = matches!(
+                    repeat,
+                    Idempotency::Deduplicated {
+                        scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
+                        ..
+                    }
+                );
                 if bound && !proven {
                     assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
                 }
@@ -81,8 +94,9 @@
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
                 let harmless = match repeat {
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. } => true,
-                    _ => proven && second.never_ran(),
+                    Idempotency::Idempotent
+                    | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
+                    _ => proven && second.proves_not_started(),
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
                 assert_eq!(refused(&actions, call), harmless, "{repeat:?} {first:?} {second:?}");
@@ -94,7 +108,10 @@
 
 #[test]
 fn a_guarded_call_does_not_go_again_after_its_window() {
-    let mut proxy = Proxy::new(settings(Repeat::Guarded { scope: Scope::Cell, window: 100 * MS }), 4);
+    let mut proxy = Proxy::new(
+        settings(Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 100 * MS }),
+        4,
+    );
     let (call, _) = proxy.call();
     proxy.now += 100 * MS;
     let actions = proxy.end(call, 0, Outcome::Error, 100 * MS);
@@ -103,11 +120,13 @@
 
 #[test]
 fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
-    for (repeat, allowed, copies) in
-        [(Repeat::Free, true, 1), (Repeat::Free, false, 0), (Repeat::SingleShot, true, 0)]
-    {
+    for (repeat, allowed, copies) in [
+        (Idempotency::Idempotent, true, 1),
+        (Idempotency::Idempotent, false, 0),
+        (Idempotency::NonIdempotent, true, 0),
+    ] {
         let mut settings = settings(repeat);
-        settings.limits.second_copies = allowed;
+        settings.limits.hedging = allowed;
         let mut proxy = Proxy::new(settings, 3);
         for _ in 0..20 {
             proxy.serve(40 * MS);
@@ -129,8 +148,8 @@
 #[test]
 fn a_call_gets_no_second_copy_where_others_are_answered_meanwhile() {
     for (others, copies) in [(false, 1), (true, 0)] {
-        let mut settings = settings(Repeat::Free);
-        (settings.limits.second_copies, settings.balancers) = (true, 1);
+        let mut settings = settings(Idempotency::Idempotent);
+        (settings.limits.hedging, settings.proxy_count) = (true, 1);
         let mut proxy = Proxy::new(settings, 2);
         for _ in 0..20 {
             proxy.serve(40 * MS);
@@ -158,17 +177,18 @@
 #[test]
 fn a_cold_server_helps_out_when_no_warm_one_has_room_as_far_as_an_even_part_allows() {
     for (balancers, age, helps) in [(1, 0.5, true), (7, 0.9, true), (7, 0.2, false)] {
-        let settings = Settings { balancers, ..settings(Repeat::Free) };
-        let cold_time = settings.rules.cold_time as f64;
+        let settings = Settings { proxy_count: balancers, ..settings(Idempotency::Idempotent) };
+        let cold_time = settings.rules.warm_up_duration as f64;
         let mut proxy = Proxy::new(settings, 1);
         proxy.now += 100_000 * MS;
         let started = proxy.now - (cold_time * age) as Micros;
-        proxy.list(ListKind::Delta, vec![Entry { started, ..ready(2) }]);
+        proxy.list(ListUpdateKind::Delta, vec![EndpointInfo { started_at: started, ..ready(2) }]);
         let mut servers = Vec::new();
         for call in (0..40).map(|n| CallId(900 + n)) {
             // A client's retry draws no lot: only the want of room brings it to a cold server.
             let (class, time_left) = (ClassId(0), 1_200 * MS);
-            let event = Event::Request { call, class, tenant: None, time_left, resent: true };
+            let event =
+                Event::Request { call, class, tenant: None, remaining_time: time_left, is_retry: true };
             servers.extend(sent(&proxy.event(event)).iter().map(|s| s.1 .0));
         }
         assert_eq!(servers[0], 1, "the warm one comes first");
@@ -178,11 +198,11 @@
 
 #[test]
 fn a_stream_is_bound_to_its_attempt() {
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
-    proxy.event(Event::Streaming { call, attempt: 0 });
+    proxy.event(Event::ResponseStarted { call, attempt: 0 });
     assert!(sent(&proxy.wait(450 * MS)).is_empty(), "no second copy");
     let actions = proxy.end(call, 0, Outcome::Reset, 450 * MS);
     assert!(sent(&actions).is_empty());
@@ -190,24 +210,24 @@
 
 #[test]
 fn a_copy_that_ends_does_not_take_the_flowing_answer_along() {
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
     for _ in 0..20 {
         proxy.serve(40 * MS);
     }
     let (call, _) = proxy.call();
     assert_eq!(sent(&proxy.wait(430 * MS)).len(), 1, "a second copy");
-    let actions = proxy.event(Event::Streaming { call, attempt: 1 });
+    let actions = proxy.event(Event::ResponseStarted { call, attempt: 1 });
     assert_eq!(actions, [Action::Cancel { call, attempt: 0 }]);
-    let (outcome, load) = (Outcome::CalledOff, Load::default());
-    let event = Event::Outcome { call, attempt: 0, outcome, elapsed: 430 * MS, closed: true, load };
+    let (outcome, load) = (Outcome::Cancelled, LoadReport::default());
+    let event = Event::AttemptEnded { call, attempt: 0, outcome, elapsed: 430 * MS, call_closed: true, load };
     assert!(proxy.event(event).iter().all(|a| !matches!(a, Action::Cancel { .. })));
 }
 
 #[test]
 fn a_long_answer_teaches_by_its_first_bytes_and_frees_its_place_then() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1);
     for _ in 0..20 {
         proxy.serve(40 * MS);
     }
@@ -216,24 +236,24 @@
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1);
         proxy.now += 40 * MS;
-        proxy.event(Event::Streaming { call, attempt: 0 });
+        proxy.event(Event::ResponseStarted { call, attempt: 0 });
     }
 }
 
 #[test]
 fn a_request_that_comes_slowly_has_its_time_from_its_last_byte() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 3);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
     for _ in 0..60 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1);
         assert!(sent(&proxy.wait(10_000 * MS)).is_empty());
-        proxy.event(Event::Whole { call, time_left: 1_200 * MS });
+        proxy.event(Event::RequestComplete { call, remaining_time: 1_200 * MS });
         proxy.now += 40 * MS;
         assert!(!failed(&proxy.end(call, 0, Outcome::Served, 40 * MS), call));
     }
     // Answers are known to take 40 ms, not 10 s: there is time for another attempt.
     let (call, _) = proxy.call();
-    assert_eq!(sent(&proxy.end(call, 0, Outcome::NoConnection, 5 * MS)).len(), 1);
+    assert_eq!(sent(&proxy.end(call, 0, Outcome::ConnectFailed, 5 * MS)).len(), 1);
 }
 
 // The list.
@@ -242,13 +262,13 @@
 fn many_balancers_leave_a_full_discovery_room() {
     // The waits before it is asked again, one failure after the other.
     let waits = |balancers: u32| {
-        let mut settings = settings(Repeat::Free);
-        (settings.ask, settings.balancers) = (true, balancers);
+        let mut settings = settings(Idempotency::Idempotent);
+        (settings.polls_endpoint_list, settings.proxy_count) = (true, balancers);
         let mut proxy = Proxy::new(settings, 2);
         let ask = |proxy: &mut Proxy| {
             let failed = proxy.now;
-            proxy.list(ListKind::Failed, Vec::new());
-            while !proxy.wait(50 * MS).contains(&Action::Subscribe) {}
+            proxy.list(ListUpdateKind::Failed, Vec::new());
+            while !proxy.wait(50 * MS).contains(&Action::PollEndpointList) {}
             (proxy.now - failed) / MS
         };
         (0..6).map(|_| ask(&mut proxy)).collect::<Vec<_>>()
@@ -263,13 +283,13 @@
 
 #[test]
 fn fewer_attempts_hold_at_once_and_a_class_that_vanished_counts_for_nothing() {
-    let old = settings(Repeat::Free);
+    let old = settings(Idempotency::Idempotent);
     let mut proxy = Proxy::new(old.clone(), 4);
     let (call, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
     // One attempt only; what was safe to repeat has vanished, and a patient class has come.
-    let gone = Class { live: false, ..old.classes[0] };
-    let patient = Class { aim: 60_000 * MS, deadline: 90_000 * MS, ..old.classes[0] };
+    let gone = Class { active: false, ..old.classes[0] };
+    let patient = Class { latency_objective: 60_000 * MS, client_timeout: 90_000 * MS, ..old.classes[0] };
     let mut new = Settings { classes: vec![gone, patient], ..old };
     new.limits.max_attempts = 1;
     proxy.event(Event::Settings(Box::new(new)));
@@ -284,20 +304,20 @@
 
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
-    for kind in [ListKind::Delta, ListKind::Full] {
-        for state in [State::Draining, State::Gone] {
-            let mut proxy = Proxy::new(settings(Repeat::Free), 0);
-            proxy.list(ListKind::Cached, vec![ready(1), ready(2)]);
-            proxy.list(kind, vec![Entry { state, ..ready(1) }, ready(2)]);
+    for kind in [ListUpdateKind::Delta, ListUpdateKind::Snapshot] {
+        for state in [EndpointState::Draining, EndpointState::Removed] {
+            let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
+            proxy.list(ListUpdateKind::Cached, vec![ready(1), ready(2)]);
+            proxy.list(kind, vec![EndpointInfo { state, ..ready(1) }, ready(2)]);
             for _ in 0..50 {
-                assert_eq!(proxy.serve(MS), Some(ServerId(2)));
+                assert_eq!(proxy.serve(MS), Some(EndpointId(2)));
             }
         }
     }
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
-    proxy.list(ListKind::Full, vec![ready(2)]);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    proxy.list(ListUpdateKind::Snapshot, vec![ready(2)]);
     for _ in 0..50 {
-        assert_eq!(proxy.serve(MS), Some(ServerId(2)), "what a full list leaves out is gone");
+        assert_eq!(proxy.serve(MS), Some(EndpointId(2)), "what a full list leaves out is gone");
     }
 }
 
@@ -305,12 +325,12 @@
 
 /// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 3);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
         proxy.serve(10 * MS);
     }
     let id = if restart { 1 } else { 4 };
-    proxy.list(ListKind::Delta, vec![Entry { started: proxy.now, ..ready(id) }]);
+    proxy.list(ListUpdateKind::Delta, vec![EndpointInfo { started_at: proxy.now, ..ready(id) }]);
     let mut count = 0;
     for _ in 0..600 {
         let (call, actions) = proxy.call();
@@ -318,7 +338,7 @@
         proxy.now += 10 * MS;
         let mut attempt = 0;
         while let Some(server) = last {
-            let cold = server == ServerId(id);
+            let cold = server == EndpointId(id);
             count += usize::from(cold);
             let end = if cold { outcome } else { Outcome::Served };
             let actions = proxy.end(call, attempt, end, 10 * MS);
@@ -331,7 +351,7 @@
 
 #[test]
 fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
-    for outcome in [Outcome::Served, Outcome::TurnedAway, Outcome::Error, Outcome::NoConnection] {
+    for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::ConnectFailed] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
             // A warm server's part of 600 calls is 150 to 300; this one has a tenth to a third of its capacity.
@@ -344,11 +364,11 @@
 
 #[test]
 fn fast_errors_set_a_server_aside_though_it_looks_idle() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     let mut errors = 0;
     for _ in 0..200 {
         let (call, actions) = proxy.call();
-        let bad = sent(&actions)[0].1 == ServerId(1);
+        let bad = sent(&actions)[0].1 == EndpointId(1);
         errors += usize::from(bad);
         proxy.now += 2 * MS;
         proxy.end(call, 0, if bad { Outcome::Error } else { Outcome::Served }, 2 * MS);
@@ -358,7 +378,7 @@
 
 #[test]
 fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_bad = 0;
     for round in 0..400 {
         let (call, actions) = proxy.call();
@@ -366,7 +386,7 @@
         proxy.now += 5 * MS;
         let mut attempt = 0;
         while let Some(server) = at {
-            let bad = server == ServerId(1);
+            let bad = server == EndpointId(1);
             to_bad += usize::from(bad);
             let end = if bad && to_bad % 3 != 0 { Outcome::Error } else { Outcome::Served };
             at = sent(&proxy.end(call, attempt, end, 5 * MS)).iter().find(|s| s.0 == call).map(|s| s.1);
@@ -379,7 +399,7 @@
 
 #[test]
 fn most_of_the_fleet_is_never_set_aside() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 6);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1, "half of the fleet still takes calls");
@@ -390,7 +410,7 @@
 
 #[test]
 fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut early = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
@@ -403,9 +423,9 @@
 #[test]
 fn calls_of_a_long_aim_do_not_fill_the_hold_before_those_of_a_short_one() {
     let refused_behind = |shorter: Micros| {
-        let plain = settings(Repeat::SingleShot);
-        let long = Class { aim: 800 * MS, ..plain.classes[0] };
-        let short = Class { aim: shorter, ..long };
+        let plain = settings(Idempotency::NonIdempotent);
+        let long = Class { latency_objective: 800 * MS, ..plain.classes[0] };
+        let short = Class { latency_objective: shorter, ..long };
         let mut proxy = Proxy::new(Settings { classes: vec![long, short], ..plain }, 1);
         (0..3).for_each(|_| drop(proxy.call()));
         proxy.now += 30 * MS;
@@ -418,22 +438,24 @@
 
 #[test]
 fn a_lost_subscription_is_asked_for_again_with_a_pause() {
-    let mut proxy = Proxy::new(Settings { ask: true, ..settings(Repeat::Free) }, 2);
-    assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
-    let actions = proxy.list(ListKind::Failed, vec![]);
-    assert!(!actions.contains(&Action::Subscribe), "not at once");
-    let after = actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
-    assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
+    let mut proxy =
+        Proxy::new(Settings { polls_endpoint_list: true, ..settings(Idempotency::Idempotent) }, 2);
+    assert!(proxy.actions.contains(&Action::PollEndpointList), "at the start");
+    let actions = proxy.list(ListUpdateKind::Failed, vec![]);
+    assert!(!actions.contains(&Action::PollEndpointList), "not at once");
+    let after =
+        actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+    assert!(proxy.wait(after.expect("a timer")).contains(&Action::PollEndpointList));
     assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
-    let mut push = Proxy::new(settings(Repeat::Free), 1);
-    push.list(ListKind::Failed, vec![]);
+    let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
+    push.list(ListUpdateKind::Failed, vec![]);
     push.wait(60_000 * MS);
-    assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
+    assert!(!push.actions.contains(&Action::PollEndpointList), "only where the list must be asked for");
 }
 
 #[test]
 fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
     }
@@ -445,9 +467,9 @@
         proxy.now += 2 * MS;
         let mut attempt = 0;
         while let Some(server) = at {
-            let full = server == ServerId(1);
+            let full = server == EndpointId(1);
             to_full += usize::from(full);
-            let end = if full { Outcome::TurnedAway } else { Outcome::Served };
+            let end = if full { Outcome::Rejected } else { Outcome::Served };
             at = sent(&proxy.end(call, attempt, end, 2 * MS)).iter().find(|s| s.0 == call).map(|s| s.1);
             attempt += 1;
         }
@@ -457,7 +479,7 @@
 
 #[test]
 fn a_strained_server_gets_no_trials() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
     }
@@ -471,7 +493,7 @@
 
 #[test]
 fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 3);
+    let mut proxy = Proxy::new(Settings { proxy_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
         // Of the calls at each server the first is answered and the others time out.
@@ -490,18 +512,19 @@
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let aside = log.iter().filter(|a| matches!(a, Action::Log(Note::SetAside { .. }))).count();
+    let aside =
+        log.iter().filter(|a| matches!(a, Action::Log(DecisionEvent::EndpointEjected { .. }))).count();
     assert_eq!(aside, 0, "slow, not gone");
 }
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
-fn trial_after(load: Load) -> bool {
-    let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Repeat::SingleShot) }, 1);
+fn trial_after(load: LoadReport) -> bool {
+    let mut proxy = Proxy::new(Settings { proxy_count: 12, ..settings(Idempotency::NonIdempotent) }, 1);
     for _ in 0..40 {
         let (call, _) = proxy.call();
         proxy.now += 40 * MS;
         let (outcome, elapsed) = (Outcome::Served, 40 * MS);
-        proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
+        proxy.event(Event::AttemptEnded { call, attempt: 0, outcome, elapsed, call_closed: true, load });
         proxy.wait(100 * MS);
     }
     assert_eq!(sent(&proxy.call().1).len(), 1, "the budget's own call");
@@ -510,9 +533,9 @@
 
 #[test]
 fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
-    let busy = |b| Load { busy: Some(b), ..Load::default() };
-    let queue = |w| Load { in_hand: Some(10.0), waiting: Some(w), ..Load::default() };
-    assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
+    let busy = |b| LoadReport { utilisation: Some(b), ..LoadReport::default() };
+    let queue = |w| LoadReport { in_flight: Some(10.0), queued: Some(w), ..LoadReport::default() };
+    assert!(trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
     assert!(!trial_after(queue(5.5)), "more waiting than in work");
 }
@@ -520,13 +543,14 @@
 /// A request whose client waits this long for this try.
 fn patient(proxy: &mut Proxy, id: u64, time_left: Micros) -> (CallId, Vec<Action>) {
     let call = CallId(id);
-    let event = Event::Request { call, class: ClassId(0), tenant: None, time_left, resent: false };
+    let event =
+        Event::Request { call, class: ClassId(0), tenant: None, remaining_time: time_left, is_retry: false };
     (call, proxy.event(event))
 }
 
 /// One budget's call and the trial are out, and one call has been waiting for 10 ms.
 fn crowded() -> Proxy {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for id in 1_001..=1_003 {
         patient(&mut proxy, id, 1_200 * MS);
     }
@@ -551,11 +575,17 @@
 
 #[test]
 fn a_later_try_that_cannot_make_its_aim_is_served_with_room_and_not_timed_out_at_it() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     patient(&mut proxy, 1_001, 1_200 * MS);
     proxy.end(CallId(1_001), 0, Outcome::Error, MS);
     let until = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Send { until, .. } = a { Some(*until) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Send { timeout_at: until, .. } = a {
+                Some(*until)
+            } else {
+                None
+            }
+        })
     };
     // 400 ms are gone: 100 are left to the aim, less than a usual answer time.
     let (_, actions) = patient(&mut proxy, 1_010, 800 * MS);
--- a/crates/core/tests/sparse.rs
+++ b/crates/core/tests/sparse.rs
@@ -9,29 +9,29 @@
 
 /// A thousand balancers; probes tell what a server holds and cost little.
 fn many(probed: bool) -> Settings {
-    let how = if probed { Reporting::OnProbe } else { Reporting::Off };
-    let limits = Limits { probes: true, ..settings(Repeat::Free).limits };
+    let how = if probed { ReportDelivery::OnPoll } else { ReportDelivery::Off };
+    let limits = Limits { load_polling: true, ..settings(Idempotency::Idempotent).limits };
     Settings {
-        balancers: 1_000,
+        proxy_count: 1_000,
         zone: HERE,
         limits,
-        reports: Reports { how, in_hand: probed },
-        charges: Charges { probe: 0.01, ..Charges::default() },
-        ..settings(Repeat::Free)
+        load_reporting: LoadReporting { delivery: how, includes_in_flight: probed },
+        charges: Charges { load_poll: 0.01, ..Charges::default() },
+        ..settings(Idempotency::Idempotent)
     }
 }
 
-fn probes(actions: &[Action]) -> Vec<ServerId> {
+fn probes(actions: &[Action]) -> Vec<EndpointId> {
     actions
         .iter()
-        .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
+        .filter_map(|a| if let Action::PollLoad { endpoint: server } = a { Some(*server) } else { None })
         .collect()
 }
 
-fn tell(proxy: &mut Proxy, server: ServerId, in_hand: Option<f64>) -> Vec<Action> {
-    let load = Load { in_hand, ..Load::default() };
+fn tell(proxy: &mut Proxy, server: EndpointId, in_hand: Option<f64>) -> Vec<Action> {
+    let load = LoadReport { in_flight: in_hand, ..LoadReport::default() };
     let outcome = if in_hand.is_some() { Outcome::Served } else { Outcome::TimedOut };
-    proxy.event(Event::Probed { server, outcome, elapsed: MS, load })
+    proxy.event(Event::LoadPolled { endpoint: server, outcome, elapsed: MS, load })
 }
 
 #[test]
@@ -53,7 +53,7 @@
 
 #[test]
 fn nothing_is_asked_where_servers_outnumber_balancers_or_tell_nothing() {
-    let few = Settings { balancers: 3, ..many(true) };
+    let few = Settings { proxy_count: 3, ..many(true) };
     for settings in [few, many(false)] {
         let mut proxy = Proxy::new(settings, 6);
         let (_, actions) = proxy.call();
@@ -97,7 +97,7 @@
 #[test]
 fn absurd_reports_and_probes_of_unknown_servers_change_nothing() {
     let mut proxy = Proxy::new(many(true), 6);
-    tell(&mut proxy, ServerId(99), Some(1.0));
+    tell(&mut proxy, EndpointId(99), Some(1.0));
     let (call, actions) = proxy.call();
     for (server, told) in probes(&actions).into_iter().zip([f64::NAN, -7.0]) {
         tell(&mut proxy, server, Some(told));
@@ -123,7 +123,7 @@
             for attempt in 1..5 {
                 proxy.end(call, attempt, outcome, elapsed);
             }
-            proxy.event(Event::Gone { call });
+            proxy.event(Event::ClientDisconnected { call });
         }
         served
     };
@@ -138,13 +138,16 @@
 #[test]
 fn ties_between_servers_never_met_go_to_the_kind_that_answers_sooner() {
     let mut proxy = Proxy::new(many(false), 0);
-    let kind = |i: u32| KindId(i % 2);
-    proxy.list(ListKind::Full, (1..=200).map(|i| Entry { kind: kind(i), ..ready(i) }).collect());
+    let kind = |i: u32| MachineTypeId(i % 2);
+    proxy.list(
+        ListUpdateKind::Snapshot,
+        (1..=200).map(|i| EndpointInfo { machine_type: kind(i), ..ready(i) }).collect(),
+    );
     let mut quick = 0;
     for n in 0..120 {
         let (call, actions) = proxy.call();
         let server = sent(&actions)[0].1;
-        let slow = kind(server.0) == KindId(1);
+        let slow = kind(server.0) == MachineTypeId(1);
         quick += usize::from(n >= 40 && !slow);
         let elapsed = if slow { 150 * MS } else { 40 * MS };
         proxy.now += elapsed;
@@ -159,10 +162,13 @@
     for (cross, stays) in [(charges, true), (Charges::default(), false)] {
         let mut proxy = Proxy::new(Settings { charges: cross, ..many(false) }, 0);
         let zone = |i: u32| if i.is_multiple_of(2) { HERE } else { THERE };
-        proxy.list(ListKind::Full, (1..=8).map(|i| Entry { zone: zone(i), ..ready(i) }).collect());
+        proxy.list(
+            ListUpdateKind::Snapshot,
+            (1..=8).map(|i| EndpointInfo { zone: zone(i), ..ready(i) }).collect(),
+        );
         // So that all may be out at once.
         proxy.busy_rounds(20, 20 * MS);
-        let went: Vec<ServerId> = (0..8).flat_map(|_| sent(&proxy.call().1)).map(|s| s.1).collect();
+        let went: Vec<EndpointId> = (0..8).flat_map(|_| sent(&proxy.call().1)).map(|s| s.1).collect();
         assert_eq!(went.len(), 8, "a call each fills them all");
         assert_eq!(went[..4].iter().all(|s| zone(s.0) == HERE), stays);
     }
@@ -174,14 +180,18 @@
     for seed in 0..1_000 {
         let mut balancer = Balancer::new(seed, many(false));
         let mut actions = Vec::new();
-        let mut entries: Vec<Entry> = (1..=9).map(ready).collect();
-        entries.push(Entry { started: 1_000_000, ..ready(10) });
+        let mut entries: Vec<EndpointInfo> = (1..=9).map(ready).collect();
+        entries.push(EndpointInfo { started_at: 1_000_000, ..ready(10) });
         balancer.handle(1_000_001, Event::Start, &mut actions);
-        balancer.handle(1_000_001, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+        balancer.handle(
+            1_000_001,
+            Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints: entries },
+            &mut actions,
+        );
         let (call, class) = (CallId(1), ClassId(0));
-        let event = Event::Request { call, class, tenant: None, time_left: 900 * MS, resent: false };
+        let event = Event::Request { call, class, tenant: None, remaining_time: 900 * MS, is_retry: false };
         balancer.handle(1_000_002, event, &mut actions);
-        cold += sent(&actions).iter().filter(|s| s.1 == ServerId(10)).count();
+        cold += sent(&actions).iter().filter(|s| s.1 == EndpointId(10)).count();
     }
     // A tenth of a tenth of the capacity is there: 11 of 1,000 calls, where an even share were 100.
     assert!((3..=30).contains(&cold), "{cold}");
@@ -191,15 +201,16 @@
 fn repeats_of_clients_draw_no_cold_server() {
     for (resent, expected) in [(false, true), (true, false)] {
         let mut proxy = Proxy::new(many(false), 0);
-        let mut entries: Vec<Entry> = (1..=4).map(ready).collect();
-        entries[3].started = proxy.now - MS;
-        proxy.list(ListKind::Full, entries);
+        let mut entries: Vec<EndpointInfo> = (1..=4).map(ready).collect();
+        entries[3].started_at = proxy.now - MS;
+        proxy.list(ListUpdateKind::Snapshot, entries);
         let mut cold = false;
         for n in 0..400 {
             let (call, class) = (CallId(10_000 + n), ClassId(0));
-            let event = Event::Request { call, class, tenant: None, time_left: 900 * MS, resent };
+            let event =
+                Event::Request { call, class, tenant: None, remaining_time: 900 * MS, is_retry: resent };
             let actions = proxy.event(event);
-            cold |= sent(&actions).iter().any(|s| s.1 == ServerId(4));
+            cold |= sent(&actions).iter().any(|s| s.1 == EndpointId(4));
             proxy.now += MS;
             proxy.end(call, 0, Outcome::Served, MS);
         }
@@ -212,8 +223,8 @@
     let few = |seed: u64| {
         let mut proxy = Proxy::new(many(false), 0);
         proxy.balancer = Balancer::new(seed, many(false));
-        proxy.list(ListKind::Full, (1..=60).map(ready).collect());
-        let used: Vec<ServerId> = (0..200).filter_map(|_| proxy.serve(40 * MS)).collect();
+        proxy.list(ListUpdateKind::Snapshot, (1..=60).map(ready).collect());
+        let used: Vec<EndpointId> = (0..200).filter_map(|_| proxy.serve(40 * MS)).collect();
         assert_eq!(used.len(), 200);
         std::collections::BTreeSet::from_iter(used)
     };
@@ -223,7 +234,7 @@
     // Many calls at once find those few at their budgets, and go beyond, once that has gone well for some time.
     let mut proxy = Proxy::new(many(false), 60);
     proxy.busy_rounds(60, 20 * MS);
-    let went: Vec<ServerId> = (0..40).flat_map(|_| sent(&proxy.call().1)).map(|s| s.1).collect();
+    let went: Vec<EndpointId> = (0..40).flat_map(|_| sent(&proxy.call().1)).map(|s| s.1).collect();
     assert_eq!(went.len(), 40, "a hot balancer starves at no subset");
     // Budgets that have grown take more than one each.
     assert!(std::collections::BTreeSet::from_iter(went).len() >= 30, "and crowds none of it");
--- a/crates/membership/examples/cost.rs
+++ b/crates/membership/examples/cost.rs
@@ -2,7 +2,7 @@
 //! MOMENT is `started` (all at once, the default), `zone` (the last eleventh is lost), `rack` (forty are) or
 //! `parted` (a third does not reach the others for three minutes); without SCOPES the fleet is one scope.
 
-use oakport_membership::{Config, Hearing, Identity, Micros, Peers, Standing};
+use oakport_membership::{Identity, MemberStatus, Micros, Node, NodeConfig, ScopeStatus};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::cmp::Reverse;
@@ -19,7 +19,7 @@
 const ZONES: usize = 11;
 
 struct Process {
-    peers: Peers,
+    peers: Node,
     runs: bool,
     /// When its time is to be told next, as far as that is in the heap.
     due: Micros,
@@ -85,12 +85,12 @@
         self.heap.push(Reverse((at, self.number, place)));
     }
 
-    fn act(&mut self, n: usize, act: impl FnOnce(&mut Peers)) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut Node)) {
         let begin = Instant::now();
         let process = &mut self.processes[n];
         act(&mut process.peers);
-        let (outbox, due) = (process.peers.outbox(), process.peers.next_due());
-        process.peers.news();
+        let (outbox, due) = (process.peers.take_outbox(), process.peers.next_deadline());
+        process.peers.take_events();
         self.own += begin.elapsed();
         for (to, datagram) in outbox {
             self.processes[n].sent(self.now, datagram.len() as u64 + HEADERS);
@@ -113,10 +113,10 @@
             self.free.push(place);
             match self.events[place].take() {
                 Some(Event::Time(n)) if self.processes[n].runs && self.processes[n].due == at => {
-                    self.act(n, |peers| peers.time(at));
+                    self.act(n, |peers| peers.handle_time(at));
                 }
                 Some(Event::Datagram(n, bytes)) if self.processes[n].runs => {
-                    self.act(n, |peers| peers.datagram(at, &bytes));
+                    self.act(n, |peers| peers.handle_datagram(at, &bytes));
                 }
                 _ => {}
             }
@@ -152,9 +152,9 @@
     let processes = (0..members).map(|n| {
         let own = Identity::new(&format!("n{n}"), address(n), SECOND, "1", &format!("zone-{}", n / zone));
         let seeds = (0..3).map(|_| address(random.next_u64() as usize % members)).collect();
-        let config = Config { fleet: "fares".to_owned(), seeds, balancers: 1 };
+        let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let scope = if scopes > 1 { format!("zone-{}", n * scopes / members) } else { String::new() };
-        let peers = Peers::in_scope(SECOND, random.next_u64(), own, config, &scope);
+        let peers = Node::with_scope(SECOND, random.next_u64(), own, config, &scope);
         Process { peers, runs: true, due: 0, spans: [0; 10], span: 0, worst: 0, bytes: 0 }
     });
     let mut net = Net {
@@ -168,9 +168,9 @@
         own: Duration::ZERO,
         parted: 0,
     };
-    (0..members).for_each(|n| net.act(n, |peers| peers.time(SECOND)));
+    (0..members).for_each(|n| net.act(n, |peers| peers.handle_time(SECOND)));
     let right = |net: &Net, count: usize| {
-        let near = |p: &&Process| p.runs && p.peers.count().get().abs_diff(count) * 20 <= count;
+        let near = |p: &&Process| p.runs && p.peers.live_count().get().abs_diff(count) * 20 <= count;
         net.processes.iter().filter(near).count()
     };
     let begin = net.now;
@@ -197,7 +197,7 @@
         net.parted = members * (scopes / 3).max(1) / scopes.max(3);
         for second in [50, 180] {
             net.until(begin + second * SECOND);
-            let least = net.processes.iter().map(|p| p.peers.count().get()).min();
+            let least = net.processes.iter().map(|p| p.peers.live_count().get()).min();
             println!("parted for {second} s: least count {least:?}");
         }
         net.tell("parted", begin);
@@ -208,7 +208,7 @@
         }
         println!("healed: all count right within 5% after {:.1} s", (net.now - begin) as f64 / SECOND as f64);
         net.until(begin + 15 * SECOND);
-        let exact = net.processes.iter().filter(|p| p.peers.count().get() == members).count();
+        let exact = net.processes.iter().filter(|p| p.peers.live_count().get() == members).count();
         println!("15 s after it healed {exact} of {members} count {members}");
         return net.tell("healed, 15 s", begin);
     }
@@ -222,14 +222,15 @@
     let begin = net.now;
     for second in 1..=10 {
         net.until(begin + second * SECOND);
-        let silent = |p: &&Process| p.peers.scopes().others().any(|(_, s)| s.hearing() == Hearing::Silent);
-        let all =
-            |p: &&Process| p.peers.view().members().filter(|s| s.standing == Standing::Dead).count() >= lost;
+        let silent = |p: &&Process| p.peers.scopes().iter().any(|(_, s)| s.status() == ScopeStatus::Silent);
+        let all = |p: &&Process| {
+            p.peers.members().members().filter(|s| s.status == MemberStatus::Dead).count() >= lost
+        };
         let alive = &net.processes[..alive];
         let (silent, all) = (alive.iter().filter(silent).count(), alive.iter().filter(all).count());
         println!("{second} s: {silent} hold a scope silent, {all} hold {lost} dead");
     }
     net.tell("lost, 10 s", begin);
-    let least = net.processes[..alive].iter().map(|p| p.peers.count().get()).min();
+    let least = net.processes[..alive].iter().map(|p| p.peers.live_count().get()).min();
     println!("least count {least:?} of {alive}");
 }
--- a/crates/membership/src/between.rs
+++ b/crates/membership/src/between.rs
@@ -1,8 +1,8 @@
 //! How what is known of scopes goes round: among the members of one, and by a few of them at a time between
 //! scopes.
 
-use crate::scopes::{Record, Scopes};
-use crate::view::{Standing, View};
+use crate::scopes::{ScopeSummary, ScopeTable};
+use crate::view::{MemberStatus, MemberTable};
 use crate::Micros;
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
@@ -31,14 +31,14 @@
     scope: String,
     /// An answer is wanted.
     asks: bool,
-    records: Vec<Record>,
+    records: Vec<ScopeSummary>,
 }
 
 impl Talk {
     /// Reads one that makes sense.
     pub(crate) fn read(content: &[u8]) -> Option<Talk> {
         let (talk, rest) = postcard::take_from_bytes::<Talk>(content).ok()?;
-        (rest.is_empty() && talk.scope.len() <= 64 && talk.records.iter().all(Record::makes_sense))
+        (rest.is_empty() && talk.scope.len() <= 64 && talk.records.iter().all(ScopeSummary::makes_sense))
             .then_some(talk)
     }
 }
@@ -50,7 +50,7 @@
 pub(crate) struct Between {
     /// The own scope's name.
     pub(crate) name: String,
-    pub(crate) scopes: Scopes,
+    pub(crate) scopes: ScopeTable,
     address: SocketAddr,
     random: Pcg64,
     /// When it talks next.
@@ -68,7 +68,7 @@
         let at = now + random.next_u64() % TALK;
         Between {
             name: name.to_owned(),
-            scopes: Scopes::default(),
+            scopes: ScopeTable::default(),
             address,
             random,
             at,
@@ -87,25 +87,25 @@
     }
 
     /// What this process can say of its own scope.
-    fn own(&self, view: &View, counted: usize) -> Record {
-        Record {
+    fn own(&self, view: &MemberTable, counted: usize) -> ScopeSummary {
+        ScopeSummary {
             scope: self.name.clone(),
-            counted: counted as u32,
-            present: view.size() as u32,
-            sure: view.sure() as u32,
+            live_count: counted as u32,
+            member_count: view.size() as u32,
+            unsuspected_count: view.unsuspected_count() as u32,
             digest: view.digest(),
             age_ms: 0,
             contacts: Vec::new(),
         }
     }
 
-    fn write(&self, asks: bool, records: impl Iterator<Item = Record>, room: usize) -> Option<Vec<u8>> {
+    fn write(&self, asks: bool, records: impl Iterator<Item = ScopeSummary>, room: usize) -> Option<Vec<u8>> {
         let mut left = room;
         // What a record takes at the most.
-        let size = |r: &Record| {
+        let size = |r: &ScopeSummary| {
             24 + r.scope.len() + r.contacts.iter().map(|c| if c.is_ipv4() { 10 } else { 22 }).sum::<usize>()
         };
-        let fits = |record: &Record| {
+        let fits = |record: &ScopeSummary| {
             let fits = size(record) <= left;
             left = left.saturating_sub(size(record));
             fits
@@ -117,7 +117,7 @@
     }
 
     /// It is so late: tells one of its own scope, and now and then one of another.
-    pub(crate) fn talk(&mut self, now: Micros, view: &View, counted: usize) -> Letters {
+    pub(crate) fn talk(&mut self, now: Micros, view: &MemberTable, counted: usize) -> Letters {
         if now < self.next_due() {
             return Vec::new();
         }
@@ -134,7 +134,7 @@
         if ((self.random.next_u64() >> 11) as f64) < wanted * (1u64 << 53) as f64 {
             let (which, who) = (self.random.next_u64(), self.random.next_u64());
             let number = (which % self.scopes.len() as u64) as usize;
-            let to = self.scopes.others().nth(number).and_then(|(_, scope)| scope.contact(who));
+            let to = self.scopes.iter().nth(number).and_then(|(_, scope)| scope.contact(who));
             letters.extend(to.and_then(|to| Some((to, self.across(now, view, own, true, None)?))));
         }
         letters
@@ -144,8 +144,8 @@
     fn across(
         &mut self,
         now: Micros,
-        view: &View,
-        own: Record,
+        view: &MemberTable,
+        own: ScopeSummary,
         asks: bool,
         kin: Option<&str>,
     ) -> Option<Vec<u8>> {
@@ -172,12 +172,18 @@
     }
 
     /// What a seed is asked.
-    pub(crate) fn ask(&self, view: &View, counted: usize) -> Option<Vec<u8>> {
+    pub(crate) fn ask(&self, view: &MemberTable, counted: usize) -> Option<Vec<u8>> {
         self.write(true, [self.own(view, counted)].into_iter(), BETWEEN)
     }
 
     /// Takes in what another said, and answers. Tells who it was, and whether it is of another scope.
-    pub(crate) fn heard(&mut self, now: Micros, talk: &Talk, view: &View, counted: usize) -> (Letters, bool) {
+    pub(crate) fn heard(
+        &mut self,
+        now: Micros,
+        talk: &Talk,
+        view: &MemberTable,
+        counted: usize,
+    ) -> (Letters, bool) {
         let elsewhere = talk.scope != self.name;
         let mut letters = Letters::new();
         if talk.from == self.address {
@@ -205,13 +211,13 @@
 
     /// Members of the own scope of whom others told and the view does not know; of those that went, only if
     /// it knows fewer than the others. Each is named once for each time that it was told of.
-    pub(crate) fn kin(&mut self, now: Micros, view: &View) -> Vec<SocketAddr> {
+    pub(crate) fn kin(&mut self, now: Micros, view: &MemberTable) -> Vec<SocketAddr> {
         let fewer = view.size() == 1 || view.size() < self.scopes.present(now);
         let address = self.address;
-        let wanted = |who: SocketAddr| match view.get(who).map(|seen| seen.standing) {
+        let wanted = |who: SocketAddr| match view.get(who).map(|seen| seen.status) {
             None => who != address,
-            Some(Standing::Left | Standing::Dead) => fewer,
-            Some(Standing::Present | Standing::Suspected) => false,
+            Some(MemberStatus::Left | MemberStatus::Dead) => fewer,
+            Some(MemberStatus::Alive | MemberStatus::Suspected) => false,
         };
         self.scopes.take_kin(wanted, 2)
     }
