--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -16,7 +16,7 @@
 
 /// The count in force.
 #[derive(Clone, Debug)]
-pub struct Count {
+pub struct LiveCount {
     /// What the configuration says.
     told: usize,
     count: usize,
@@ -32,12 +32,21 @@
     cut: bool,
 }
 
-impl Count {
+impl LiveCount {
     /// Begins with what the configuration says.
     pub fn new(now: Micros, told: usize) -> Self {
         let told = told.max(1);
         let (silent, deaths) = (VecDeque::new(), VecDeque::new());
-        Count { told, count: told, silent, deaths, departures: 0, held: now + HOLD, fell: now, cut: false }
+        LiveCount {
+            told,
+            count: told,
+            silent,
+            deaths,
+            departures: 0,
+            held: now + HOLD,
+            fell: now,
+            cut: false,
+        }
     }
 
     /// How many are counted.
@@ -46,17 +55,17 @@
     }
 
     /// So many fell silent together that it is taken for a cut.
-    pub fn is_cut(&self) -> bool {
+    pub fn suspects_partition(&self) -> bool {
         self.cut
     }
 
     /// The configuration says another number.
-    pub fn retell(&mut self, told: usize) {
+    pub fn set_configured(&mut self, told: usize) {
         self.told = told.max(1);
     }
 
     /// A member fell silent.
-    pub fn fell_silent(&mut self, now: Micros) {
+    pub fn member_suspected(&mut self, now: Micros) {
         self.silent.push_back(now);
         while self.silent.front().is_some_and(|at| at + TOGETHER < now) {
             self.silent.pop_front();
@@ -68,30 +77,30 @@
     }
 
     /// A member left and said so, or is confirmed dead: then others may yet be silent with it.
-    pub fn departed(&mut self, now: Micros, said: bool) {
+    pub fn member_departed(&mut self, now: Micros, said: bool) {
         if said {
             self.departures += 1;
             return;
         }
-        self.hold(now);
+        self.freeze(now);
         if !self.cut {
             self.deaths.push_back(now + TOGETHER);
         }
     }
 
     /// So many are gone, as was said or confirmed elsewhere.
-    pub fn fewer(&mut self, number: usize) {
+    pub fn confirm_departures(&mut self, number: usize) {
         self.departures += number;
     }
 
     /// From now on the count stays for some time, but for what was said or confirmed.
-    pub fn hold(&mut self, now: Micros) {
+    pub fn freeze(&mut self, now: Micros) {
         self.held = self.held.max(now + HOLD);
     }
 
     /// Looks at the view: so many are there, this process included, of whom so many are not suspected, and
     /// the others agree or not.
-    pub fn look(&mut self, now: Micros, there: usize, sure: usize, agreed: bool) {
+    pub fn update(&mut self, now: Micros, there: usize, sure: usize, agreed: bool) {
         // Alone it serves as a process without peers does.
         let there = if there <= 1 { self.told } else { there };
         while self.deaths.front().is_some_and(|at| *at <= now) {
@@ -100,7 +109,7 @@
         }
         if !agreed {
             // Who disagrees may know of some that are not seen from here.
-            self.hold(now);
+            self.freeze(now);
         }
         if there >= self.count {
             (self.count, self.departures) = (there, 0);
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -10,13 +10,13 @@
 /// What a datagram holds: the fourth byte, a kind in its upper half and the kind's version in the lower one.
 /// Who knows only the first kind takes the others for another version of it, and throws them away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DatagramKind {
     /// What `foca` says to members of one scope.
-    Members = 0x01,
+    Swim = 0x01,
     /// What is told of scopes.
-    Scopes = 0x11,
+    ScopeGossip = 0x11,
     /// What members of one scope ask and tell each other where their views differ.
-    Sync = 0x21,
+    AntiEntropy = 0x21,
 }
 
 /// What stands before a datagram's content.
@@ -30,13 +30,13 @@
 
 /// Why a datagram is thrown away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Odd {
+pub enum DatagramError {
     /// It is no datagram of oakport's.
-    Mark,
+    Magic,
     /// It has another version.
     Version,
     /// It was damaged, or cut.
-    Damaged,
+    Checksum,
     /// It is another fleet's.
     Fleet,
     /// Its content makes no sense.
@@ -59,11 +59,11 @@
 
     /// A whole datagram of the first kind.
     pub fn seal(&self, content: &[u8]) -> Vec<u8> {
-        self.seal_as(Kind::Members, content)
+        self.seal_as(DatagramKind::Swim, content)
     }
 
     /// A whole datagram.
-    pub fn seal_as(&self, kind: Kind, content: &[u8]) -> Vec<u8> {
+    pub fn seal_as(&self, kind: DatagramKind, content: &[u8]) -> Vec<u8> {
         let mut whole = Vec::with_capacity(LENGTH + content.len());
         whole.extend_from_slice(&MARK);
         whole.push(kind as u8);
@@ -78,9 +78,9 @@
     ///
     /// # Errors
     /// Why it is thrown away.
-    pub fn open(fleet: u32, datagram: &[u8]) -> Result<(Envelope, &[u8]), Odd> {
+    pub fn open(fleet: u32, datagram: &[u8]) -> Result<(Envelope, &[u8]), DatagramError> {
         let (envelope, _, content) =
-            Envelope::open_any(|kind| (kind == Kind::Members).then_some(fleet), datagram)?;
+            Envelope::open_any(|kind| (kind == DatagramKind::Swim).then_some(fleet), datagram)?;
         Ok((envelope, content))
     }
 
@@ -89,24 +89,26 @@
     /// # Errors
     /// Why it is thrown away.
     pub fn open_any(
-        fleet: impl Fn(Kind) -> Option<u32>,
+        fleet: impl Fn(DatagramKind) -> Option<u32>,
         datagram: &[u8],
-    ) -> Result<(Envelope, Kind, &[u8]), Odd> {
-        let (mark, rest) = datagram.split_first_chunk::<4>().ok_or(Odd::Mark)?;
+    ) -> Result<(Envelope, DatagramKind, &[u8]), DatagramError> {
+        let (mark, rest) = datagram.split_first_chunk::<4>().ok_or(DatagramError::Magic)?;
         if mark[..3] != MARK {
-            return Err(Odd::Mark);
+            return Err(DatagramError::Magic);
         }
-        let kind = [Kind::Members, Kind::Scopes, Kind::Sync].into_iter().find(|kind| *kind as u8 == mark[3]);
-        let kind = kind.ok_or(Odd::Version)?;
-        let fleet = fleet(kind).ok_or(Odd::Version)?;
-        let (found, rest) = rest.split_first_chunk::<4>().ok_or(Odd::Damaged)?;
-        let (digest, rest) = rest.split_first_chunk::<4>().ok_or(Odd::Damaged)?;
-        let (sum, content) = rest.split_first_chunk::<4>().ok_or(Odd::Damaged)?;
+        let kind = [DatagramKind::Swim, DatagramKind::ScopeGossip, DatagramKind::AntiEntropy]
+            .into_iter()
+            .find(|kind| *kind as u8 == mark[3]);
+        let kind = kind.ok_or(DatagramError::Version)?;
+        let fleet = fleet(kind).ok_or(DatagramError::Version)?;
+        let (found, rest) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
+        let (digest, rest) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
+        let (sum, content) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
         if checksum(&datagram[..12], content) != u32::from_be_bytes(*sum) {
-            return Err(Odd::Damaged);
+            return Err(DatagramError::Checksum);
         }
         if u32::from_be_bytes(*found) != fleet {
-            return Err(Odd::Fleet);
+            return Err(DatagramError::Fleet);
         }
         Ok((Envelope { fleet, digest: u32::from_be_bytes(*digest) }, kind, content))
     }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -24,7 +24,7 @@
     /// Where others reach it; what it is known by.
     pub address: SocketAddr,
     /// When it started, in milliseconds of Unix time; of two at one address the greater is the member.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it runs.
     pub release: String,
     /// Where it is.
@@ -39,17 +39,17 @@
     /// A member that starts; texts that are too long are cut.
     pub fn new(name: &str, address: SocketAddr, life: u64, release: &str, zone: &str) -> Self {
         let [name, release, zone] = [name, release, zone].map(cut);
-        Identity { name, address, life, release, zone, leaving: false, renewed: 0 }
+        Identity { name, address, incarnation: life, release, zone, leaving: false, renewed: 0 }
     }
 
     /// Stands for whoever is at an address, as long as nobody is known there.
-    pub fn unknown(address: SocketAddr) -> Self {
+    pub fn unidentified(address: SocketAddr) -> Self {
         Identity::new("", address, 0, "", "")
     }
 
     /// The same member, which leaves.
-    pub fn leaves(&self) -> Self {
-        Identity { leaving: true, life: self.life + 1, ..self.clone() }
+    pub fn into_leaving(&self) -> Self {
+        Identity { leaving: true, incarnation: self.incarnation + 1, ..self.clone() }
     }
 }
 
@@ -62,8 +62,8 @@
         if self.leaving {
             return None;
         }
-        let life = self.life.saturating_add(STEP << self.renewed.min(STEPS_MOST));
-        Some(Identity { life, renewed: self.renewed.saturating_add(1), ..self.clone() })
+        let life = self.incarnation.saturating_add(STEP << self.renewed.min(STEPS_MOST));
+        Some(Identity { incarnation: life, renewed: self.renewed.saturating_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -72,6 +72,6 @@
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
         // Of two that started at one moment all must prefer the same.
-        (self.life, &self.name) > (adversary.life, &adversary.name)
+        (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,12 +14,12 @@
 mod view;
 mod wire;
 
-pub use count::Count;
-pub use envelope::{Envelope, Kind, Odd};
+pub use count::LiveCount;
+pub use envelope::{DatagramError, DatagramKind, Envelope};
 pub use identity::Identity;
-pub use peers::{Config, News, Peers};
-pub use scopes::{Hearing, Record, Scope, Scopes};
-pub use view::{Seen, Standing, View};
+pub use peers::{MembershipEvent, Node, NodeConfig};
+pub use scopes::{RemoteScope, ScopeStatus, ScopeSummary, ScopeTable};
+pub use view::{MemberRecord, MemberStatus, MemberTable};
 
 /// A moment or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -2,12 +2,12 @@
 
 use crate::between::{Between, Talk};
 use crate::bucket::{Bucket, Weight};
-use crate::envelope::{Envelope, Kind, Odd, LENGTH};
+use crate::envelope::{DatagramError, DatagramKind, Envelope, LENGTH};
 use crate::identity::cut;
-use crate::scopes::{Hearing, Scopes};
+use crate::scopes::{ScopeStatus, ScopeTable};
 use crate::sync::{self, Exchange, Sync};
-use crate::view::{Standing, View};
-use crate::{wire, Count, Identity, Micros};
+use crate::view::{MemberStatus, MemberTable};
+use crate::{wire, Identity, LiveCount, Micros};
 use foca::{Foca, Member, Notification, PeriodicParams, PostcardCodec, Runtime, State, Timer};
 use rand_pcg_next::rand_core::SeedableRng;
 use rand_pcg_next::Pcg64;
@@ -26,7 +26,7 @@
 const ASKED: usize = 3;
 /// A suspected member has so long to refute.
 const SUSPICION: Micros = 1_350_000;
-/// News go along with so many datagrams.
+/// MembershipEvent go along with so many datagrams.
 const TOLD: u8 = 16;
 /// While so many wait, each goes along less often: all that are told still have it by some of them.
 const MANY: usize = 100;
@@ -45,35 +45,35 @@
 const KIN: Micros = 200_000;
 /// An agreement of this share is one.
 const AGREED: f64 = 0.9;
-/// News that wait to be taken; beyond them they are counted only.
+/// MembershipEvent that wait to be taken; beyond them they are counted only.
 const NEWS_MOST: usize = 256;
 
 /// What a process is told of its peers.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct NodeConfig {
     /// The fleet's name.
-    pub fleet: String,
+    pub fleet_name: String,
     /// Addresses that are asked first.
     pub seeds: Vec<SocketAddr>,
     /// Processes that there should be.
-    pub balancers: usize,
+    pub configured_count: usize,
 }
 
 /// Something that people are told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum MembershipEvent {
     /// A member stands so from now on.
-    Member(Identity, Standing),
+    MemberChanged(Identity, MemberStatus),
     /// Two members that are there have one name.
-    OneName(String, SocketAddr, SocketAddr),
+    NameConflict(String, SocketAddr, SocketAddr),
     /// This process was held dead, and has come back.
-    CameBack,
+    Rejoined,
     /// So many fell silent together that it is taken for a cut, or no longer.
-    Cut(bool),
+    PartitionSuspected(bool),
     /// The count in force has changed.
-    Count(usize),
+    LiveCount(usize),
     /// Another scope is silent, or heard of again.
-    Scope(String, Hearing),
+    ScopeChanged(String, ScopeStatus),
 }
 
 /// What `foca` wants done.
@@ -112,23 +112,23 @@
 }
 
 /// One process among its peers.
-pub struct Peers {
+pub struct Node {
     foca: Foca<Identity, PostcardCodec, Pcg64, foca::NoCustomBroadcast>,
-    config: Config,
+    config: NodeConfig,
     /// The hash of the fleet's name, and of the own scope's in it.
     fleet: u32,
     scope: u32,
     /// By when they are due, and their order.
     timers: BTreeMap<(Micros, u64), Timer<Identity>>,
     number: u64,
-    view: View,
+    view: MemberTable,
     /// Addresses of members that are suspected, as far as it was told or found out since the last look.
     doubted: BTreeSet<SocketAddr>,
     /// The life that is part of the view's digest.
     life: u64,
-    count: Count,
+    count: LiveCount,
     /// The count of the own scope alone, as others are told it.
-    own_count: Count,
+    own_count: LiveCount,
     /// What the own scope and the others counted at the last look.
     counted: usize,
     between: Between,
@@ -137,10 +137,10 @@
     kin_at: Micros,
     exchange: Exchange,
     bucket: Bucket,
-    /// News go along so often at present.
+    /// MembershipEvent go along so often at present.
     told: u8,
     outbox: Vec<(SocketAddr, Vec<u8>)>,
-    news: Vec<News>,
+    news: Vec<MembershipEvent>,
     seeds_at: Micros,
     looked: Micros,
     left: bool,
@@ -148,7 +148,7 @@
     /// Bytes that were sent.
     pub bytes_sent: u64,
     /// Datagrams that were thrown away, by why.
-    pub odd: BTreeMap<&'static str, u64>,
+    pub discarded_datagrams: BTreeMap<&'static str, u64>,
 }
 
 /// The figures of the protocol.
@@ -172,25 +172,25 @@
     }
 }
 
-impl Peers {
+impl Node {
     /// Begins in a fleet that is one scope, knowing nobody.
-    pub fn new(now: Micros, seed: u64, own: Identity, config: Config) -> Self {
-        Peers::in_scope(now, seed, own, config, "")
+    pub fn new(now: Micros, seed: u64, own: Identity, config: NodeConfig) -> Self {
+        Node::with_scope(now, seed, own, config, "")
     }
 
     /// Begins in a scope, knowing nobody; a name that is too long is cut.
-    pub fn in_scope(now: Micros, seed: u64, own: Identity, config: Config, scope: &str) -> Self {
+    pub fn with_scope(now: Micros, seed: u64, own: Identity, config: NodeConfig, scope: &str) -> Self {
         let scope = &cut(scope);
-        let fleet = Envelope::fleet(&config.fleet);
+        let fleet = Envelope::fleet(&config.fleet_name);
         let between = Between::new(now, seed, scope, own.address);
-        let mut view = View::default();
+        let mut view = MemberTable::default();
         view.own(&own);
-        let count = Count::new(now, config.balancers);
-        Peers {
-            life: own.life,
+        let count = LiveCount::new(now, config.configured_count);
+        Node {
+            life: own.incarnation,
             foca: Foca::new(own, figures(TOLD), Pcg64::seed_from_u64(seed), PostcardCodec),
             fleet,
-            scope: Envelope::scope(&config.fleet, scope),
+            scope: Envelope::scope(&config.fleet_name, scope),
             config,
             timers: BTreeMap::new(),
             number: 0,
@@ -198,7 +198,7 @@
             doubted: BTreeSet::new(),
             count,
             // It says what is there, not what there should be.
-            own_count: Count::new(now, 1),
+            own_count: LiveCount::new(now, 1),
             counted: 1,
             between,
             elsewhere: BTreeSet::new(),
@@ -213,27 +213,27 @@
             left: false,
             told_cut: false,
             bytes_sent: 0,
-            odd: BTreeMap::new(),
+            discarded_datagrams: BTreeMap::new(),
         }
     }
 
     /// Who this process is.
-    pub fn own(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
     /// What it holds of the others.
-    pub fn view(&self) -> &View {
+    pub fn members(&self) -> &MemberTable {
         &self.view
     }
 
     /// How many processes share the servers.
-    pub fn count(&self) -> &Count {
+    pub fn live_count(&self) -> &LiveCount {
         &self.count
     }
 
     /// What it holds of other scopes.
-    pub fn scopes(&self) -> &Scopes {
+    pub fn scopes(&self) -> &ScopeTable {
         &self.between.scopes
     }
 
@@ -243,17 +243,17 @@
     }
 
     /// So many fell silent that it is taken for a cut.
-    pub fn is_cut(&self) -> bool {
-        self.count.is_cut() || self.own_count.is_cut()
+    pub fn suspects_partition(&self) -> bool {
+        self.count.suspects_partition() || self.own_count.suspects_partition()
     }
 
     /// Nobody else is known to be there.
-    pub fn alone(&self) -> bool {
+    pub fn is_alone(&self) -> bool {
         self.view.size() == 1 && self.between.scopes.counted() == 0
     }
 
     /// When the time must be told next.
-    pub fn next_due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let timer = self.timers.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
         // Who has left asks and talks no more.
         let talks = self.seeds_at.min(self.between.next_due()).min(self.exchange.again);
@@ -262,34 +262,36 @@
     }
 
     /// Takes what is to be sent.
-    pub fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Takes what people are told.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.news)
     }
 
     /// The configuration says another number of processes.
-    pub fn retell(&mut self, balancers: usize) {
-        self.count.retell(balancers);
+    pub fn set_configured_count(&mut self, balancers: usize) {
+        self.count.set_configured(balancers);
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, now: Micros, datagram: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         let fleet = |kind| match kind {
-            Kind::Members | Kind::Sync => Some(self.scope),
-            Kind::Scopes => Some(self.fleet),
+            DatagramKind::Swim | DatagramKind::AntiEntropy => Some(self.scope),
+            DatagramKind::ScopeGossip => Some(self.fleet),
         };
         let (envelope, content) = match Envelope::open_any(fleet, datagram) {
-            Ok((envelope, Kind::Members, content)) => (envelope, content),
-            Ok((_, Kind::Scopes, content)) => return self.talked(now, content),
-            Ok((envelope, Kind::Sync, content)) => return self.synced(now, envelope.digest, content),
+            Ok((envelope, DatagramKind::Swim, content)) => (envelope, content),
+            Ok((_, DatagramKind::ScopeGossip, content)) => return self.talked(now, content),
+            Ok((envelope, DatagramKind::AntiEntropy, content)) => {
+                return self.synced(now, envelope.digest, content)
+            }
             Err(odd) => return self.threw_away(odd),
         };
         let mut wanted = Wanted::default();
-        let Ok((from, doubted)) = wire::read(content) else { return self.threw_away(Odd::Content) };
+        let Ok((from, doubted)) = wire::read(content) else { return self.threw_away(DatagramError::Content) };
         let done = self.foca.handle_data(content, &mut wanted);
         if done.is_ok() {
             self.doubted.extend(doubted);
@@ -299,13 +301,13 @@
             Ok(()) => self.view.heard(now, from, envelope.digest),
             // A member that was held dead, or this process at an earlier life, is no oddity.
             Err(foca::Error::DataFromOurselves | foca::Error::NotConnected) => {}
-            Err(_) => self.threw_away(Odd::Content),
+            Err(_) => self.threw_away(DatagramError::Content),
         }
     }
 
     /// A member tells what it knows of scopes.
     fn talked(&mut self, now: Micros, content: &[u8]) {
-        let Some(talk) = Talk::read(content) else { return self.threw_away(Odd::Content) };
+        let Some(talk) = Talk::read(content) else { return self.threw_away(DatagramError::Content) };
         let news = self.between.scopes.is_empty();
         let (letters, elsewhere) = self.between.heard(now, &talk, &self.view, self.own_count.get());
         if self.config.seeds.contains(&talk.from) {
@@ -314,11 +316,11 @@
                 false => self.elsewhere.remove(&talk.from),
             };
         }
-        self.write(now, self.fleet, Kind::Scopes, letters);
+        self.write(now, self.fleet, DatagramKind::ScopeGossip, letters);
         if now >= self.kin_at && !self.left {
             self.kin_at = now + KIN;
             for who in self.between.kin(now, &self.view) {
-                self.announce(now, Identity::unknown(who));
+                self.announce(now, Identity::unidentified(who));
             }
         }
         if news != self.between.scopes.is_empty() {
@@ -328,17 +330,17 @@
 
     /// A member of the scope asks for ranges, or gives some.
     fn synced(&mut self, now: Micros, digest: u32, content: &[u8]) {
-        let Some(said) = Sync::read(content) else { return self.threw_away(Odd::Content) };
+        let Some(said) = Sync::read(content) else { return self.threw_away(DatagramError::Content) };
         let from = said.from();
         // Who is not known has not announced itself, and what it is given could go to anybody.
-        if self.left || !self.view.get(from).is_some_and(|seen| seen.standing.is_there()) {
+        if self.left || !self.view.get(from).is_some_and(|seen| seen.status.is_live()) {
             return;
         }
         self.view.heard(now, from, digest);
         match said {
             Sync::Ask { place, digests, .. } => {
-                let Some(gives) = sync::give(self.own().address, &self.view, place, &digests) else {
-                    return self.threw_away(Odd::Content);
+                let Some(gives) = sync::give(self.identity().address, &self.view, place, &digests) else {
+                    return self.threw_away(DatagramError::Content);
                 };
                 gives.iter().for_each(|give| self.sync(now, from, give));
             }
@@ -355,12 +357,12 @@
 
     fn sync(&mut self, now: Micros, to: SocketAddr, said: &Sync) {
         let letter = said.write().map(|content| (to, content));
-        self.write(now, self.scope, Kind::Sync, letter.into_iter().collect());
+        self.write(now, self.scope, DatagramKind::AntiEntropy, letter.into_iter().collect());
     }
 
-    fn write(&mut self, now: Micros, fleet: u32, kind: Kind, letters: Vec<(SocketAddr, Vec<u8>)>) {
+    fn write(&mut self, now: Micros, fleet: u32, kind: DatagramKind, letters: Vec<(SocketAddr, Vec<u8>)>) {
         let envelope = Envelope { fleet, digest: self.view.digest() };
-        let weight = if kind == Kind::Scopes { Weight::Record } else { Weight::News };
+        let weight = if kind == DatagramKind::ScopeGossip { Weight::Record } else { Weight::News };
         for (to, content) in letters {
             let length = LENGTH + content.len();
             if self.bucket.room(now, weight, length, length).is_some() {
@@ -372,10 +374,10 @@
     /// Somebody holds another view: asks for what it has there.
     fn ask(&mut self, now: Micros, who: SocketAddr) {
         let present = self.between.scopes.present(now);
-        match self.exchange.ask(self.own().address, &self.view, present) {
+        match self.exchange.ask(self.identity().address, &self.view, present) {
             Some(ask) => self.sync(now, who, &ask),
             None => {
-                let who = self.view.get(who).map(|seen| seen.who.clone());
+                let who = self.view.get(who).map(|seen| seen.identity.clone());
                 who.into_iter().for_each(|who| self.announce(now, who));
             }
         }
@@ -419,19 +421,19 @@
         self.done(now, wanted);
     }
 
-    fn threw_away(&mut self, odd: Odd) {
+    fn threw_away(&mut self, odd: DatagramError) {
         let name = match odd {
-            Odd::Mark => "mark",
-            Odd::Version => "version",
-            Odd::Damaged => "damaged",
-            Odd::Fleet => "fleet",
-            Odd::Content => "content",
+            DatagramError::Magic => "mark",
+            DatagramError::Version => "version",
+            DatagramError::Checksum => "damaged",
+            DatagramError::Fleet => "fleet",
+            DatagramError::Content => "content",
         };
-        *self.odd.entry(name).or_default() += 1;
+        *self.discarded_datagrams.entry(name).or_default() += 1;
     }
 
     /// It is so late.
-    pub fn time(&mut self, now: Micros) {
+    pub fn handle_time(&mut self, now: Micros) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             let timer = entry.remove();
             let mut wanted = Wanted::default();
@@ -446,22 +448,23 @@
             self.seeds_at = now + if alone { SEEDS } else { MORE };
             let asks = self.between.asks(now, alone);
             for seed in self.config.seeds.clone() {
-                if seed == self.own().address || self.view.get(seed).is_some_and(|s| s.standing.is_there()) {
+                if seed == self.identity().address || self.view.get(seed).is_some_and(|s| s.status.is_live())
+                {
                     continue;
                 }
                 if !self.elsewhere.contains(&seed) {
-                    self.announce(now, Identity::unknown(seed));
+                    self.announce(now, Identity::unidentified(seed));
                 }
                 if asks {
                     let letter = self.between.ask(&self.view, self.own_count.get());
                     let letters = letter.into_iter().map(|letter| (seed, letter)).collect();
-                    self.write(now, self.fleet, Kind::Scopes, letters);
+                    self.write(now, self.fleet, DatagramKind::ScopeGossip, letters);
                 }
             }
         }
         if !self.left {
             let letters = self.between.talk(now, &self.view, self.own_count.get());
-            self.write(now, self.fleet, Kind::Scopes, letters);
+            self.write(now, self.fleet, DatagramKind::ScopeGossip, letters);
         }
         if !self.left && self.exchange.is_due(now) {
             self.view.other(now).into_iter().for_each(|who| self.ask(now, who));
@@ -481,7 +484,7 @@
     /// Says that it leaves.
     pub fn leave(&mut self, now: Micros) {
         let mut wanted = Wanted::default();
-        let last = self.own().leaves();
+        let last = self.identity().into_leaving();
         // What cannot be said is found out by silence.
         let _ = self.foca.change_identity(last, &mut wanted);
         let _ = self.foca.leave_cluster(&mut wanted);
@@ -489,9 +492,16 @@
         self.done(now, wanted);
     }
 
-    fn tell(&mut self, news: News) {
+    fn tell(&mut self, news: MembershipEvent) {
         // What is in force is told in any case.
-        if self.news.len() < NEWS_MOST || matches!(news, News::Count(_) | News::Cut(_) | News::Scope(..)) {
+        if self.news.len() < NEWS_MOST
+            || matches!(
+                news,
+                MembershipEvent::LiveCount(_)
+                    | MembershipEvent::PartitionSuspected(_)
+                    | MembershipEvent::ScopeChanged(..)
+            )
+        {
             self.news.push(news);
         }
     }
@@ -502,19 +512,19 @@
         self.exchange.came(now, wanted.told.iter().filter(|told| matches!(told, Told::Up(_))).count());
         for told in wanted.told {
             match told {
-                Told::Up(who) => self.stands(now, &who, Standing::Present),
+                Told::Up(who) => self.stands(now, &who, MemberStatus::Alive),
                 Told::Down(who) => {
-                    let standing = if who.leaving { Standing::Left } else { Standing::Dead };
+                    let standing = if who.leaving { MemberStatus::Left } else { MemberStatus::Dead };
                     self.stands(now, &who, standing);
                 }
                 // One that was not there is told of as up, if it is.
                 Told::Renamed(new) => {
-                    let standing = self.view.get(new.address).map(|seen| seen.standing);
-                    if let Some(standing) = standing.filter(|standing| standing.is_there()) {
+                    let standing = self.view.get(new.address).map(|seen| seen.status);
+                    if let Some(standing) = standing.filter(|standing| standing.is_live()) {
                         self.stands(now, &new, standing);
                     }
                 }
-                Told::CameBack => self.tell(News::CameBack),
+                Told::CameBack => self.tell(MembershipEvent::Rejoined),
             }
         }
         for (after, timer) in wanted.timers {
@@ -525,8 +535,8 @@
             self.timers.insert((now + after, self.number), timer);
         }
         let own = self.foca.identity();
-        if self.life != own.life {
-            self.life = own.life;
+        if self.life != own.incarnation {
+            self.life = own.incarnation;
             self.view.own(own);
         }
         for (to, content) in wanted.send {
@@ -538,37 +548,37 @@
         }
     }
 
-    fn stands(&mut self, now: Micros, who: &Identity, standing: Standing) {
-        let old = self.view.get(who.address).map(|seen| seen.standing);
+    fn stands(&mut self, now: Micros, who: &Identity, standing: MemberStatus) {
+        let old = self.view.get(who.address).map(|seen| seen.status);
         if !self.view.set(now, who, standing) {
             return;
         }
         match standing {
-            Standing::Suspected => self.fell_silent(now),
+            MemberStatus::Suspected => self.fell_silent(now),
             // Silence of which only its end is heard.
-            Standing::Dead if old == Some(Standing::Present) => self.fell_silent(now),
+            MemberStatus::Dead if old == Some(MemberStatus::Alive) => self.fell_silent(now),
             _ => {}
         }
-        if matches!(standing, Standing::Left | Standing::Dead) {
-            self.own_count.departed(now, standing == Standing::Left);
+        if matches!(standing, MemberStatus::Left | MemberStatus::Dead) {
+            self.own_count.member_departed(now, standing == MemberStatus::Left);
         }
-        if standing == Standing::Dead {
-            self.count.hold(now);
+        if standing == MemberStatus::Dead {
+            self.count.freeze(now);
         }
         // One that was suspected meanwhile has been told of.
-        if standing == Standing::Present && !old.is_some_and(Standing::is_there) {
+        if standing == MemberStatus::Alive && !old.is_some_and(MemberStatus::is_live) {
             let other = self.view.namesake(who);
-            let own = (self.own().name == who.name).then_some(self.own().address);
+            let own = (self.identity().name == who.name).then_some(self.identity().address);
             if let Some(other) = other.or(own) {
-                self.tell(News::OneName(who.name.clone(), other, who.address));
+                self.tell(MembershipEvent::NameConflict(who.name.clone(), other, who.address));
             }
         }
-        self.tell(News::Member(who.clone(), standing));
+        self.tell(MembershipEvent::MemberChanged(who.clone(), standing));
     }
 
     fn fell_silent(&mut self, now: Micros) {
-        self.count.fell_silent(now);
-        self.own_count.fell_silent(now);
+        self.count.member_suspected(now);
+        self.own_count.member_suspected(now);
     }
 
     /// Takes suspicions in, and brings the count up to date.
@@ -580,10 +590,10 @@
             let states: Vec<(Identity, State)> = states.map(|m| (m.id().clone(), m.state())).collect();
             for (who, state) in states {
                 match state {
-                    State::Alive => self.stands(now, &who, Standing::Present),
+                    State::Alive => self.stands(now, &who, MemberStatus::Alive),
                     State::Suspect => {
                         self.doubted.insert(who.address);
-                        self.stands(now, &who, Standing::Suspected);
+                        self.stands(now, &who, MemberStatus::Suspected);
                     }
                     State::Down => {}
                 }
@@ -591,24 +601,24 @@
         }
         self.view.tidy(now);
         let before = self.count.get();
-        let agreed = self.view.agreement(now) >= AGREED;
-        self.own_count.look(now, self.view.size(), self.view.sure(), agreed);
+        let agreed = self.view.agreement_ratio(now) >= AGREED;
+        self.own_count.update(now, self.view.size(), self.view.unsuspected_count(), agreed);
         for (name, hearing) in self.between.scopes.look(now, before) {
-            self.tell(News::Scope(name, hearing));
+            self.tell(MembershipEvent::ScopeChanged(name, hearing));
         }
         let scopes = &self.between.scopes;
         let counted = self.own_count.get().max(scopes.own(now)) + scopes.counted();
         // Each scope has waited until it was safe to count fewer.
         let fell = std::mem::replace(&mut self.counted, counted).saturating_sub(counted);
-        self.count.fewer(fell);
-        let there = if self.alone() { 1 } else { counted };
-        self.count.look(now, there, self.view.sure() + self.between.scopes.sure(), agreed);
-        let cut = self.is_cut();
+        self.count.confirm_departures(fell);
+        let there = if self.is_alone() { 1 } else { counted };
+        self.count.update(now, there, self.view.unsuspected_count() + self.between.scopes.sure(), agreed);
+        let cut = self.suspects_partition();
         if std::mem::replace(&mut self.told_cut, cut) != cut {
-            self.tell(News::Cut(cut));
+            self.tell(MembershipEvent::PartitionSuspected(cut));
         }
         if self.count.get() != before {
-            self.tell(News::Count(self.count.get()));
+            self.tell(MembershipEvent::LiveCount(self.count.get()));
         }
     }
 }
--- a/crates/membership/src/scopes.rs
+++ b/crates/membership/src/scopes.rs
@@ -27,7 +27,7 @@
 const VOICES: usize = 8;
 /// Contacts that are kept.
 const CONTACTS: usize = 16;
-/// Scopes that are known at the most.
+/// ScopeTable that are known at the most.
 const SCOPES: usize = 256;
 /// Bytes of a scope's name, and members of a scope, at the most; what says more makes no sense.
 const NAME: usize = 64;
@@ -35,15 +35,15 @@
 
 /// What is told of a scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ScopeSummary {
     /// Its name; empty is that of those who have none.
     pub scope: String,
     /// How many share the servers, by the safe side of whoever made this.
-    pub counted: u32,
+    pub live_count: u32,
     /// Members that are there.
-    pub present: u32,
+    pub member_count: u32,
     /// Members that are there and not suspected.
-    pub sure: u32,
+    pub unsuspected_count: u32,
     /// The digest of its maker's view.
     pub digest: u32,
     /// How old it is, in milliseconds.
@@ -52,10 +52,12 @@
     pub contacts: Vec<SocketAddr>,
 }
 
-impl Record {
+impl ScopeSummary {
     /// It can be what a member told.
     pub(crate) fn makes_sense(&self) -> bool {
-        let numbers = self.sure <= self.present && self.present <= MEMBERS && self.counted <= MEMBERS;
+        let numbers = self.unsuspected_count <= self.member_count
+            && self.member_count <= MEMBERS
+            && self.live_count <= MEMBERS;
         numbers && self.scope.len() <= NAME && self.contacts.len() <= CONTACTS
     }
 }
@@ -72,7 +74,7 @@
 
 /// Whether a scope is heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hearing {
+pub enum ScopeStatus {
     /// It is.
     Fresh,
     /// Not for some seconds; its count stays, or falls step by step.
@@ -81,18 +83,18 @@
 
 /// Another scope as it is seen from here.
 #[derive(Clone, Debug)]
-pub struct Scope {
+pub struct RemoteScope {
     voices: Vec<Voice>,
     contacts: VecDeque<SocketAddr>,
-    hearing: Hearing,
+    hearing: ScopeStatus,
     counted: usize,
     fell: Micros,
 }
 
-impl Scope {
+impl RemoteScope {
     fn new(now: Micros) -> Self {
         let (voices, contacts) = (Vec::new(), VecDeque::new());
-        Scope { voices, contacts, hearing: Hearing::Fresh, counted: 0, fell: now }
+        RemoteScope { voices, contacts, hearing: ScopeStatus::Fresh, counted: 0, fell: now }
     }
 
     fn youngest(&self) -> Option<&Voice> {
@@ -100,12 +102,12 @@
     }
 
     /// How many of it are counted.
-    pub fn counted(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.counted
     }
 
     /// Members that were there by the youngest record.
-    pub fn present(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.youngest().map_or(0, |voice| voice.present)
     }
 
@@ -120,7 +122,7 @@
     }
 
     /// Whether it is heard of.
-    pub fn hearing(&self) -> Hearing {
+    pub fn status(&self) -> ScopeStatus {
         self.hearing
     }
 
@@ -158,22 +160,22 @@
 
     /// Brings its part of the count up to date; `all` is the count in force, and this process listens since
     /// `awake`.
-    fn look(&mut self, now: Micros, all: usize, awake: Micros) -> Option<Hearing> {
+    fn look(&mut self, now: Micros, all: usize, awake: Micros) -> Option<ScopeStatus> {
         let youngest = self.youngest().map_or(0, |voice| voice.made).max(awake);
-        let hearing = if now <= youngest + SILENT { Hearing::Fresh } else { Hearing::Silent };
+        let hearing = if now <= youngest + SILENT { ScopeStatus::Fresh } else { ScopeStatus::Silent };
         match hearing {
-            Hearing::Fresh => {
+            ScopeStatus::Fresh => {
                 // None, after this process itself stood still: then what it knew stays.
                 if let Some(most) = self.voices(now).map(|voice| voice.counted).max() {
                     self.counted = most;
                     self.voices.retain(|voice| now <= voice.made + SILENT);
                 }
             }
-            Hearing::Silent if now > youngest + HOLD && now >= self.fell + STEP => {
+            ScopeStatus::Silent if now > youngest + HOLD && now >= self.fell + STEP => {
                 let step = ((all as f64 * FALL) as usize).max(1);
                 (self.counted, self.fell) = (self.counted.saturating_sub(step), now);
             }
-            Hearing::Silent => {}
+            ScopeStatus::Silent => {}
         }
         (std::mem::replace(&mut self.hearing, hearing) != hearing).then_some(hearing)
     }
@@ -181,23 +183,23 @@
 
 /// All scopes but the own; of that, what others told.
 #[derive(Clone, Debug, Default)]
-pub struct Scopes {
-    others: BTreeMap<String, Scope>,
+pub struct ScopeTable {
+    others: BTreeMap<String, RemoteScope>,
     /// What others of the own scope told of it.
-    own: Option<Scope>,
+    own: Option<RemoteScope>,
     looked: Micros,
     /// Since when this process has not stood still.
     awake: Micros,
 }
 
-impl Scopes {
+impl ScopeTable {
     /// No other scope is known.
     pub fn is_empty(&self) -> bool {
         self.others.is_empty()
     }
 
     /// The other scopes, by name.
-    pub fn others(&self) -> impl Iterator<Item = (&str, &Scope)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &RemoteScope)> {
         self.others.iter().map(|(name, scope)| (name.as_str(), scope))
     }
 
@@ -207,27 +209,27 @@
     }
 
     /// The own scope as others tell of it, or another.
-    pub(crate) fn scope(&mut self, now: Micros, own: &str, name: &str) -> Option<&mut Scope> {
+    pub(crate) fn scope(&mut self, now: Micros, own: &str, name: &str) -> Option<&mut RemoteScope> {
         if own == name {
-            return Some(self.own.get_or_insert_with(|| Scope::new(now)));
+            return Some(self.own.get_or_insert_with(|| RemoteScope::new(now)));
         }
         if !self.others.contains_key(name) && self.others.len() >= SCOPES {
             return None;
         }
-        Some(self.others.entry(name.to_owned()).or_insert_with(|| Scope::new(now)))
+        Some(self.others.entry(name.to_owned()).or_insert_with(|| RemoteScope::new(now)))
     }
 
     /// Takes in what was told.
-    pub(crate) fn hear(&mut self, now: Micros, own: &str, record: &Record) {
+    pub(crate) fn hear(&mut self, now: Micros, own: &str, record: &ScopeSummary) {
         let age = Micros::from(record.age_ms) * 1_000;
         let Some(scope) = self.scope(now, own, &record.scope).filter(|_| age <= HOLD && now >= age) else {
             return;
         };
         scope.hear(Voice {
             digest: record.digest,
-            counted: record.counted as usize,
-            present: record.present as usize,
-            sure: record.sure as usize,
+            counted: record.live_count as usize,
+            present: record.member_count as usize,
+            sure: record.unsuspected_count as usize,
             made: now - age,
         });
         record.contacts.iter().for_each(|contact| scope.meet(*contact));
@@ -253,7 +255,7 @@
     }
 
     /// Brings all up to date; tells which scopes are silent or back.
-    pub(crate) fn look(&mut self, now: Micros, all: usize) -> Vec<(String, Hearing)> {
+    pub(crate) fn look(&mut self, now: Micros, all: usize) -> Vec<(String, ScopeStatus)> {
         if now > self.looked + STILL {
             self.awake = now;
         }
@@ -274,8 +276,8 @@
 
     /// How many of them are there beyond doubt.
     pub(crate) fn sure(&self) -> usize {
-        let fresh = self.others.values().filter(|scope| scope.hearing == Hearing::Fresh);
-        fresh.filter_map(Scope::youngest).map(|voice| voice.sure).sum()
+        let fresh = self.others.values().filter(|scope| scope.hearing == ScopeStatus::Fresh);
+        fresh.filter_map(RemoteScope::youngest).map(|voice| voice.sure).sum()
     }
 
     /// What can be told of the other scopes, each with so many contacts, from a place in their order on.
@@ -284,19 +286,19 @@
         now: Micros,
         from: usize,
         contacts: usize,
-    ) -> impl Iterator<Item = Record> + '_ {
+    ) -> impl Iterator<Item = ScopeSummary> + '_ {
         let order = self.others.iter().cycle().skip(from % self.others.len().max(1)).take(self.others.len());
         order.flat_map(move |(name, scope)| scope.records(now, name, from, contacts))
     }
 
     /// What can be told of one scope, with so many contacts.
-    pub(crate) fn told(&self, now: Micros, own: &str, name: &str, contacts: usize) -> Vec<Record> {
+    pub(crate) fn told(&self, now: Micros, own: &str, name: &str, contacts: usize) -> Vec<ScopeSummary> {
         let scope = if own == name { self.own.as_ref() } else { self.others.get(name) };
         scope.into_iter().flat_map(|scope| scope.records(now, name, 0, contacts)).collect()
     }
 }
 
-impl Scope {
+impl RemoteScope {
     /// What can be told of it: the youngest, and the one that counts most if that is another. Old ones go as
     /// far as they count.
     fn records(
@@ -305,7 +307,7 @@
         name: &str,
         turn: usize,
         contacts: usize,
-    ) -> impl Iterator<Item = Record> + '_ {
+    ) -> impl Iterator<Item = ScopeSummary> + '_ {
         let youngest = self.youngest();
         let most = self.voices(now).max_by_key(|voice| (voice.counted, voice.made));
         let most = most.filter(|most| youngest.is_some_and(|youngest| most.counted > youngest.counted));
@@ -315,11 +317,11 @@
         told.filter_map(move |(voice, contacts)| {
             let age = now.saturating_sub(voice.made) + WAY;
             let some = self.contacts.iter().cycle().skip(turn % self.contacts.len().max(1));
-            (age <= HOLD).then(|| Record {
+            (age <= HOLD).then(|| ScopeSummary {
                 scope: name.clone(),
-                counted: voice.counted as u32,
-                present: voice.present as u32,
-                sure: voice.sure as u32,
+                live_count: voice.counted as u32,
+                member_count: voice.present as u32,
+                unsuspected_count: voice.sure as u32,
                 digest: voice.digest,
                 age_ms: (age / 1_000) as u32,
                 contacts: some.take(contacts).copied().collect(),
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy within a scope: who holds another view than somebody else sends the digests of its ranges, and
 //! is given the members of those that differ, in their order, so that a view comes whole and not by lot.
 
-use crate::view::View;
+use crate::view::MemberTable;
 use crate::{Identity, Micros};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -83,7 +83,7 @@
     }
 
     /// What somebody with another view is asked; None: for a feed.
-    pub(crate) fn ask(&mut self, own: SocketAddr, view: &View, present: usize) -> Option<Sync> {
+    pub(crate) fn ask(&mut self, own: SocketAddr, view: &MemberTable, present: usize) -> Option<Sync> {
         self.turn = self.turn.wrapping_add(1);
         let digests = view.ranges().digests(view.size().max(present));
         (!self.turn.is_multiple_of(FEED)).then_some(Sync::Ask { from: own, place: self.place, digests })
@@ -96,13 +96,18 @@
 }
 
 /// The answer to who lacks, or holds too many, members of some ranges; None: there cannot be such ranges.
-pub(crate) fn give(own: SocketAddr, view: &View, place: u64, digests: &[[u8; 4]]) -> Option<Vec<Sync>> {
+pub(crate) fn give(
+    own: SocketAddr,
+    view: &MemberTable,
+    place: u64,
+    digests: &[[u8; 4]],
+) -> Option<Vec<Sync>> {
     let mut differing = view.ranges().differing(digests, place)?.peekable();
     let mut gives = Vec::new();
     while gives.len() < GIVES && differing.peek().is_some() {
         let (mut members, mut room) = (Vec::new(), CONTENT - HEAD);
         while let Some((_, address)) = differing.peek() {
-            let who = view.get(*address).map(|seen| &seen.who);
+            let who = view.get(*address).map(|seen| &seen.identity);
             let size = who.map_or(0, size);
             if size > room {
                 break;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-/// News need so long to go round; who differs within it will know soon by itself.
+/// MembershipEvent need so long to go round; who differs within it will know soon by itself.
 const SPREAD: Micros = 300_000;
 /// Who told another digest longer ago may have changed its mind.
 const DISSENT: Micros = 2_000_000;
@@ -16,9 +16,9 @@
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It is there.
-    Present,
+    Alive,
     /// It is silent, and may refute that.
     Suspected,
     /// It said that it leaves.
@@ -27,20 +27,20 @@
     Dead,
 }
 
-impl Standing {
+impl MemberStatus {
     /// It counts as there.
-    pub fn is_there(self) -> bool {
-        matches!(self, Standing::Present | Standing::Suspected)
+    pub fn is_live(self) -> bool {
+        matches!(self, MemberStatus::Alive | MemberStatus::Suspected)
     }
 }
 
 /// A member as it is seen from here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberRecord {
     /// Who it is.
-    pub who: Identity,
+    pub identity: Identity,
     /// How it stands.
-    pub standing: Standing,
+    pub status: MemberStatus,
     /// Since when.
     pub since: Micros,
 }
@@ -48,8 +48,8 @@
 /// All members but this process itself. What is told of them together is kept as they change; nothing walks
 /// them all.
 #[derive(Clone, Debug, Default)]
-pub struct View {
-    members: BTreeMap<SocketAddr, Seen>,
+pub struct MemberTable {
+    members: BTreeMap<SocketAddr, MemberRecord>,
     /// When it last changed.
     changed: Micros,
     /// The sum of the parts of those that are there, and of this process itself.
@@ -77,7 +77,7 @@
         IpAddr::V6(ip) => hasher.update(&ip.octets()),
     }
     hasher.update(&who.address.port().to_be_bytes());
-    hasher.update(&who.life.to_be_bytes());
+    hasher.update(&who.incarnation.to_be_bytes());
     hasher.digest()
 }
 
@@ -85,25 +85,26 @@
     (xxh3_64(who.name.as_bytes()), who.address)
 }
 
-impl View {
+impl MemberTable {
     /// A member stands so from now on. True if that is new.
-    pub(crate) fn set(&mut self, now: Micros, who: &Identity, standing: Standing) -> bool {
+    pub(crate) fn set(&mut self, now: Micros, who: &Identity, standing: MemberStatus) -> bool {
         let old = self.members.get(&who.address);
-        if old.is_some_and(|old| old.who == *who && old.standing == standing) {
+        if old.is_some_and(|old| old.identity == *who && old.status == standing) {
             return false;
         }
         self.take(who.address);
-        if standing.is_there() {
+        if standing.is_live() {
             self.sum = self.sum.wrapping_add(part(who));
             self.ranges.add(who.address, part(who));
             self.there += 1;
-            self.sure += usize::from(standing == Standing::Present);
+            self.sure += usize::from(standing == MemberStatus::Alive);
         } else {
             self.heard.forget(who.address);
             self.gone.push_back((now, who.address));
         }
         self.names.insert(name(who));
-        self.members.insert(who.address, Seen { who: who.clone(), standing, since: now });
+        self.members
+            .insert(who.address, MemberRecord { identity: who.clone(), status: standing, since: now });
         self.changed = now;
         true
     }
@@ -111,12 +112,12 @@
     /// Takes what is known of an address out.
     fn take(&mut self, address: SocketAddr) {
         let Some(old) = self.members.remove(&address) else { return };
-        self.names.remove(&name(&old.who));
-        if old.standing.is_there() {
-            self.sum = self.sum.wrapping_sub(part(&old.who));
-            self.ranges.take(address, part(&old.who));
+        self.names.remove(&name(&old.identity));
+        if old.status.is_live() {
+            self.sum = self.sum.wrapping_sub(part(&old.identity));
+            self.ranges.take(address, part(&old.identity));
             self.there -= 1;
-            self.sure -= usize::from(old.standing == Standing::Present);
+            self.sure -= usize::from(old.status == MemberStatus::Alive);
         }
     }
 
@@ -126,7 +127,7 @@
         {
             self.gone.pop_front();
             // Unless it has come back since.
-            if self.members.get(&address).is_some_and(|s| s.since == since && !s.standing.is_there()) {
+            if self.members.get(&address).is_some_and(|s| s.since == since && !s.status.is_live()) {
                 self.take(address);
             }
         }
@@ -135,7 +136,7 @@
 
     /// A member told the digest of its view.
     pub(crate) fn heard(&mut self, now: Micros, from: SocketAddr, digest: u32) {
-        if self.get(from).is_some_and(|seen| seen.standing.is_there()) {
+        if self.get(from).is_some_and(|seen| seen.status.is_live()) {
             self.heard.told(now, from, digest);
         }
     }
@@ -149,12 +150,12 @@
     }
 
     /// All members that are told of, by their addresses.
-    pub fn members(&self) -> impl Iterator<Item = &Seen> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values()
     }
 
     /// The member at an address.
-    pub fn get(&self, address: SocketAddr) -> Option<&Seen> {
+    pub fn get(&self, address: SocketAddr) -> Option<&MemberRecord> {
         self.members.get(&address)
     }
 
@@ -163,10 +164,12 @@
         let (hash, own) = name(who);
         let lowest = SocketAddr::from(([0, 0, 0, 0], 0));
         let alike = self.names.range((hash, lowest)..).take_while(|(other, _)| *other == hash);
-        let same = |seen: &&Seen| {
-            seen.standing == Standing::Present && seen.who.name == who.name && seen.who.address != own
+        let same = |seen: &&MemberRecord| {
+            seen.status == MemberStatus::Alive
+                && seen.identity.name == who.name
+                && seen.identity.address != own
         };
-        alike.filter_map(|(_, address)| self.get(*address)).find(same).map(|seen| seen.who.address)
+        alike.filter_map(|(_, address)| self.get(*address)).find(same).map(|seen| seen.identity.address)
     }
 
     /// Those that are there, this process included.
@@ -175,7 +178,7 @@
     }
 
     /// Those that are there and not suspected, this process included.
-    pub fn sure(&self) -> usize {
+    pub fn unsuspected_count(&self) -> usize {
         1 + self.sure
     }
 
@@ -193,7 +196,7 @@
     pub(crate) fn dissenter(&self, now: Micros) -> Option<&Identity> {
         let since = (self.changed + SPREAD).max(now.saturating_sub(DISSENT));
         let other = self.heard.other(self.digest(), since)?;
-        self.get(other).map(|seen| &seen.who)
+        self.get(other).map(|seen| &seen.identity)
     }
 
     /// One that is there and told another digest lately, whether or not this view has changed since.
@@ -208,12 +211,12 @@
     /// One that is there and was heard lately, by a random number; none if that one went since.
     pub(crate) fn someone(&self, random: u64) -> Option<SocketAddr> {
         let someone = self.heard.someone(random)?;
-        self.get(someone).filter(|seen| seen.standing.is_there()).map(|seen| seen.who.address)
+        self.get(someone).filter(|seen| seen.status.is_live()).map(|seen| seen.identity.address)
     }
 
     /// Share of the others that lately told the digest that is held here, of those that told any; 1 if none
     /// did.
-    pub fn agreement(&self, now: Micros) -> f64 {
+    pub fn agreement_ratio(&self, now: Micros) -> f64 {
         let (same, all) = self.heard.agree(now, self.digest());
         if all == 0 {
             return 1.0;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of processes in virtual time, for the tests.
 
-use oakport_membership::{Config, Identity, Kind, Micros, News, Peers};
+use oakport_membership::{DatagramKind, Identity, MembershipEvent, Micros, Node, NodeConfig};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +15,7 @@
 const SAID: usize = 1_000;
 
 pub struct Process {
-    pub peers: Peers,
+    pub peers: Node,
     pub runs: bool,
     pub stalled: Micros,
     /// What it sent in the last second, and how much that is.
@@ -36,7 +36,7 @@
 }
 
 /// A kind, and who cannot read it.
-type Unread = (Kind, fn(usize) -> bool);
+type Unread = (DatagramKind, fn(usize) -> bool);
 
 pub struct Net {
     pub now: Micros,
@@ -50,7 +50,7 @@
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
     /// Datagrams of a kind that some cannot read.
     pub unread: Option<Unread>,
-    pub news: Vec<(Micros, usize, News)>,
+    pub news: Vec<(Micros, usize, MembershipEvent)>,
     /// What was sent last, and by whom.
     pub said: VecDeque<(usize, Vec<u8>)>,
     /// Datagrams of the kind for scopes that each sent to other scopes.
@@ -88,8 +88,8 @@
     pub fn process(&mut self, number: usize, scope: &str) -> Process {
         let own = Identity::new(&format!("n{number}"), address(number), self.now, "1", scope);
         let seeds = vec![address(0), address(1)];
-        let config = Config { fleet: "fares".to_owned(), seeds, balancers: 1 };
-        let peers = Peers::in_scope(self.now, self.random.next_u64(), own, config, scope);
+        let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
+        let peers = Node::with_scope(self.now, self.random.next_u64(), own, config, scope);
         Process { peers, runs: true, stalled: 0, sent: VecDeque::new(), bytes: 0 }
     }
 
@@ -98,12 +98,12 @@
     }
 
     pub fn post(&mut self, from: usize) {
-        for (to, datagram) in self.processes[from].peers.outbox() {
+        for (to, datagram) in self.processes[from].peers.take_outbox() {
             assert!(datagram.len() <= 1_400, "{} bytes", datagram.len());
             self.processes[from].sends(self.now, &datagram);
             let SocketAddr::V4(v4) = to else { panic!("{to}") };
             let to = usize::from(v4.ip().octets()[2]) << 8 | usize::from(v4.ip().octets()[3]);
-            if datagram[3] == Kind::Scopes as u8 && to % self.scopes != from % self.scopes {
+            if datagram[3] == DatagramKind::ScopeGossip as u8 && to % self.scopes != from % self.scopes {
                 *self.spoke.entry(from).or_default() += 1;
             }
             self.said.push_back((from, datagram.clone()));
@@ -120,13 +120,13 @@
             let after = MILLI + (self.share() * 4.0 * MILLI as f64) as Micros;
             self.under_way.insert((self.now + after, self.number), (to, datagram));
         }
-        let news = self.processes[from].peers.news();
+        let news = self.processes[from].peers.take_events();
         self.news.extend(news.into_iter().map(|news| (self.now, from, news)));
     }
 
     pub fn until(&mut self, end: Micros) {
         loop {
-            let due = |p: &Process| if p.runs { p.peers.next_due().max(p.stalled) } else { Micros::MAX };
+            let due = |p: &Process| if p.runs { p.peers.next_deadline().max(p.stalled) } else { Micros::MAX };
             let timer = (0..self.processes.len()).map(|n| (due(&self.processes[n]), n)).min().expect("some");
             let datagram = self.under_way.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
             if timer.0.min(datagram) > end {
@@ -140,12 +140,12 @@
                 if process.runs && process.stalled > at {
                     self.under_way.insert((process.stalled, number), (to, bytes));
                 } else if process.runs {
-                    process.peers.datagram(at, &bytes);
+                    process.peers.handle_datagram(at, &bytes);
                     self.post(to);
                 }
             } else {
                 self.now = timer.0;
-                self.processes[timer.1].peers.time(self.now);
+                self.processes[timer.1].peers.handle_time(self.now);
                 self.post(timer.1);
             }
         }
@@ -166,7 +166,7 @@
 
     /// All that run count so many.
     pub fn count(&self, count: usize) -> bool {
-        self.running().all(|p| p.peers.count().get() == count)
+        self.running().all(|p| p.peers.live_count().get() == count)
     }
 
     pub fn joined(seed: u64, number: usize, scopes: usize) -> Self {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Many processes in virtual time: deaths, leaves, cuts, losses, wrong names, foreign datagrams.
 
-use oakport_membership::{Config, Count, Envelope, Identity, Micros, News, Peers, Standing};
+use oakport_membership::{
+    Envelope, Identity, LiveCount, MemberStatus, MembershipEvent, Micros, Node, NodeConfig,
+};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::BTreeMap;
@@ -11,7 +13,7 @@
 
 /// A process, and whether it runs.
 struct Process {
-    peers: Peers,
+    peers: Node,
     runs: bool,
     /// It stands still until then; what comes meanwhile waits.
     stalled: Micros,
@@ -31,7 +33,7 @@
     cut: fn(usize, usize) -> bool,
     /// Processes below this number make the digest of their view by another formula.
     other_formula: usize,
-    news: Vec<(Micros, usize, News)>,
+    news: Vec<(Micros, usize, MembershipEvent)>,
     balancers: usize,
 }
 
@@ -63,8 +65,12 @@
 
     fn process(&mut self, number: usize, life: Micros) -> Process {
         let own = Identity::new(&format!("n{number}"), address(number), life, "1", "derby");
-        let config = Config { fleet: "fares".to_owned(), seeds: vec![address(0)], balancers: self.balancers };
-        Process { peers: Peers::new(self.now, self.random.next_u64(), own, config), runs: true, stalled: 0 }
+        let config = NodeConfig {
+            fleet_name: "fares".to_owned(),
+            seeds: vec![address(0)],
+            configured_count: self.balancers,
+        };
+        Process { peers: Node::new(self.now, self.random.next_u64(), own, config), runs: true, stalled: 0 }
     }
 
     fn share(&mut self) -> f64 {
@@ -73,7 +79,7 @@
 
     /// Sends what a process has to send.
     fn post(&mut self, from: usize) {
-        for (to, datagram) in self.processes[from].peers.outbox() {
+        for (to, datagram) in self.processes[from].peers.take_outbox() {
             assert!(datagram.len() <= 1_400, "{} bytes", datagram.len());
             let Some(to) = (0..self.processes.len()).find(|n| address(*n) == to) else { continue };
             if self.share() < self.loss || (self.cut)(from, to) {
@@ -85,14 +91,14 @@
             let after = MILLI + (self.share() * 4.0 * MILLI as f64) as Micros;
             self.under_way.insert((self.now + after, self.number), (to, datagram));
         }
-        let news = self.processes[from].peers.news();
+        let news = self.processes[from].peers.take_events();
         self.news.extend(news.into_iter().map(|news| (self.now, from, news)));
     }
 
     /// Goes on until this moment.
     fn until(&mut self, end: Micros) {
         loop {
-            let due = |p: &Process| if p.runs { p.peers.next_due().max(p.stalled) } else { Micros::MAX };
+            let due = |p: &Process| if p.runs { p.peers.next_deadline().max(p.stalled) } else { Micros::MAX };
             let timer = (0..self.processes.len()).map(|n| (due(&self.processes[n]), n)).min().expect("some");
             let datagram = self.under_way.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
             if timer.0.min(datagram) > end {
@@ -106,12 +112,12 @@
                 if process.runs && process.stalled > at {
                     self.under_way.insert((process.stalled, number), (to, bytes));
                 } else if process.runs {
-                    process.peers.datagram(at, &bytes);
+                    process.peers.handle_datagram(at, &bytes);
                     self.post(to);
                 }
             } else {
                 self.now = timer.0;
-                self.processes[timer.1].peers.time(self.now);
+                self.processes[timer.1].peers.handle_time(self.now);
                 self.post(timer.1);
             }
         }
@@ -134,7 +140,7 @@
     /// All that run hold the same.
     fn agree(&self) -> bool {
         let running = self.running();
-        let view = |n: usize| self.processes[n].peers.view();
+        let view = |n: usize| self.processes[n].peers.members();
         running
             .iter()
             .all(|n| view(*n).digest() == view(running[0]).digest() && view(*n).size() == running.len())
@@ -147,14 +153,14 @@
     }
 
     /// How long each that runs takes to hold another so.
-    fn learnt(&mut self, who: usize, standing: Standing, most: Micros) -> Vec<Micros> {
+    fn learnt(&mut self, who: usize, standing: MemberStatus, most: Micros) -> Vec<Micros> {
         let begin = self.now;
         let mut found = BTreeMap::new();
         while found.len() < self.running().len() {
             assert!(self.now < begin + most, "{} of {} know", found.len(), self.running().len());
             self.until(self.now + 10 * MILLI);
             for n in self.running() {
-                let seen = self.processes[n].peers.view().get(address(who)).map(|seen| seen.standing);
+                let seen = self.processes[n].peers.members().get(address(who)).map(|seen| seen.status);
                 if seen == Some(standing) {
                     found.entry(n).or_insert(self.now - begin);
                 }
@@ -188,16 +194,16 @@
         let mut net = Net::joined(seed, 60);
         for dead in [7, 23, 41] {
             net.processes[dead].runs = false;
-            deaths.extend(net.learnt(dead, Standing::Dead, 10 * SECOND));
+            deaths.extend(net.learnt(dead, MemberStatus::Dead, 10 * SECOND));
         }
         for leaves_now in [8, 24, 42] {
             let now = net.now;
             net.processes[leaves_now].peers.leave(now);
             net.post(leaves_now);
             net.processes[leaves_now].runs = false;
-            leaves.extend(net.learnt(leaves_now, Standing::Left, 10 * SECOND));
+            leaves.extend(net.learnt(leaves_now, MemberStatus::Left, 10 * SECOND));
         }
-        assert_eq!(net.processes[0].peers.view().size(), 54);
+        assert_eq!(net.processes[0].peers.members().size(), 54);
     }
     let (deaths, leaves) = (p99(deaths), p99(leaves));
     println!("death p99 {deaths} us, leave p99 {leaves} us");
@@ -224,7 +230,11 @@
             net.processes[5].stalled = net.now + SECOND;
             net.until(net.now + 10 * SECOND);
         }
-        let dead = net.news.iter().filter(|(_, _, n)| matches!(n, News::Member(_, Standing::Dead))).count();
+        let dead = net
+            .news
+            .iter()
+            .filter(|(_, _, n)| matches!(n, MembershipEvent::MemberChanged(_, MemberStatus::Dead)))
+            .count();
         println!("{number} processes: held dead {dead} times in {length} s");
         assert_eq!(dead, 0, "held dead in {length} s");
         let most = sent(&net).iter().zip(before).map(|(after, before)| after - before).max().expect("some");
@@ -248,7 +258,7 @@
         net.cut = cut;
         net.until(net.now + lasts * SECOND);
         for n in 0..60 {
-            assert_eq!(net.processes[n].peers.count().get(), 60, "{name}: {n} counts on");
+            assert_eq!(net.processes[n].peers.live_count().get(), 60, "{name}: {n} counts on");
         }
         net.cut = |_, _| false;
         let took = net.wait(30 * SECOND, name, Net::agree);
@@ -261,7 +271,10 @@
 fn the_count_rises_at_once_and_falls_slowly() {
     let mut net = Net::new(5, 20, 10);
     net.wait(30 * SECOND, "joined", Net::agree);
-    assert!(net.running().iter().all(|n| net.processes[*n].peers.count().get() == 20), "it rises at once");
+    assert!(
+        net.running().iter().all(|n| net.processes[*n].peers.live_count().get() == 20),
+        "it rises at once"
+    );
     // Three of twenty leave, one after the other.
     for n in [3, 4, 5] {
         let now = net.now;
@@ -270,19 +283,19 @@
         net.processes[n].runs = false;
         net.until(net.now + 2 * SECOND);
     }
-    net.wait(10 * SECOND, "it follows", |net| net.processes[0].peers.count().get() == 17);
+    net.wait(10 * SECOND, "it follows", |net| net.processes[0].peers.live_count().get() == 17);
     // Twelve of the seventeen die at once: for all that can be known, a cut.
     (8..20).for_each(|n| net.processes[n].runs = false);
     net.until(net.now + 30 * SECOND);
-    assert_eq!(net.processes[0].peers.view().size(), 5);
-    assert_eq!(net.processes[0].peers.count().get(), 17);
-    net.wait(60 * SECOND, "in the end it falls", |net| net.processes[0].peers.count().get() == 5);
+    assert_eq!(net.processes[0].peers.members().size(), 5);
+    assert_eq!(net.processes[0].peers.live_count().get(), 17);
+    net.wait(60 * SECOND, "in the end it falls", |net| net.processes[0].peers.live_count().get() == 5);
     let falls: Vec<(Micros, usize)> = net
         .news
         .iter()
         .filter(|(_, n, _)| *n == 0)
         .filter_map(|(at, _, news)| match news {
-            News::Count(count) => Some((*at, *count)),
+            MembershipEvent::LiveCount(count) => Some((*at, *count)),
             _ => None,
         })
         .collect();
@@ -290,15 +303,16 @@
     // Alone, it counts as many as it was told of.
     (1..8).for_each(|n| net.processes[n].runs = false);
     net.until(net.now + 10 * SECOND);
-    assert_eq!(net.processes[0].peers.count().get(), 10);
+    assert_eq!(net.processes[0].peers.live_count().get(), 10);
 }
 
 #[test]
 fn two_formulas_of_the_digest_in_one_fleet_only_make_the_count_slower_to_fall() {
     let mut net = Net::new(37, 30, 40);
     net.other_formula = 15;
-    let size =
-        |net: &Net, size: usize| net.running().iter().all(|n| net.processes[*n].peers.view().size() == size);
+    let size = |net: &Net, size: usize| {
+        net.running().iter().all(|n| net.processes[*n].peers.members().size() == size)
+    };
     net.wait(30 * SECOND, "joined", |net| size(net, 30));
     let before: Vec<u64> = net.processes.iter().map(|p| p.peers.bytes_sent).collect();
     let begin = net.now;
@@ -307,13 +321,16 @@
     assert!(net
         .processes
         .iter()
-        .all(|p| p.peers.count().get() == 40 && p.peers.view().agreement(net.now) < 0.9));
+        .all(|p| p.peers.live_count().get() == 40 && p.peers.members().agreement_ratio(net.now) < 0.9));
     let sent = net.processes.iter().zip(before).map(|(p, before)| p.peers.bytes_sent - before);
     let most = sent.max().expect("some") as f64 / ((net.now - begin) / SECOND) as f64;
     println!("two formulas: {most:.0} bytes a second at most");
     // ... asking each other for their views costs what it may, ...
     assert!(most <= 8_192.0, "{most}");
-    assert!(!net.news.iter().any(|(_, _, news)| matches!(news, News::Member(_, Standing::Dead))));
+    assert!(!net
+        .news
+        .iter()
+        .any(|(_, _, news)| matches!(news, MembershipEvent::MemberChanged(_, MemberStatus::Dead))));
     // ... and what is said or confirmed is known and counted as ever.
     let now = net.now;
     net.processes[3].peers.leave(now);
@@ -322,7 +339,7 @@
     net.processes[20].runs = false;
     net.until(net.now + 12 * SECOND);
     assert!(size(&net, 28));
-    assert!(net.running().iter().all(|n| net.processes[*n].peers.count().get() == 38));
+    assert!(net.running().iter().all(|n| net.processes[*n].peers.live_count().get() == 38));
 }
 
 #[test]
@@ -335,42 +352,43 @@
     let life = 1;
     net.processes[6] = net.process(6, life);
     net.wait(30 * SECOND, "the new life", |net| {
-        net.agree() && net.processes[0].peers.view().get(address(6)).is_some_and(|s| s.standing.is_there())
+        net.agree() && net.processes[0].peers.members().get(address(6)).is_some_and(|s| s.status.is_live())
     });
     let now = net.now;
     net.processes[6] = net.process(6, now);
     net.wait(5 * SECOND, "a newer life", Net::agree);
-    assert_eq!(net.processes[0].peers.view().get(address(6)).map(|s| s.who.life), Some(now));
+    assert_eq!(net.processes[0].peers.members().get(address(6)).map(|s| s.identity.incarnation), Some(now));
 }
 
 #[test]
 fn one_name_for_two_is_told_once_and_both_stay() {
     let mut net = Net::joined(23, 6);
     let twin = Identity::new("n3", address(6), 9 * SECOND, "1", "derby");
-    let config = Config { fleet: "fares".to_owned(), seeds: vec![address(0)], balancers: 6 };
-    net.processes.push(Process { peers: Peers::new(net.now, 99, twin, config), runs: true, stalled: 0 });
+    let config = NodeConfig { fleet_name: "fares".to_owned(), seeds: vec![address(0)], configured_count: 6 };
+    net.processes.push(Process { peers: Node::new(net.now, 99, twin, config), runs: true, stalled: 0 });
     net.wait(10 * SECOND, "seven", Net::agree);
     net.until(net.now + 20 * SECOND);
     assert!(net.agree());
-    let told = net.news.iter().filter(|(_, n, news)| *n == 0 && matches!(news, News::OneName(..)));
+    let told =
+        net.news.iter().filter(|(_, n, news)| *n == 0 && matches!(news, MembershipEvent::NameConflict(..)));
     let told: Vec<_> = told.collect();
     assert_eq!(told.len(), 1, "{told:?}");
-    assert!(matches!(&told[0].2, News::OneName(name, a, b) if name == "n3" && a != b));
+    assert!(matches!(&told[0].2, MembershipEvent::NameConflict(name, a, b) if name == "n3" && a != b));
 }
 
 #[test]
 fn what_is_foreign_or_random_changes_nothing() {
     let mut net = Net::joined(29, 4);
     let own = Identity::new("x", address(9), 5, "1", "derby");
-    let config = Config { fleet: "others".to_owned(), seeds: vec![address(1)], balancers: 4 };
-    let mut foreign = Peers::new(net.now, 1, own, config);
-    foreign.time(net.now);
-    let (_, datagram) = foreign.outbox().pop().expect("it asks its seed");
-    let digest = net.processes[1].peers.view().digest();
+    let config = NodeConfig { fleet_name: "others".to_owned(), seeds: vec![address(1)], configured_count: 4 };
+    let mut foreign = Node::new(net.now, 1, own, config);
+    foreign.handle_time(net.now);
+    let (_, datagram) = foreign.take_outbox().pop().expect("it asks its seed");
+    let digest = net.processes[1].peers.members().digest();
     let now = net.now;
     let target = &mut net.processes[1].peers;
-    target.datagram(now, &datagram);
-    assert_eq!(target.odd.get("fleet"), Some(&1));
+    target.handle_datagram(now, &datagram);
+    assert_eq!(target.discarded_datagrams.get("fleet"), Some(&1));
     let mut random = Pcg64::seed_from_u64(31);
     let mut sound = net_datagram(&mut net);
     for round in 0..20_000u64 {
@@ -382,55 +400,62 @@
             bytes[place] ^= 1 << (round % 8);
             bytes.truncate(bytes.len() - (round as usize / 2) % 3);
         }
-        net.processes[1].peers.datagram(now, &bytes);
+        net.processes[1].peers.handle_datagram(now, &bytes);
     }
     sound[3] = 2;
-    net.processes[1].peers.datagram(now, &sound);
+    net.processes[1].peers.handle_datagram(now, &sound);
     let target = &net.processes[1].peers;
-    assert!(target.odd.get("version").is_some_and(|n| *n >= 1), "another version is told from noise");
-    assert!(target.odd.get("damaged").is_some_and(|n| *n > 5_000), "{:?}", target.odd);
-    assert_eq!(target.view().digest(), digest);
+    assert!(
+        target.discarded_datagrams.get("version").is_some_and(|n| *n >= 1),
+        "another version is told from noise"
+    );
+    assert!(
+        target.discarded_datagrams.get("damaged").is_some_and(|n| *n > 5_000),
+        "{:?}",
+        target.discarded_datagrams
+    );
+    assert_eq!(target.members().digest(), digest);
 }
 
 /// A datagram of the fleet's own.
 fn net_datagram(net: &mut Net) -> Vec<u8> {
     let now = net.now + SECOND;
-    net.processes[0].peers.time(now);
-    net.processes[0].peers.outbox().pop().expect("it pings").1
+    net.processes[0].peers.handle_time(now);
+    net.processes[0].peers.take_outbox().pop().expect("it pings").1
 }
 
 /// Looks each second for so long, with all that are there in agreement.
-fn looks(count: &mut Count, from: u64, to: u64, there: usize) -> usize {
-    (from..to).for_each(|second| count.look(second * SECOND, there, there, true));
+fn looks(count: &mut LiveCount, from: u64, to: u64, there: usize) -> usize {
+    (from..to).for_each(|second| count.update(second * SECOND, there, there, true));
     count.get()
 }
 
 #[test]
 fn the_count_falls_by_what_was_said_or_confirmed_and_by_no_more() {
     // Fewer are there than were told of: a leave is one departure and no word on the others.
-    let mut count = Count::new(0, 60);
-    count.departed(SECOND, true);
+    let mut count = LiveCount::new(0, 60);
+    count.member_departed(SECOND, true);
     assert_eq!(looks(&mut count, 2, 50, 11), 59);
     assert_eq!(looks(&mut count, 50, 60, 11), 59, "until the view has agreed for a minute");
     assert_eq!(looks(&mut count, 60, 120, 11), 11);
     // A death, a leave, and then the rest of a third within the same three seconds: a cut.
-    let mut count = Count::new(0, 30);
+    let mut count = LiveCount::new(0, 30);
     looks(&mut count, 0, 100, 30);
     for (silent, at) in (0..10).zip(101..) {
-        count.fell_silent(101 * SECOND + silent * 200 * MILLI);
+        count.member_suspected(101 * SECOND + silent * 200 * MILLI);
         if silent < 2 {
-            count.departed(at * SECOND + MILLI, false);
+            count.member_departed(at * SECOND + MILLI, false);
         }
     }
-    count.departed(103 * SECOND, true);
-    assert!(count.is_cut());
+    count.member_departed(103 * SECOND, true);
+    assert!(count.suspects_partition());
     assert_eq!(looks(&mut count, 103, 150, 19), 29, "the one that said so");
     assert_eq!(looks(&mut count, 200, 240, 19), 19);
     // Alone it goes back to what it was told of, no lower, and not at once.
     assert_eq!(looks(&mut count, 240, 260, 1), 30);
-    let mut count = Count::new(0, 4);
+    let mut count = LiveCount::new(0, 4);
     looks(&mut count, 0, 100, 20);
-    count.departed(100 * SECOND, false);
+    count.member_departed(100 * SECOND, false);
     assert_eq!(looks(&mut count, 100, 103, 1), 20);
     assert_eq!(looks(&mut count, 103, 150, 1), 19);
     assert_eq!(looks(&mut count, 160, 260, 1), 4);
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use oakport_membership::Kind;
+use oakport_membership::DatagramKind;
 use xxhash_rust::xxh3::Xxh3;
 
 /// Hash of all datagrams of `recorded_fleet`, in their order.
@@ -69,20 +69,20 @@
 fn recorded_datagrams_of_each_kind_are_read() {
     let mut net = Net::new(11, 24, 3);
     let (now, mut reader) = (net.now, net.process(9, "z0").peers);
-    let mut read = |kind: Kind, datagram: &str| {
+    let mut read = |kind: DatagramKind, datagram: &str| {
         let datagram = bytes(datagram);
         assert_eq!(datagram[3], kind as u8);
-        reader.outbox();
-        reader.datagram(now, &datagram);
-        assert!(reader.odd.is_empty(), "{kind:?} {:?}", reader.odd);
-        (reader.view().size(), reader.scopes().len(), reader.outbox().len())
+        reader.take_outbox();
+        reader.handle_datagram(now, &datagram);
+        assert!(reader.discarded_datagrams.is_empty(), "{kind:?} {:?}", reader.discarded_datagrams);
+        (reader.members().size(), reader.scopes().len(), reader.take_outbox().len())
     };
-    let (size, _, _) = read(Kind::Members, SWIM);
+    let (size, _, _) = read(DatagramKind::Swim, SWIM);
     assert!(size > 1, "its sender is a member");
-    let (_, scopes, _) = read(Kind::Scopes, SCOPES);
+    let (_, scopes, _) = read(DatagramKind::ScopeGossip, SCOPES);
     assert_eq!(scopes, 2, "the other scopes are known");
-    let (_, _, answers) = read(Kind::Sync, SYNC_ASK);
+    let (_, _, answers) = read(DatagramKind::AntiEntropy, SYNC_ASK);
     assert!(answers > 0, "what is asked is answered");
-    let (grown, _, _) = read(Kind::Sync, SYNC_GIVE);
+    let (grown, _, _) = read(DatagramKind::AntiEntropy, SYNC_GIVE);
     assert!(grown > size, "{grown} members, {size} before");
 }
--- a/crates/membership/tests/scopes.rs
+++ b/crates/membership/tests/scopes.rs
@@ -3,23 +3,29 @@
 mod common;
 
 use common::*;
-use oakport_membership::{Envelope, Hearing, Kind, News, Standing};
+use oakport_membership::{DatagramKind, Envelope, MemberStatus, MembershipEvent, ScopeStatus};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::BTreeMap;
 
 impl Net {
-    fn hearing(&self, n: usize, scope: &str) -> Option<Hearing> {
-        let mut others = self.processes[n].peers.scopes().others();
-        others.find(|(name, _)| *name == scope).map(|(_, scope)| scope.hearing())
+    fn hearing(&self, n: usize, scope: &str) -> Option<ScopeStatus> {
+        let mut others = self.processes[n].peers.scopes().iter();
+        others.find(|(name, _)| *name == scope).map(|(_, scope)| scope.status())
     }
 
     fn held_dead(&self) -> usize {
-        self.news.iter().filter(|(_, _, news)| matches!(news, News::Member(_, Standing::Dead))).count()
+        self.news
+            .iter()
+            .filter(|(_, _, news)| matches!(news, MembershipEvent::MemberChanged(_, MemberStatus::Dead)))
+            .count()
     }
 
     fn silent(&self) -> usize {
-        self.news.iter().filter(|(_, _, news)| matches!(news, News::Scope(_, Hearing::Silent))).count()
+        self.news
+            .iter()
+            .filter(|(_, _, news)| matches!(news, MembershipEvent::ScopeChanged(_, ScopeStatus::Silent)))
+            .count()
     }
 }
 
@@ -28,8 +34,8 @@
     let mut net = Net::joined(1, 66, 6);
     for n in 0..66 {
         let peers = &net.processes[n].peers;
-        assert_eq!((peers.view().size(), peers.scopes().len()), (11, 5), "{n}");
-        assert!(peers.view().members().all(|seen| seen.who.zone == format!("z{}", n % 6)));
+        assert_eq!((peers.members().size(), peers.scopes().len()), (11, 5), "{n}");
+        assert!(peers.members().members().all(|seen| seen.identity.zone == format!("z{}", n % 6)));
     }
     net.until(net.now + 60 * SECOND);
     assert!(net.count(66));
@@ -55,7 +61,7 @@
     }
     assert_eq!(net.silent(), 0);
     net.loss = 0.0;
-    net.wait(20 * SECOND, "all back", |net| net.running().all(|p| p.peers.view().size() == 11));
+    net.wait(20 * SECOND, "all back", |net| net.running().all(|p| p.peers.members().size() == 11));
     assert!(net.count(66));
 }
 
@@ -65,7 +71,7 @@
     (0..66).filter(|n| n % 6 == 5).for_each(|n| net.processes[n].runs = false);
     let all =
         |net: &Net, hearing| (0..66).filter(|n| n % 6 != 5).all(|n| net.hearing(n, "z5") == Some(hearing));
-    let took = net.wait(8 * SECOND, "known", |net| all(net, Hearing::Silent));
+    let took = net.wait(8 * SECOND, "known", |net| all(net, ScopeStatus::Silent));
     println!("a lost scope is known to all after {} ms", took / MILLI);
     net.until(net.now + 50 * SECOND);
     assert!(net.count(66), "it stays");
@@ -73,7 +79,7 @@
     net.wait(20 * SECOND, "it falls", |net| net.count(55));
     let mut last = BTreeMap::new();
     for (at, n, news) in &net.news {
-        if let News::Count(count) = news {
+        if let MembershipEvent::LiveCount(count) = news {
             let (before, when) = last.insert(*n, (*count, *at)).unwrap_or((66, 0));
             assert!(before.saturating_sub(*count) <= 6 && *at >= when + SECOND, "{n}: {before} to {count}");
         }
@@ -83,7 +89,7 @@
     for n in (0..66).filter(|n| n % 6 == 5) {
         net.processes[n] = net.process(n, "z5");
     }
-    let took = net.wait(15 * SECOND, "back", |net| net.count(66) && all(net, Hearing::Fresh));
+    let took = net.wait(15 * SECOND, "back", |net| net.count(66) && all(net, ScopeStatus::Fresh));
     println!("and counted again {} ms after it is back", took / MILLI);
 }
 
@@ -94,9 +100,9 @@
     net.until(net.now + 55 * SECOND);
     assert!(net.count(66), "it stays");
     net.until(net.now + 125 * SECOND);
-    assert!((0..66).all(|n| net.processes[n].peers.count().get() == if n % 6 < 2 { 22 } else { 44 }));
+    assert!((0..66).all(|n| net.processes[n].peers.live_count().get() == if n % 6 < 2 { 22 } else { 44 }));
     net.cut = Box::new(|_, _| false);
-    let fresh = |p: &Process| p.peers.scopes().others().all(|(_, s)| s.hearing() == Hearing::Fresh);
+    let fresh = |p: &Process| p.peers.scopes().iter().all(|(_, s)| s.status() == ScopeStatus::Fresh);
     let took = net.wait(15 * SECOND, "healed", |net| net.count(66) && net.running().all(fresh));
     println!("regions agree {} ms after they are healed", took / MILLI);
     assert_eq!(net.held_dead(), 0);
@@ -113,7 +119,7 @@
     // All that z0 says to others is lost: it hears of them, they hold it silent and count on for a minute.
     net.cut = Box::new(|a, b| a % 4 == 0 && b % 4 != 0);
     net.until(net.now + 30 * SECOND);
-    assert!((0..40).filter(|n| n % 4 != 0).all(|n| net.hearing(n, "z0") == Some(Hearing::Silent)));
+    assert!((0..40).filter(|n| n % 4 != 0).all(|n| net.hearing(n, "z0") == Some(ScopeStatus::Silent)));
     assert!(net.count(40));
 }
 
@@ -144,10 +150,10 @@
     let begin = net.now;
     while net.now < begin + 58 * SECOND {
         net.until(net.now + SECOND);
-        assert!(net.running().all(|p| p.peers.count().get() >= 60), "at {}", net.now - begin);
+        assert!(net.running().all(|p| p.peers.live_count().get() >= 60), "at {}", net.now - begin);
     }
     net.cut = Box::new(|_, _| false);
-    net.wait(15 * SECOND, "healed", |net| net.running().all(|p| p.peers.view().size() == 20));
+    net.wait(15 * SECOND, "healed", |net| net.running().all(|p| p.peers.members().size() == 20));
     net.wait(5 * SECOND, "counted", |net| net.count(60));
     assert_eq!(net.silent(), 0);
 }
@@ -166,8 +172,8 @@
         while net.now < begin + 300 * MILLI {
             net.until(net.now + 50 * MILLI);
         }
-        let least = net.processes.iter().filter(|p| p.runs && p.peers.view().size() > 1);
-        let least = least.map(|p| p.peers.count().get()).min();
+        let least = net.processes.iter().filter(|p| p.runs && p.peers.members().size() > 1);
+        let least = least.map(|p| p.peers.live_count().get()).min();
         assert!(least >= Some(55), "{n}: {least:?}");
     }
     net.wait(15 * SECOND, "all", |net| net.count(66));
@@ -182,7 +188,7 @@
         net.processes[n] = net.process(n, "");
     }
     net.wait(15 * SECOND, "all", |net| net.count(20));
-    assert!(net.running().all(|p| p.peers.view().size() == 10));
+    assert!(net.running().all(|p| p.peers.members().size() == 10));
 }
 
 #[test]
@@ -191,15 +197,18 @@
     let now = net.now;
     let mut sound = None;
     while sound.is_none() {
-        let at = net.processes[0].peers.next_due();
-        net.processes[0].peers.time(at);
-        let outbox = net.processes[0].peers.outbox();
-        sound = outbox.into_iter().map(|(_, datagram)| datagram).find(|d| d[3] == Kind::Scopes as u8);
+        let at = net.processes[0].peers.next_deadline();
+        net.processes[0].peers.handle_time(at);
+        let outbox = net.processes[0].peers.take_outbox();
+        sound = outbox
+            .into_iter()
+            .map(|(_, datagram)| datagram)
+            .find(|d| d[3] == DatagramKind::ScopeGossip as u8);
     }
     let sound = sound.expect("it talks");
     let told = |net: &Net| {
         let scopes = net.processes[1].peers.scopes();
-        scopes.others().map(|(name, s)| (name.to_owned(), s.counted(), s.age(now))).collect::<Vec<_>>()
+        scopes.iter().map(|(name, s)| (name.to_owned(), s.live_count(), s.age(now))).collect::<Vec<_>>()
     };
     let before = told(&net);
     let mut random = Pcg64::seed_from_u64(31);
@@ -208,18 +217,19 @@
         let place = random.next_u64() as usize % bytes.len();
         bytes[place] ^= 1 << (round % 8);
         bytes.truncate(bytes.len() - round / 2 % 3);
-        net.processes[1].peers.datagram(now, &bytes);
+        net.processes[1].peers.handle_datagram(now, &bytes);
         // Random content behind a right envelope.
         let content: Vec<u8> = (0..random.next_u64() % 99).map(|_| random.next_u64() as u8).collect();
         let envelope = Envelope { fleet: Envelope::fleet("others"), digest: 0 };
-        net.processes[1].peers.datagram(now, &envelope.seal_as(Kind::Scopes, &content));
+        net.processes[1].peers.handle_datagram(now, &envelope.seal_as(DatagramKind::ScopeGossip, &content));
     }
     let mut later = sound.clone();
     later[3] = 0x12;
-    net.processes[1].peers.datagram(now, &later);
-    let nonsense = Envelope { fleet: Envelope::fleet("fares"), digest: 0 }.seal_as(Kind::Scopes, &[7; 60]);
-    net.processes[1].peers.datagram(now, &nonsense);
-    let odd = &net.processes[1].peers.odd;
+    net.processes[1].peers.handle_datagram(now, &later);
+    let nonsense =
+        Envelope { fleet: Envelope::fleet("fares"), digest: 0 }.seal_as(DatagramKind::ScopeGossip, &[7; 60]);
+    net.processes[1].peers.handle_datagram(now, &nonsense);
+    let odd = &net.processes[1].peers.discarded_datagrams;
     assert!(["damaged", "fleet", "version", "content"].iter().all(|why| odd.contains_key(why)), "{odd:?}");
     assert_eq!(told(&net), before);
     // Who knows the first kind only takes it for another version.
@@ -232,7 +242,7 @@
     let mut net = Net::new(11, 150, 1);
     net.wait(15 * SECOND, "joined", |net| net.count(150));
     (110..150).for_each(|n| net.processes[n].runs = false);
-    let dead = |net: &Net| net.running().all(|p| p.peers.view().size() == 110);
+    let dead = |net: &Net| net.running().all(|p| p.peers.members().size() == 110);
     let took = net.wait(15 * SECOND, "forty died", dead);
     println!("forty deaths at once are known to all after {} ms", took / MILLI);
     (0..50).for_each(|n| net.processes[n].stalled = net.now + 5 * SECOND);
--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::figures::{End, Figures};
 use crate::message::{Answer, Begun, Ended, Request};
-use oakport_core::{CallId, ClassId, Event, Micros, Outcome, ServerId};
+use oakport_core::{CallId, ClassId, EndpointId, Event, Micros, Outcome};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -11,7 +11,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    server: ServerId,
+    server: EndpointId,
     sent: Micros,
     until: Micros,
     /// It may not begin from then on.
@@ -125,7 +125,7 @@
             (attempt.sent, attempt.until) = (now, call.deadline);
             self.timers.insert((attempt.until, Due::Attempt(id, number)));
         }
-        Some(Event::Whole { call: id, time_left })
+        Some(Event::RequestComplete { call: id, remaining_time: time_left })
     }
 
     /// Notes an attempt that the module asks for. None: there is no such call.
@@ -133,7 +133,7 @@
         &mut self,
         now: Micros,
         id: CallId,
-        server: ServerId,
+        server: EndpointId,
         (until, by): (Option<Micros>, Option<Micros>),
     ) -> Option<Outgoing> {
         let call = self.calls.get_mut(&id)?;
@@ -162,7 +162,7 @@
         now: Micros,
         id: CallId,
         number: u32,
-        ready: impl FnOnce(ServerId) -> bool,
+        ready: impl FnOnce(EndpointId) -> bool,
     ) -> bool {
         let call = self.calls.get_mut(&id).filter(|c| c.answer.is_some());
         let attempt = call.and_then(|c| c.attempts.get_mut(number as usize)).filter(|a| a.out);
@@ -181,7 +181,7 @@
         self.timers.remove(&(attempt.until, Due::Attempt(id, number)));
         self.timers.remove(&(call.deadline, Due::Backstop(id)));
         let _ = sender.send(Answer::Begun(begun));
-        Some(Event::Streaming { call: id, attempt: number })
+        Some(Event::ResponseStarted { call: id, attempt: number })
     }
 
     /// Gives the final answer, if it has not been given yet.
@@ -225,12 +225,12 @@
             match outcome {
                 Outcome::Served => self.figures.ended(call.class, End::Served),
                 // The client left.
-                Outcome::CalledOff => {}
+                Outcome::Cancelled => {}
                 _ => self.figures.ended(call.class, End::Failed),
             }
         }
         let closed = call.answer.is_none();
-        Some(Event::Outcome { call: id, attempt: number, outcome, elapsed, closed, load })
+        Some(Event::AttemptEnded { call: id, attempt: number, outcome, elapsed, call_closed: closed, load })
     }
 
     /// How many attempts have been made for a call.
@@ -255,7 +255,7 @@
                 // Its time may be up while it still waits for its connection. Then it never ran, and to
                 // say 'timed out' would fail an unsafe call that may safely go again or be refused.
                 let outcome = match tried {
-                    Some(Attempt { started: false, .. }) => Outcome::NoConnection,
+                    Some(Attempt { started: false, .. }) => Outcome::ConnectFailed,
                     _ => Outcome::TimedOut,
                 };
                 self.outcome(now, call, number, outcome.into())
@@ -264,7 +264,7 @@
             Due::Backstop(call) => self.is_open(call).then(|| {
                 // Whatever the module does, a call ends by its deadline.
                 self.close(call, Some(Answer::Overdue));
-                Event::Gone { call }
+                Event::ClientDisconnected { call }
             }),
         })
     }
@@ -298,7 +298,7 @@
         let (call, mut answer) = calls.add(1_000, ClassId(0), request(30_000));
         assert_eq!(calls.next_due(), Some(31_000));
         assert!(calls.due(30_999).is_none() && answer.try_recv().is_err(), "not before its time");
-        assert_eq!(calls.due(31_000), Some(Some(Event::Gone { call })));
+        assert_eq!(calls.due(31_000), Some(Some(Event::ClientDisconnected { call })));
         assert!(matches!(answer.try_recv(), Ok(Answer::Overdue)));
         assert_eq!((calls.open(), calls.calls.len(), calls.next_due()), (0, 0, None));
         calls.close(call, Some(Answer::Failed));
@@ -307,16 +307,16 @@
 
     #[test]
     fn an_attempt_that_never_began_has_not_run_when_its_time_is_up() {
-        for (begins, wanted) in [(false, Outcome::NoConnection), (true, Outcome::TimedOut)] {
+        for (begins, wanted) in [(false, Outcome::ConnectFailed), (true, Outcome::TimedOut)] {
             let mut calls = Calls::new(Rc::default());
             let (call, _answer) = calls.add(0, ClassId(0), request(9_000));
-            let outgoing = calls.send(0, call, ServerId(3), (Some(5_000), None)).expect("an open call");
+            let outgoing = calls.send(0, call, EndpointId(3), (Some(5_000), None)).expect("an open call");
             assert!(outgoing.wanted && outgoing.timed());
             calls.timers.insert((5_000, Due::Attempt(call, 0)));
             assert!(!calls.may_start(0, call, 0, |_| false), "its host drains");
-            assert_eq!(calls.may_start(4_000, call, 0, |server| begins && server == ServerId(3)), begins);
+            assert_eq!(calls.may_start(4_000, call, 0, |server| begins && server == EndpointId(3)), begins);
             let outcome = match calls.due(5_000) {
-                Some(Some(Event::Outcome { outcome, closed: false, .. })) => outcome,
+                Some(Some(Event::AttemptEnded { outcome, call_closed: false, .. })) => outcome,
                 other => panic!("{other:?}"),
             };
             assert_eq!(outcome, wanted);
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,6 +1,6 @@
 //! The names that clients use for classes and tenants, and their numbers.
 
-use oakport_core::settings::Facts;
+use oakport_core::settings_wire::ParsedSettings;
 use oakport_core::{Class, ClassId, Settings, TenantId};
 
 /// All classes ever named, by their numbers: one that has vanished keeps its own.
@@ -13,16 +13,16 @@
 
 impl Classes {
     /// As the first settings name them, with those settings for the module.
-    pub fn new(facts: Facts) -> (Self, Settings) {
+    pub fn new(facts: ParsedSettings) -> (Self, Settings) {
         let settings = facts.settings;
         let specs = settings.classes.clone();
-        (Classes { names: facts.classes, specs, tenants: facts.tenants }, settings)
+        (Classes { names: facts.class_names, specs, tenants: facts.tenant_names }, settings)
     }
 
     /// Takes new settings in; what the module is told has all classes under their old numbers.
-    pub fn retune(&mut self, facts: Facts) -> Settings {
-        self.specs.iter_mut().for_each(|class| class.live = false);
-        for (name, class) in facts.classes.into_iter().zip(&facts.settings.classes) {
+    pub fn retune(&mut self, facts: ParsedSettings) -> Settings {
+        self.specs.iter_mut().for_each(|class| class.active = false);
+        for (name, class) in facts.class_names.into_iter().zip(&facts.settings.classes) {
             match place(&self.names, &name) {
                 Some(number) => self.specs[number] = *class,
                 None => {
@@ -31,13 +31,13 @@
                 }
             }
         }
-        self.tenants = facts.tenants;
+        self.tenants = facts.tenant_names;
         Settings { classes: self.specs.clone(), ..facts.settings }
     }
 
     /// The class of this name, if the settings in force have one.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        place(&self.names, name).filter(|&number| self.specs[number].live).map(ClassId)
+        place(&self.names, name).filter(|&number| self.specs[number].active).map(ClassId)
     }
 
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -2,7 +2,7 @@
 //! description: the schema and the faults that `oakport check` finds are drawn from them.
 
 use crate::list::List;
-use oakport_core::settings::SettingsFile;
+use oakport_core::settings_wire::SettingsFile;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub use document::{Limits, PeersConfig};
 use faults::Fault;
 pub use faults::Faults;
-use oakport_core::settings::{self, Facts};
+use oakport_core::settings_wire::{self, ParsedSettings};
 use places::{dotted, under, Places};
 use serde::Deserialize;
 use serde_json::Value;
@@ -43,7 +43,7 @@
     pub limits: Limits,
     pub(crate) known: Option<List>,
     /// The settings, as the module and the sockets are told.
-    pub facts: Facts,
+    pub facts: ParsedSettings,
     /// Keys that the file leaves out, with the values that stand for them.
     pub defaulted: Vec<(String, Value)>,
     path: PathBuf,
@@ -190,7 +190,7 @@
     let Document { name, listen, discovery, operator, peers, seed, limits, known, settings } =
         Document::deserialize(value).map_err(|e| Fault::new("", e.to_string()))?;
     let seed = u64::from_str_radix(&seed, 16).map_err(|e| Fault::new("/seed", format!("{seed}: {e}")))?;
-    let facts = settings::take(settings)
+    let facts = settings_wire::convert(settings)
         .map_err(|odd| Fault::new(format!("{}{}", under("", "settings"), odd.pointer), odd.problem))?;
     let (defaulted, path, whole) = (Vec::new(), PathBuf::new(), Value::Null);
     Ok(Config {
@@ -277,7 +277,7 @@
     fn a_good_file_is_taken_with_what_is_new_in_it() {
         let b = r#"{"name":"b","objective_us":5,"deadline_us":6,"worth":2,"idempotency":"single_shot"},{"name":"a""#;
         let config = next(r#"{"name":"a""#, b).expect("a good file");
-        assert_eq!(config.facts.classes, ["b", "a"]);
+        assert_eq!(config.facts.class_names, ["b", "a"]);
         assert_eq!(
             next("\"max_attempts\":3", "\"max_attempts\":1")
                 .expect("good")
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 use crate::list::List;
 use crate::upgrade::Shared;
 use call::{Fault, Link};
-use oakport_core::ListKind;
+use oakport_core::ListUpdateKind;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cell::RefCell;
@@ -260,7 +260,7 @@
         if let Some(entry) = list.endpoints.iter().find(|e| list.snapshot && !names.insert(e.name.as_str())) {
             return Err(format!("odd list: {} twice", entry.name));
         }
-        let kind = if list.snapshot { ListKind::Full } else { ListKind::Delta };
+        let kind = if list.snapshot { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
         self.driver.members(kind, &list.endpoints);
         let news = self.index != Some(list.index);
         if let Some(shared) = self.shared.as_ref().filter(|_| news) {
--- a/crates/proxy/src/discovery/terms.rs
+++ b/crates/proxy/src/discovery/terms.rs
@@ -31,7 +31,8 @@
 
 impl Terms {
     pub fn new(asked: bool, rules: &Rules) -> Self {
-        let [drain_grace, ask_every] = [rules.drain_grace, rules.ask_every].map(Duration::from_micros);
+        let [drain_grace, ask_every] =
+            [rules.drain_grace, rules.max_poll_interval].map(Duration::from_micros);
         Terms { pushed: !asked, drain_grace, ask_every }
     }
 
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -10,10 +10,10 @@
 use crate::message::{Answer, Begun, Ended, Intake, Request};
 use crate::pool::{Pool, Target};
 use crate::upstream;
-use oakport_core::settings::{Facts, Transport};
+use oakport_core::settings_wire::{ParsedSettings, TransportSettings};
 use oakport_core::{
-    Action, Balancer, CallId, ClassId, Event, ListKind, Load, Micros, Note, Outcome, Rules, ServerId,
-    Settings, State,
+    Action, Balancer, CallId, ClassId, DecisionEvent, EndpointId, EndpointState, Event, ListUpdateKind,
+    LoadReport, Micros, Outcome, Rules, Settings,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -30,7 +30,7 @@
     max_open: usize,
     /// The settings in force, and what the sockets go by.
     settings: Settings,
-    transport: Transport,
+    transport: TransportSettings,
     /// Client proxies counted, where peers tell of them; it goes before the settings' number.
     live: Option<u32>,
     /// New requests are taken.
@@ -54,7 +54,7 @@
 }
 
 impl Driver {
-    pub fn new(seed: u64, facts: Facts, clock: Clock, pool: Rc<Pool>, figures: Rc<Figures>) -> Self {
+    pub fn new(seed: u64, facts: ParsedSettings, clock: Clock, pool: Rc<Pool>, figures: Rc<Figures>) -> Self {
         let transport = facts.transport;
         let (classes, settings) = Classes::new(facts);
         let core = Core {
@@ -66,7 +66,7 @@
             figures,
             classes,
             hosts: Hosts::default(),
-            max_open: transport.max_open,
+            max_open: transport.max_open_requests,
             taking: false,
             events: VecDeque::new(),
             actions: Vec::new(),
@@ -88,9 +88,9 @@
     }
 
     /// New settings are in force. Calls under way keep the class they were taken with.
-    pub fn retune(&self, facts: Facts) {
+    pub fn retune(&self, facts: ParsedSettings) {
         let mut core = self.core.borrow_mut();
-        core.max_open = facts.transport.max_open;
+        core.max_open = facts.transport.max_open_requests;
         core.transport = facts.transport;
         core.settings = core.classes.retune(facts);
         drop(core);
@@ -106,8 +106,9 @@
     /// Puts the settings in force, with the number of client proxies that is counted.
     fn settle(&self) {
         let core = self.core.borrow();
-        let balancers = core.live.unwrap_or(core.settings.balancers);
-        let (settings, transport) = (Settings { balancers, ..core.settings.clone() }, core.transport);
+        let balancers = core.live.unwrap_or(core.settings.proxy_count);
+        let (settings, transport) =
+            (Settings { proxy_count: balancers, ..core.settings.clone() }, core.transport);
         drop(core);
         self.pool.retune(transport, balancers);
         self.event(Event::Settings(Box::new(settings)));
@@ -135,7 +136,8 @@
     /// The operators' figures as they are now.
     pub fn report(&self) -> Report {
         let core = self.core.borrow();
-        let (listed, down) = (core.hosts.listed().count(), core.balancer.avoided(self.clock.now()));
+        let (listed, down) =
+            (core.hosts.listed().count(), core.balancer.unavailable_endpoints(self.clock.now()));
         core.figures.report(core.classes.names(), core.calls.open(), (listed, down))
     }
 
@@ -156,7 +158,7 @@
         let (call, answer) = core.calls.add(self.clock.now(), class, request);
         let tenant = tenant.and_then(|name| core.classes.tenant(&name));
         drop(core);
-        self.event(Event::Request { call, class, tenant, time_left, resent });
+        self.event(Event::Request { call, class, tenant, remaining_time: time_left, is_retry: resent });
         Some((call, answer))
     }
 
@@ -180,7 +182,7 @@
         }
         core.calls.close(call, None);
         drop(core);
-        self.event(Event::Gone { call });
+        self.event(Event::ClientDisconnected { call });
         self.drop_attempts(call);
     }
 
@@ -189,8 +191,9 @@
     fn may_start(&self, call: CallId, attempt: u32, generation: u64) -> bool {
         let mut core = self.core.borrow_mut();
         let Core { calls, hosts, .. } = &mut *core;
-        let ready =
-            |server| hosts.get(server).is_some_and(|h| h.state == State::Ready && h.generation == generation);
+        let ready = |server| {
+            hosts.get(server).is_some_and(|h| h.state == EndpointState::Ready && h.generation == generation)
+        };
         calls.may_start(self.clock.now(), call, attempt, ready)
     }
 
@@ -201,18 +204,19 @@
     }
 
     /// News of the list.
-    pub fn members(&self, kind: ListKind, list: &[Endpoint]) {
+    pub fn members(&self, kind: ListUpdateKind, list: &[Endpoint]) {
         let (entries, outdated) = self.core.borrow_mut().hosts.news(kind, list);
         for Outdated { server, generation } in outdated {
             self.pool.close(server, generation);
         }
         let count = |state| entries.iter().filter(|e| e.state == state).count();
-        let (up, draining, gone) = (count(State::Ready), count(State::Draining), count(State::Gone));
+        let (up, draining, gone) =
+            (count(EndpointState::Ready), count(EndpointState::Draining), count(EndpointState::Removed));
         // Most watches end without news.
-        if kind != ListKind::Delta || !entries.is_empty() {
+        if kind != ListUpdateKind::Delta || !entries.is_empty() {
             info!(?kind, up, draining, gone, "list taken");
         }
-        self.event(Event::Members { kind, entries });
+        self.event(Event::EndpointList { kind, endpoints: entries });
     }
 
     /// The list as it is now, of this version.
@@ -223,13 +227,13 @@
     /// Whether lists are asked for, and the rules' figures, by the settings in force.
     pub fn list_rules(&self) -> (bool, Rules) {
         let core = self.core.borrow();
-        (core.settings.ask, core.settings.rules)
+        (core.settings.polls_endpoint_list, core.settings.rules)
     }
 
     /// Asking for the list failed: the module says when to ask again. What it said before is overtaken.
     pub fn members_failed(&self) {
         self.wants_list.set(false);
-        self.event(Event::Members { kind: ListKind::Failed, entries: Vec::new() });
+        self.event(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
     }
 
     fn event(&self, event: Event) {
@@ -245,7 +249,7 @@
             let now = self.clock.now();
             let mut actions = std::mem::take(&mut core.actions);
             let touched = match event {
-                Event::Outcome { call, .. } => Some(call),
+                Event::AttemptEnded { call, .. } => Some(call),
                 _ => None,
             };
             core.balancer.handle(now, event, &mut actions);
@@ -267,25 +271,27 @@
 
     fn act(&self, core: &mut Core, now: Micros, action: Action) {
         match action {
-            Action::Send { call, server, until, by } => self.send(core, now, (call, server), (until, by)),
-            Action::Refuse { call, retry_after } => {
+            Action::Send { call, endpoint: server, timeout_at: until, send_before: by } => {
+                self.send(core, now, (call, server), (until, by))
+            }
+            Action::Reject { call, retry_after } => {
                 core.calls.close(call, Some(Answer::Refused { retry_after }));
             }
             Action::Fail { call } => core.calls.close(call, Some(Answer::Failed)),
             Action::Cancel { call, attempt } => {
-                core.events.extend(core.calls.outcome(now, call, attempt, Outcome::CalledOff.into()));
+                core.events.extend(core.calls.outcome(now, call, attempt, Outcome::Cancelled.into()));
             }
-            Action::Wake { after } => core.calls.wake(now.saturating_add(after)),
-            Action::Subscribe => {
+            Action::SetTimer { after } => core.calls.wake(now.saturating_add(after)),
+            Action::PollEndpointList => {
                 self.wants_list.set(true);
                 self.subscribe.notify_one();
             }
             // Where the site allows no probes the module asks for none.
-            Action::Probe { server } => core.events.push_back(Event::Probed {
-                server,
+            Action::PollLoad { endpoint: server } => core.events.push_back(Event::LoadPolled {
+                endpoint: server,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
-                load: Load::default(),
+                load: LoadReport::default(),
             }),
             Action::Log(note) => core.tell(note),
         }
@@ -295,7 +301,7 @@
         &self,
         core: &mut Core,
         now: Micros,
-        (id, server): (CallId, ServerId),
+        (id, server): (CallId, EndpointId),
         (until, by): (Option<Micros>, Option<Micros>),
     ) {
         let Some(outgoing) = core.calls.send(now, id, server, (until, by)) else { return };
@@ -303,7 +309,7 @@
         let target = core
             .hosts
             .get(server)
-            .filter(|h| h.state == State::Ready && outgoing.wanted)
+            .filter(|h| h.state == EndpointState::Ready && outgoing.wanted)
             .and_then(|h| Some(Target { server, address: h.address?, generation: h.generation }));
         let Some(target) = target else {
             core.events.extend(core.calls.outcome(now, id, number, Outcome::NotSent.into()));
@@ -339,7 +345,7 @@
                 self.clock.now(),
                 call,
                 attempt,
-                Outcome::CalledOff.into(),
+                Outcome::Cancelled.into(),
             ));
         }
         self.run(core);
@@ -376,15 +382,17 @@
 
 impl Core {
     /// Tells whoever is on call what the module notes, under the names that people know.
-    fn tell(&self, note: Note) {
+    fn tell(&self, note: DecisionEvent) {
         let name = |server| self.hosts.name(server);
         match note {
-            Note::NoneUp => warn!(reason = "no server is up", "refusing"),
-            Note::SetAside { server, outcome } => {
+            DecisionEvent::AllEndpointsEjected => warn!(reason = "no server is up", "refusing"),
+            DecisionEvent::EndpointEjected { endpoint: server, outcome } => {
                 warn!(server = name(server), ?outcome, "set aside");
             }
-            Note::TakenBack { server } => info!(server = name(server), "taken back"),
-            Note::FailsClass { server, class } => {
+            DecisionEvent::EndpointReadmitted { endpoint: server } => {
+                info!(server = name(server), "taken back")
+            }
+            DecisionEvent::ClassFailing { endpoint: server, class } => {
                 warn!(server = name(server), class = self.classes.name(class), "fails a class");
             }
         }
@@ -418,16 +426,21 @@
 
     fn driver() -> Driver {
         let clock = Clock::start();
-        let transport = Transport {
-            max_open: 9,
-            conn_idle: 60_000_000,
+        let transport = TransportSettings {
+            max_open_requests: 9,
+            idle_connection_timeout: 60_000_000,
             connect_timeout: 9_000_000,
-            handshake: 0.0,
-            aim: 400_000,
+            handshake_charge: 0.0,
+            shortest_latency_objective: 400_000,
         };
         let figures = Rc::<Figures>::default();
         let pool = Pool::new(transport, 1, Descriptors::new(9), clock, Rc::clone(&figures), Memory::new(64));
-        let facts = Facts { settings: Settings::default(), classes: vec![], tenants: vec![], transport };
+        let facts = ParsedSettings {
+            settings: Settings::default(),
+            class_names: vec![],
+            tenant_names: vec![],
+            transport,
+        };
         Driver::new(7, facts, clock, pool, figures)
     }
 
--- a/crates/proxy/src/hosts.rs
+++ b/crates/proxy/src/hosts.rs
@@ -1,7 +1,7 @@
 //! The hosts that discovery has named: their numbers, addresses and processes.
 
 use crate::list::{Endpoint, List};
-use oakport_core::{settings, CellId, Entry, ListKind, Micros, ServerId, State};
+use oakport_core::{settings_wire, CellId, EndpointId, EndpointInfo, EndpointState, ListUpdateKind, Micros};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     told: Endpoint,
     pub address: Option<SocketAddr>,
     started: Micros,
-    pub state: State,
+    pub state: EndpointState,
     /// Counts processes and addresses: connections of an earlier one are not used.
     pub generation: u64,
 }
@@ -19,30 +19,30 @@
 /// Connections to a host of generations before this one lead to what is not there any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outdated {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub generation: u64,
 }
 
 /// All hosts ever named, by their numbers.
 #[derive(Debug, Default)]
 pub struct Hosts {
-    numbers: HashMap<String, ServerId>,
+    numbers: HashMap<String, EndpointId>,
     hosts: Vec<Host>,
 }
 
 impl Hosts {
-    pub fn get(&self, server: ServerId) -> Option<&Host> {
+    pub fn get(&self, server: EndpointId) -> Option<&Host> {
         self.hosts.get(server.0 as usize)
     }
 
     /// The name by which people know it.
-    pub fn name(&self, server: ServerId) -> &str {
+    pub fn name(&self, server: EndpointId) -> &str {
         self.get(server).map_or("?", |host| &host.told.name)
     }
 
     /// Those that are in the list.
     pub fn listed(&self) -> impl Iterator<Item = &Host> {
-        self.hosts.iter().filter(|host| host.state != State::Gone)
+        self.hosts.iter().filter(|host| host.state != EndpointState::Removed)
     }
 
     /// The list as it is now, of this version.
@@ -51,27 +51,27 @@
     }
 
     /// Takes news of the list in: what the module is told of it, and whose connections are outdated.
-    pub fn news(&mut self, kind: ListKind, list: &[Endpoint]) -> (Vec<Entry>, Vec<Outdated>) {
+    pub fn news(&mut self, kind: ListUpdateKind, list: &[Endpoint]) -> (Vec<EndpointInfo>, Vec<Outdated>) {
         let (mut entries, mut outdated) = (Vec::new(), Vec::new());
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, ListUpdateKind::Snapshot | ListUpdateKind::Cached) {
             let named: HashSet<&str> = list.iter().map(|e| e.name.as_str()).collect();
             for (host, number) in self.hosts.iter_mut().zip(0..) {
-                if host.state != State::Gone && !named.contains(host.told.name.as_str()) {
-                    host.state = State::Gone;
+                if host.state != EndpointState::Removed && !named.contains(host.told.name.as_str()) {
+                    host.state = EndpointState::Removed;
                     host.generation += 1;
-                    outdated.push(Outdated { server: ServerId(number), generation: host.generation });
+                    outdated.push(Outdated { server: EndpointId(number), generation: host.generation });
                 }
             }
         }
         for endpoint in list {
             let state = match endpoint.status.as_str() {
-                "up" => State::Ready,
-                "removed" => State::Gone,
+                "up" => EndpointState::Ready,
+                "removed" => EndpointState::Removed,
                 // Draining, and what is not known: nothing new goes there.
-                _ => State::Draining,
+                _ => EndpointState::Draining,
             };
             let (next, started) = (self.hosts.len() as u32, endpoint.since_ms.saturating_mul(1_000));
-            let server = *self.numbers.entry(endpoint.name.clone()).or_insert(ServerId(next));
+            let server = *self.numbers.entry(endpoint.name.clone()).or_insert(EndpointId(next));
             if server.0 == next {
                 self.hosts.push(Host {
                     told: endpoint.clone(),
@@ -82,25 +82,30 @@
                 });
             }
             let Some(host) = self.hosts.get_mut(server.0 as usize) else { continue };
-            let address = endpoint.address.parse().ok().or(host.address.filter(|_| state != State::Ready));
+            let address =
+                endpoint.address.parse().ok().or(host.address.filter(|_| state != EndpointState::Ready));
             // Nothing can go to a host of which no address is told.
-            let state = if state == State::Ready && address.is_none() { State::Draining } else { state };
+            let state = if state == EndpointState::Ready && address.is_none() {
+                EndpointState::Draining
+            } else {
+                state
+            };
             // The same name with a new start is a new process, and a new address another way to it: what is
             // open leads to the old one.
-            if state != State::Ready || address != host.address || started != host.started {
+            if state != EndpointState::Ready || address != host.address || started != host.started {
                 host.generation += 1;
                 outdated.push(Outdated { server, generation: host.generation });
             }
             (host.state, host.address, host.started) = (state, address, started);
             host.told = endpoint.clone();
-            entries.push(Entry {
-                server,
+            entries.push(EndpointInfo {
+                id: server,
                 state,
-                zone: settings::zone(&endpoint.zone),
+                zone: settings_wire::zone_id(&endpoint.zone),
                 cell: CellId(endpoint.group),
-                kind: settings::kind(&endpoint.kind),
+                machine_type: settings_wire::machine_type_id(&endpoint.kind),
                 weight: endpoint.weight,
-                started,
+                started_at: started,
             });
         }
         (entries, outdated)
@@ -123,21 +128,21 @@
         let (one, two) = ("127.0.0.1:9", "127.0.0.1:10");
         let mut hosts = Hosts::default();
         for (status, address, since, state, given_up) in [
-            ("up", one, 5, State::Ready, 1),
-            ("up", one, 5, State::Ready, 0),
-            ("up", two, 5, State::Ready, 1),
-            ("up", two, 6, State::Ready, 1),
-            ("draining", "", 6, State::Draining, 1),
-            ("odd", two, 6, State::Draining, 1),
-            ("up", "nowhere", 6, State::Draining, 1),
-            ("removed", two, 6, State::Gone, 1),
+            ("up", one, 5, EndpointState::Ready, 1),
+            ("up", one, 5, EndpointState::Ready, 0),
+            ("up", two, 5, EndpointState::Ready, 1),
+            ("up", two, 6, EndpointState::Ready, 1),
+            ("draining", "", 6, EndpointState::Draining, 1),
+            ("odd", two, 6, EndpointState::Draining, 1),
+            ("up", "nowhere", 6, EndpointState::Draining, 1),
+            ("removed", two, 6, EndpointState::Removed, 1),
         ] {
-            let (entries, outdated) = hosts.news(ListKind::Delta, &told(status, address, since));
+            let (entries, outdated) = hosts.news(ListUpdateKind::Delta, &told(status, address, since));
             assert_eq!((entries[0].state, outdated.len()), (state, given_up), "{status} {address} {since}");
-            assert_eq!(entries[0].started, since * 1_000, "on the clock's own scale");
+            assert_eq!(entries[0].started_at, since * 1_000, "on the clock's own scale");
         }
-        hosts.news(ListKind::Full, &told("up", one, 7));
-        let (entries, outdated) = hosts.news(ListKind::Full, &[]);
+        hosts.news(ListUpdateKind::Snapshot, &told("up", one, 7));
+        let (entries, outdated) = hosts.news(ListUpdateKind::Snapshot, &[]);
         assert_eq!((entries.len(), outdated.len(), hosts.listed().count()), (0, 1, 0), "left out: gone");
     }
 }
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::http::{HeaderMap, Method, Uri};
-use oakport_core::{ClassId, Load, Micros, Outcome};
+use oakport_core::{ClassId, LoadReport, Micros, Outcome};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
@@ -63,13 +63,13 @@
 #[derive(Debug)]
 pub struct Ended {
     pub outcome: Outcome,
-    pub load: Load,
+    pub load: LoadReport,
     /// The whole body of a served answer, and its type. None also for one that was passed on by pieces.
     pub served: Option<(Bytes, Option<HeaderValue>)>,
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, load: Load::default(), served: None }
+        Ended { outcome, load: LoadReport::default(), served: None }
     }
 }
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/peers/mod.rs
@@ -9,7 +9,7 @@
 use crate::config::PeersConfig;
 use crate::driver::Driver;
 use crate::upgrade::Heir;
-use oakport_membership::{Config, Hearing, Identity, News, Peers, Standing};
+use oakport_membership::{Identity, MemberStatus, MembershipEvent, Node, NodeConfig, ScopeStatus};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     clock: Clock,
     heir: Heir,
     /// None: the address is not to be had yet.
-    machine: RefCell<Option<Peers>>,
+    machine: RefCell<Option<Node>>,
     /// What the configuration says of the number of processes.
     told: Cell<u32>,
     leave: Notify,
@@ -57,7 +57,7 @@
     pub fn retell(&self, balancers: u32) {
         self.told.set(balancers);
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.retell(balancers as usize);
+            machine.set_configured_count(balancers as usize);
         }
     }
 
@@ -106,19 +106,19 @@
         let zone = self.config.zone.as_deref().unwrap_or_default();
         let own = Identity::new(&self.name, address, now / 1_000, env!("CARGO_PKG_VERSION"), zone);
         info!(%address, fleet = self.config.fleet, "among peers");
-        let config = Config {
-            fleet: self.config.fleet.clone(),
+        let config = NodeConfig {
+            fleet_name: self.config.fleet.clone(),
             seeds: self.config.seeds.clone(),
-            balancers: self.told.get() as usize,
+            configured_count: self.told.get() as usize,
         };
         let scope = self.config.scope.as_deref().unwrap_or_default();
-        *self.machine.borrow_mut() = Some(Peers::in_scope(now, self.seed, own, config, scope));
+        *self.machine.borrow_mut() = Some(Node::with_scope(now, self.seed, own, config, scope));
         let mut room = vec![0; ROOM];
         loop {
-            let due = self.machine.borrow().as_ref().map_or(now, Peers::next_due);
+            let due = self.machine.borrow().as_ref().map_or(now, Node::next_deadline);
             tokio::select! {
                 came = socket.recv_from(&mut room) => if let Ok((length, _)) = came {
-                    self.with(|machine, now| machine.datagram(now, &room[..length]));
+                    self.with(|machine, now| machine.handle_datagram(now, &room[..length]));
                 },
                 () = tokio::time::sleep_until(self.clock.instant(due)) => {}
                 () = self.leave.notified() => {
@@ -131,20 +131,20 @@
                     return;
                 }
             }
-            self.with(|machine, now| machine.time(now));
+            self.with(|machine, now| machine.handle_time(now));
             self.post(&socket);
             self.tell(&driver);
         }
     }
 
-    fn with(&self, act: impl FnOnce(&mut Peers, u64)) {
+    fn with(&self, act: impl FnOnce(&mut Node, u64)) {
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
             act(machine, self.clock.now());
         }
     }
 
     fn post(&self, socket: &UdpSocket) {
-        let outbox = self.machine.borrow_mut().as_mut().map(Peers::outbox);
+        let outbox = self.machine.borrow_mut().as_mut().map(Node::take_outbox);
         for (to, datagram) in outbox.into_iter().flatten() {
             // A datagram may be lost; what matters is sent again.
             let _ = socket.try_send_to(&datagram, to);
@@ -152,28 +152,34 @@
     }
 
     fn tell(&self, driver: &Driver) {
-        let news = self.machine.borrow_mut().as_mut().map(Peers::news);
+        let news = self.machine.borrow_mut().as_mut().map(Node::take_events);
         for news in news.into_iter().flatten() {
             match news {
-                News::Member(who, Standing::Present) => {
+                MembershipEvent::MemberChanged(who, MemberStatus::Alive) => {
                     info!(member = who.name, address = %who.address, zone = who.zone, release = who.release, "present");
                 }
-                News::Member(who, Standing::Suspected) => {
+                MembershipEvent::MemberChanged(who, MemberStatus::Suspected) => {
                     info!(member = who.name, address = %who.address, "suspected")
                 }
-                News::Member(who, Standing::Left) => info!(member = who.name, address = %who.address, "left"),
-                News::Member(who, Standing::Dead) => warn!(member = who.name, address = %who.address, "dead"),
-                News::OneName(name, one, other) => {
+                MembershipEvent::MemberChanged(who, MemberStatus::Left) => {
+                    info!(member = who.name, address = %who.address, "left")
+                }
+                MembershipEvent::MemberChanged(who, MemberStatus::Dead) => {
+                    warn!(member = who.name, address = %who.address, "dead")
+                }
+                MembershipEvent::NameConflict(name, one, other) => {
                     error!(name, %one, %other, "two members have one name; give each its own");
                 }
-                News::CameBack => warn!("held dead by others, back among them"),
-                News::Cut(true) => warn!("so many fell silent at once that it is taken for a cut"),
-                News::Cut(false) => info!("no longer taken for a cut"),
-                News::Scope(scope, Hearing::Silent) => {
+                MembershipEvent::Rejoined => warn!("held dead by others, back among them"),
+                MembershipEvent::PartitionSuspected(true) => {
+                    warn!("so many fell silent at once that it is taken for a cut")
+                }
+                MembershipEvent::PartitionSuspected(false) => info!("no longer taken for a cut"),
+                MembershipEvent::ScopeChanged(scope, ScopeStatus::Silent) => {
                     warn!(scope, "scope silent; its members count on for now")
                 }
-                News::Scope(scope, Hearing::Fresh) => info!(scope, "scope back"),
-                News::Count(count) => {
+                MembershipEvent::ScopeChanged(scope, ScopeStatus::Fresh) => info!(scope, "scope back"),
+                MembershipEvent::LiveCount(count) => {
                     info!(count, "client proxies counted");
                     driver.live(u32::try_from(count).unwrap_or(u32::MAX));
                 }
--- a/crates/proxy/src/peers/report.rs
+++ b/crates/proxy/src/peers/report.rs
@@ -1,6 +1,6 @@
 //! What operators are told of the peers.
 
-use oakport_membership::{Hearing, Micros, Peers, Scope, Seen, Standing};
+use oakport_membership::{MemberRecord, MemberStatus, Micros, Node, RemoteScope, ScopeStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -74,54 +74,58 @@
 }
 
 impl PeersReport {
-    pub(super) fn new(machine: &Peers, now: Micros) -> Self {
-        let (own, view, count) = (machine.own(), machine.view(), machine.count());
+    pub(super) fn new(machine: &Node, now: Micros) -> Self {
+        let (own, view, count) = (machine.identity(), machine.members(), machine.live_count());
         PeersReport {
             name: own.name.clone(),
             address: own.address.to_string(),
             size: view.size(),
             digest: format!("{:08x}", view.digest()),
             age_ms: view.age(now) / 1_000,
-            agreement: view.agreement(now),
+            agreement: view.agreement_ratio(now),
             count: count.get(),
-            cut: machine.is_cut(),
+            cut: machine.suspects_partition(),
             bytes_sent: machine.bytes_sent,
-            thrown_away: machine.odd.iter().map(|(why, count)| ((*why).to_owned(), *count)).collect(),
+            thrown_away: machine
+                .discarded_datagrams
+                .iter()
+                .map(|(why, count)| ((*why).to_owned(), *count))
+                .collect(),
             members: view.members().map(|seen| member(seen, now)).collect(),
             scope: machine.scope().to_owned(),
-            scopes: machine.scopes().others().map(|(name, seen)| scope(name, seen, now)).collect(),
+            scopes: machine.scopes().iter().map(|(name, seen)| scope(name, seen, now)).collect(),
         }
     }
 }
 
-fn scope(name: &str, seen: &Scope, now: Micros) -> ScopeReport {
-    let hearing = match seen.hearing() {
-        Hearing::Fresh => "fresh",
-        Hearing::Silent => "silent",
+fn scope(name: &str, seen: &RemoteScope, now: Micros) -> ScopeReport {
+    let hearing = match seen.status() {
+        ScopeStatus::Fresh => "fresh",
+        ScopeStatus::Silent => "silent",
     };
     ScopeReport {
         name: name.to_owned(),
-        present: seen.present(),
-        counted: seen.counted(),
+        present: seen.member_count(),
+        counted: seen.live_count(),
         digest: format!("{:08x}", seen.digest()),
         age_ms: seen.age(now) / 1_000,
         hearing: hearing.to_owned(),
     }
 }
 
-fn member(seen: &Seen, now: Micros) -> MemberReport {
-    let standing = match seen.standing {
-        Standing::Present => "present",
-        Standing::Suspected => "suspected",
-        Standing::Left => "left",
-        Standing::Dead => "dead",
+fn member(seen: &MemberRecord, now: Micros) -> MemberReport {
+    let standing = match seen.status {
+        MemberStatus::Alive => "present",
+        MemberStatus::Suspected => "suspected",
+        MemberStatus::Left => "left",
+        MemberStatus::Dead => "dead",
     };
     MemberReport {
-        name: seen.who.name.clone(),
-        address: seen.who.address.to_string(),
-        zone: seen.who.zone.clone(),
-        release: seen.who.release.clone(),
-        life: seen.who.life,
+        name: seen.identity.name.clone(),
+        address: seen.identity.address.to_string(),
+        zone: seen.identity.zone.clone(),
+        release: seen.identity.release.clone(),
+        life: seen.identity.incarnation,
         standing: standing.to_owned(),
         for_ms: now.saturating_sub(seen.since) / 1_000,
     }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -6,8 +6,8 @@
 use crate::descriptors::{Descriptor, Descriptors};
 use crate::figures::Figures;
 use crate::link::Link;
-use oakport_core::settings::Transport;
-use oakport_core::{Micros, Outcome, ServerId};
+use oakport_core::settings_wire::TransportSettings;
+use oakport_core::{EndpointId, Micros, Outcome};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub address: SocketAddr,
     pub generation: u64,
 }
@@ -95,7 +95,7 @@
 
 /// The connections to all hosts.
 pub struct Pool {
-    ways: RefCell<HashMap<ServerId, Way>>,
+    ways: RefCell<HashMap<EndpointId, Way>>,
     /// The calls to all of them together.
     demand: Cell<Demand>,
     descriptors: Rc<Descriptors>,
@@ -116,24 +116,25 @@
 }
 
 impl Limits {
-    fn new(transport: Transport, balancers: u32) -> Self {
+    fn new(transport: TransportSettings, balancers: u32) -> Self {
         Limits {
             connect_timeout: Duration::from_micros(transport.connect_timeout),
             // Well ahead of the host, which may close it any time from then on. Counted from the end of its
             // rest.
-            idle_most: (transport.conn_idle / 4 * 3).saturating_sub(REST),
+            idle_most: (transport.idle_connection_timeout / 4 * 3).saturating_sub(REST),
             spares: SPARES_OF_ALL / balancers.max(1) as usize,
             // A wait takes at most a rest of the time in which an answer has its worth, a new connection its
             // price of that worth. Where that is nothing, none is waited for that comes up sooner, but by a single
             // train of calls.
-            cheap_waits: transport.handshake * transport.aim as f64 / REST as f64,
+            cheap_waits: transport.handshake_charge * transport.shortest_latency_objective as f64
+                / REST as f64,
         }
     }
 }
 
 impl Pool {
     pub fn new(
-        transport: Transport,
+        transport: TransportSettings,
         balancers: u32,
         descriptors: Rc<Descriptors>,
         clock: Clock,
@@ -152,13 +153,13 @@
     }
 
     /// New settings are in force.
-    pub fn retune(&self, transport: Transport, balancers: u32) {
+    pub fn retune(&self, transport: TransportSettings, balancers: u32) {
         self.limits.set(Limits::new(transport, balancers));
     }
 
     /// Closes the idle connections to a host, and those in use of a generation before this one when they
     /// come back: a host that drains would otherwise keep connections that nothing uses any more.
-    pub fn close(&self, server: ServerId, generation: u64) {
+    pub fn close(&self, server: EndpointId, generation: u64) {
         let mut ways = self.ways.borrow_mut();
         let way = ways.entry(server).or_default();
         way.idle.clear();
@@ -286,10 +287,10 @@
                 self.evict();
                 return Err(Outcome::NotSent);
             }
-            _ => return Err(Outcome::NoConnection),
+            _ => return Err(Outcome::ConnectFailed),
         };
         self.figures.connection();
-        Link::open(stream, target.generation, places, now).await.ok_or(Outcome::NoConnection)
+        Link::open(stream, target.generation, places, now).await.ok_or(Outcome::ConnectFailed)
     }
 
     /// Takes a connection back after an answer. While it rests another call may come: where the rate says so,
@@ -310,7 +311,7 @@
     }
 
     /// Takes back one that has carried nothing since it was taken out, or at all: it need not rest.
-    pub async fn put_back(&self, server: ServerId, mut link: Link) {
+    pub async fn put_back(&self, server: EndpointId, mut link: Link) {
         let now = self.clock.now();
         if !link.alive().await {
             return;
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -12,7 +12,7 @@
 use crate::peers::Member;
 use crate::pool::Pool;
 use crate::upgrade::{self, Shared};
-use oakport_core::ListKind;
+use oakport_core::ListUpdateKind;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -151,7 +151,7 @@
         let facts = config.facts.clone();
         let pool = Pool::new(
             facts.transport,
-            facts.settings.balancers,
+            facts.settings.proxy_count,
             Rc::clone(&room.descriptors),
             clock,
             Rc::clone(&figures),
@@ -159,11 +159,11 @@
         );
         let driver = Driver::new(config.seed, facts, clock, Rc::clone(&pool), Rc::clone(&figures));
         driver.start();
-        let balancers = config.facts.settings.balancers;
+        let balancers = config.facts.settings.proxy_count;
         let name = config.name.clone().unwrap_or_else(|| config.listen.to_string());
         let peers = config.peers.clone().map(|peers| Member::new(peers, name, config.seed, clock, balancers));
         let index = known.as_ref().map(|k| k.index);
-        driver.members(ListKind::Cached, known.as_ref().map_or(&[], |k| &k.endpoints));
+        driver.members(ListUpdateKind::Cached, known.as_ref().map_or(&[], |k| &k.endpoints));
         Ok(Server {
             config,
             listener,
@@ -307,10 +307,10 @@
             Ok(next) => {
                 config = next;
                 let (discovery, attempts) = (config.discovery, config.facts.settings.limits.max_attempts);
-                info!(%discovery, classes = %config.facts.classes.join(" "), attempts, "reloaded");
+                info!(%discovery, classes = %config.facts.class_names.join(" "), attempts, "reloaded");
                 driver.retune(config.facts.clone());
                 if let Some(peers) = peers {
-                    peers.retell(config.facts.settings.balancers);
+                    peers.retell(config.facts.settings.proxy_count);
                 }
                 moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
             }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
-use oakport_core::{Load, Micros, Outcome};
+use oakport_core::{LoadReport, Micros, Outcome};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -116,16 +116,16 @@
             return std::future::pending().await;
         }
         // Never ran only if the last byte was not handed to the socket; all else may have run.
-        return if link.handover.whole() { Outcome::Reset } else { Outcome::NoConnection }.into();
+        return if link.handover.whole() { Outcome::Reset } else { Outcome::ConnectFailed }.into();
     };
     let load = head.headers.get("x-server-load").map(load).unwrap_or_default();
     let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
     let turned_away = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
         StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-        status if status.is_client_error() => Outcome::Rejected,
+        status if status.is_client_error() => Outcome::InvalidRequest,
         _ => Outcome::Error,
     };
     let served = match came {
@@ -138,7 +138,7 @@
             let (pieces, rest) = mpsc::channel(1);
             let length = body.size_hint().exact().map(|left| left + first.len() as u64);
             if !begin(Begun { first, rest, length, content_type }) {
-                return Outcome::CalledOff.into();
+                return Outcome::Cancelled.into();
             }
             let ended = pass_on(&mut link, &pool.figures, body, pieces).await;
             if ended == Outcome::Served {
@@ -178,7 +178,7 @@
         let frame = tokio::select! {
             biased;
             frame = link.drive(figures, true, next) => frame,
-            () = pieces.closed(), if !whole => return Outcome::CalledOff,
+            () = pieces.closed(), if !whole => return Outcome::Cancelled,
         };
         let piece = match frame {
             Some(Ok(Some(Ok(frame)))) => match frame.into_data() {
@@ -193,7 +193,7 @@
         let end = matches!(piece, Piece::End);
         match link.drive(figures, false, pieces.reserve()).await {
             Some(Ok(place)) => place.send(piece),
-            _ if !end => return Outcome::CalledOff,
+            _ if !end => return Outcome::Cancelled,
             _ => {}
         }
         if end {
@@ -235,15 +235,15 @@
 /// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
 /// columns (`active`), or those of the protocol's example (`inflight`): a reader of the latter alone left the
 /// module without any report, and hosts were loaded until calls timed out.
-pub fn load(value: &HeaderValue) -> Load {
-    let mut load = Load::default();
+pub fn load(value: &HeaderValue) -> LoadReport {
+    let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
     for (name, value) in text.trim_start_matches("TEXT").split(',').filter_map(|part| part.split_once('=')) {
         let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name.trim() {
-            "active" | "inflight" => load.in_hand = value,
-            "waiting" | "queue" => load.waiting = value,
-            "cpu" | "util" => load.busy = value,
+            "active" | "inflight" => load.in_flight = value,
+            "waiting" | "queue" => load.queued = value,
+            "cpu" | "util" => load.utilisation = value,
             "err_rps" | "eps" => load.error_rate = value,
             _ => {}
         }
@@ -259,8 +259,8 @@
     use crate::front::Presence;
     use hyper::header::HeaderMap;
     use hyper::http::{Method, Uri};
-    use oakport_core::settings::Transport;
-    use oakport_core::ServerId;
+    use oakport_core::settings_wire::TransportSettings;
+    use oakport_core::EndpointId;
     use std::io::{Read, Write};
     use std::net::TcpListener;
 
@@ -274,16 +274,16 @@
                 stream.write_all(text.as_bytes()).expect("an open connection");
             }
         });
-        let transport = Transport {
-            max_open: 9,
-            conn_idle: 60_000_000,
+        let transport = TransportSettings {
+            max_open_requests: 9,
+            idle_connection_timeout: 60_000_000,
             connect_timeout: Duration::from_secs(9).as_micros() as Micros,
-            handshake: 0.0,
-            aim: 400_000,
+            handshake_charge: 0.0,
+            shortest_latency_objective: 400_000,
         };
         let pool =
             Pool::new(transport, 1, Descriptors::new(9), Clock::start(), Rc::default(), Memory::new(64));
-        let target = Target { server: ServerId(0), address, generation: 0 };
+        let target = Target { server: EndpointId(0), address, generation: 0 };
         let request = Request {
             method: Method::GET,
             uri: Uri::from_static("/a"),
@@ -300,7 +300,12 @@
 
     #[test]
     fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_example() {
-        let wanted = Load { in_hand: Some(7.0), waiting: Some(2.5), busy: Some(0.5), error_rate: Some(0.0) };
+        let wanted = LoadReport {
+            in_flight: Some(7.0),
+            queued: Some(2.5),
+            utilisation: Some(0.5),
+            error_rate: Some(0.0),
+        };
         for text in [
             "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
--- a/crates/simulator/src/judge.rs
+++ b/crates/simulator/src/judge.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::{Again, Scenario, What};
 use hdrhistogram::Histogram;
-use oakport_core::{CallId, Micros, Outcome, ServerId};
+use oakport_core::{CallId, EndpointId, Micros, Outcome};
 use serde::Serialize;
 
 /// Seconds of the worst stretch.
@@ -162,7 +162,7 @@
         at: Micros,
         proxy: usize,
         call: Option<CallId>,
-        server: Option<ServerId>,
+        server: Option<EndpointId>,
     ) {
         self.broken += 1;
         if self.violations.len() < KEPT {
@@ -173,7 +173,8 @@
 
     /// May a call of this class be sent again, or refused, after attempts with these outcomes?
     pub fn harmless(&self, class: usize, outcomes: impl Iterator<Item = Option<Outcome>>) -> bool {
-        self.again[class] == Again::Free || outcomes.into_iter().all(|o| o.is_some_and(Outcome::never_ran))
+        self.again[class] == Again::Free
+            || outcomes.into_iter().all(|o| o.is_some_and(Outcome::proves_not_started))
     }
 
     /// A client first asks.
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -2,8 +2,8 @@
 
 use crate::chance;
 use oakport_core::{
-    Action, Balancer, CallId, ClassId, Event, ListKind, Micros, Outcome, Repeat, ServerId, Settings, State,
-    ZoneId,
+    Action, Balancer, CallId, ClassId, EndpointId, EndpointState, Event, Idempotency, ListUpdateKind, Micros,
+    Outcome, Settings, ZoneId,
 };
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -112,7 +112,7 @@
 
 #[derive(Clone, Copy)]
 struct Known {
-    id: ServerId,
+    id: EndpointId,
     in_flight: u32,
     ready: bool,
 }
@@ -121,7 +121,7 @@
     class: ClassId,
     deadline: Micros,
     /// Each attempt's server, its outcome once it is in.
-    attempts: Vec<(ServerId, Option<Outcome>)>,
+    attempts: Vec<(EndpointId, Option<Outcome>)>,
 }
 
 /// A policy that picks and goes again where that is allowed, and does nothing else.
@@ -129,7 +129,7 @@
     kind: Kind,
     settings: Settings,
     random: Pcg64,
-    servers: BTreeMap<ServerId, Known>,
+    servers: BTreeMap<EndpointId, Known>,
     calls: HashMap<CallId, Call>,
     next: usize,
 }
@@ -141,7 +141,7 @@
     }
 
     /// Where a call goes. None: nowhere.
-    fn pick(&mut self, call: CallId, truth: &[Truth]) -> Option<ServerId> {
+    fn pick(&mut self, call: CallId, truth: &[Truth]) -> Option<EndpointId> {
         /// Work for which the ceiling goes to another zone, in microseconds.
         const AWAY: f64 = 15_000.0;
         let tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
@@ -181,8 +181,11 @@
                     loads.truncate(2);
                 }
                 // What would be late everywhere is refused: its place is worth more to others.
-                let aim =
-                    self.settings.classes.get(self.calls[&call].class.0).map_or(f64::MAX, |c| c.aim as f64);
+                let aim = self
+                    .settings
+                    .classes
+                    .get(self.calls[&call].class.0)
+                    .map_or(f64::MAX, |c| c.latency_objective as f64);
                 let best = loads.into_iter().reduce(|a, b| if b.0 < a.0 { b } else { a });
                 best.filter(|(load, _)| *load < aim).map(|(_, s)| *s)
             }
@@ -198,43 +201,43 @@
         }
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.deadline > now) else { return };
         call.attempts.push((server, None));
-        actions.push(Action::Send { call: id, server, until: None, by: None });
+        actions.push(Action::Send { call: id, endpoint: server, timeout_at: None, send_before: None });
     }
 
     fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
         const COME_BACK: Micros = 200_000;
         let Some(call) = self.calls.remove(&id) else { return };
-        let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.never_ran()));
+        let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
         actions.push(match self.repeat(call.class) {
-            Repeat::SingleShot if ran => Action::Fail { call: id },
-            _ => Action::Refuse { call: id, retry_after: COME_BACK },
+            Idempotency::NonIdempotent if ran => Action::Fail { call: id },
+            _ => Action::Reject { call: id, retry_after: COME_BACK },
         });
     }
 
-    fn repeat(&self, class: ClassId) -> Repeat {
-        self.settings.classes.get(class.0).map_or(Repeat::SingleShot, |c| c.repeat)
+    fn repeat(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 }
 
 impl Policy for Plain {
     fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, entries } => {
-                if kind == ListKind::Full || kind == ListKind::Cached {
+            Event::EndpointList { kind, endpoints: entries } => {
+                if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                     self.servers.values_mut().for_each(|s| s.ready = false);
                 }
                 for entry in entries {
-                    let known = Known { id: entry.server, in_flight: 0, ready: false };
-                    self.servers.entry(entry.server).or_insert(known).ready = entry.state == State::Ready;
+                    let known = Known { id: entry.id, in_flight: 0, ready: false };
+                    self.servers.entry(entry.id).or_insert(known).ready = entry.state == EndpointState::Ready;
                 }
                 self.servers.retain(|_, s| s.ready || s.in_flight > 0);
             }
-            Event::Request { call, class, time_left, .. } => {
+            Event::Request { call, class, remaining_time: time_left, .. } => {
                 let deadline = now + time_left;
                 self.calls.insert(call, Call { class, deadline, attempts: Vec::new() });
                 self.send(now, call, truth, actions);
             }
-            Event::Outcome { call: id, attempt, outcome, closed, .. } => {
+            Event::AttemptEnded { call: id, attempt, outcome, call_closed: closed, .. } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 let Some((server, ended)) = call.attempts.get_mut(attempt as usize) else { return };
                 *ended = Some(outcome);
@@ -246,16 +249,16 @@
                     return;
                 }
                 let class = call.class;
-                let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.never_ran()));
+                let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
                 let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
                 let in_time = call.deadline > now;
-                if more && in_time && (!ran || self.repeat(class) == Repeat::Free) {
+                if more && in_time && (!ran || self.repeat(class) == Idempotency::Idempotent) {
                     self.send(now, id, truth, actions);
                 } else {
                     self.give_up(id, actions);
                 }
             }
-            Event::Gone { call } => {
+            Event::ClientDisconnected { call } => {
                 self.calls.remove(&call);
             }
             _ => {}
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -40,8 +40,8 @@
             call: CallId(call as u64),
             class: ClassId(class),
             tenant: None,
-            time_left,
-            resent: tries > 0,
+            remaining_time: time_left,
+            is_retry: tries > 0,
         };
         self.event(proxy, event);
     }
--- a/crates/simulator/src/world/fleet.rs
+++ b/crates/simulator/src/world/fleet.rs
@@ -22,7 +22,7 @@
                 now - START,
                 proxy,
                 None,
-                Some(ServerId(place as u32)),
+                Some(EndpointId(place as u32)),
             );
             self.fall(place);
             return;
@@ -33,7 +33,7 @@
         }
         let (errors, resets) = (server.health.errors, server.health.resets);
         if server.draining {
-            return self.reply(number, Outcome::TurnedAway, 0);
+            return self.reply(number, Outcome::Rejected, 0);
         }
         if errors && self.luck.gen_bool(0.5) {
             return self.reply(number, Outcome::Error, FAST);
@@ -42,7 +42,7 @@
             return self.reply(number, Outcome::Reset, FAST);
         }
         match self.servers[place].take(now, number, work) {
-            Taken::Full => self.reply(number, Outcome::TurnedAway, 0),
+            Taken::Full => self.reply(number, Outcome::Rejected, 0),
             Taken::Yes => self.foresee(place),
         }
     }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -14,7 +14,8 @@
 use crate::scenario::{Again, Scenario, Trouble, What};
 use crate::server::{Server, Taken};
 use oakport_core::{
-    Action, CallId, ClassId, Entry, Event, ListKind, Load, Micros, Outcome, ServerId, Settings, State, ZoneId,
+    Action, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport,
+    Micros, Outcome, Settings, ZoneId,
 };
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -47,7 +48,7 @@
     DropAt { attempt: usize },
     Backstop { call: usize },
     Wake { proxy: usize, life: u32 },
-    News { proxy: usize, server: usize, state: State, started: Micros },
+    News { proxy: usize, server: usize, state: EndpointState, started: Micros },
     Begin { trouble: usize },
     Finish { trouble: usize, server: usize },
     Drain { server: usize },
@@ -93,7 +94,7 @@
     /// Counts its processes.
     life: u32,
     /// What it has been told of each server, and since when.
-    told: Vec<Option<(State, Micros, Micros)>>,
+    told: Vec<Option<(EndpointState, Micros, Micros)>>,
     events: VecDeque<Event>,
 }
 
@@ -183,9 +184,9 @@
         for number in 0..scenario.balancers {
             let zone = number % zones;
             let policy = make(chance::seed_of(seed, number), &site::settings(scenario, zone));
-            let told = vec![Some((State::Ready, 0, START)); scenario.servers];
+            let told = vec![Some((EndpointState::Ready, 0, START)); scenario.servers];
             world.proxies.push(Proxy { policy, zone, life: 0, told, events: VecDeque::new() });
-            world.start(number, ListKind::Full);
+            world.start(number, ListUpdateKind::Snapshot);
         }
         for (trouble, spec) in scenario.events.iter().enumerate() {
             world.queue.at(START + spec.at, Happening::Begin { trouble });
@@ -220,7 +221,7 @@
             Happening::Finish { trouble, server } => self.finish(trouble, server),
             Happening::Drain { server } => {
                 self.servers[server].draining = true;
-                self.tell(server, State::Draining);
+                self.tell(server, EndpointState::Draining);
                 self.queue.after(DRAIN, Happening::Replace { server });
             }
             Happening::Replace { server } => self.replace(server),
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -3,20 +3,27 @@
 use super::*;
 
 impl World<'_> {
-    pub(super) fn start(&mut self, proxy: usize, kind: ListKind) {
+    pub(super) fn start(&mut self, proxy: usize, kind: ListUpdateKind) {
         self.event(proxy, Event::Start);
         let told = &self.proxies[proxy].told;
         let known = told.iter().enumerate().filter_map(|(server, told)| {
             let (state, started, _) = (*told)?;
-            (state != State::Gone).then(|| self.entry(server, state, started))
+            (state != EndpointState::Removed).then(|| self.entry(server, state, started))
         });
         let entries = known.collect();
-        self.event(proxy, Event::Members { kind, entries });
+        self.event(proxy, Event::EndpointList { kind, endpoints: entries });
     }
 
-    pub(super) fn entry(&self, server: usize, state: State, started: Micros) -> Entry {
+    pub(super) fn entry(&self, server: usize, state: EndpointState, started: Micros) -> EndpointInfo {
         let zone = ZoneId(self.servers[server].zone as u32);
-        Entry { server: ServerId(server as u32), state, zone, started, weight: 1.0, ..Entry::default() }
+        EndpointInfo {
+            id: EndpointId(server as u32),
+            state,
+            zone,
+            started_at: started,
+            weight: 1.0,
+            ..EndpointInfo::default()
+        }
     }
 
     /// Hands an event to a proxy's policy and carries out what it says.
@@ -42,27 +49,31 @@
 
     pub(super) fn act(&mut self, proxy: usize, action: Action) {
         match action {
-            Action::Send { call, server, until, .. } => self.send(proxy, call, server, until),
-            Action::Refuse { call, retry_after } => self.answer(proxy, call, Some(retry_after)),
+            Action::Send { call, endpoint: server, timeout_at: until, .. } => {
+                self.send(proxy, call, server, until)
+            }
+            Action::Reject { call, retry_after } => self.answer(proxy, call, Some(retry_after)),
             Action::Fail { call } => self.answer(proxy, call, None),
             Action::Cancel { call, attempt } => {
                 let attempts = self.calls.get(call.0 as usize).map(|c| &c.attempts);
                 let Some(&number) = attempts.and_then(|a| a.get(attempt as usize)) else { return };
                 self.abandon(number);
-                self.outcome(number, Outcome::CalledOff);
+                self.outcome(number, Outcome::Cancelled);
             }
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 let life = self.proxies[proxy].life;
                 self.queue.after(after, Happening::Wake { proxy, life });
             }
             // A site without probes, and with a list that comes by itself.
-            Action::Probe { server } => self.proxies[proxy].events.push_back(Event::Probed {
-                server,
-                outcome: Outcome::NotSent,
-                elapsed: 0,
-                load: Load::default(),
-            }),
-            Action::Subscribe | Action::Log(_) => {}
+            Action::PollLoad { endpoint: server } => {
+                self.proxies[proxy].events.push_back(Event::LoadPolled {
+                    endpoint: server,
+                    outcome: Outcome::NotSent,
+                    elapsed: 0,
+                    load: LoadReport::default(),
+                })
+            }
+            Action::PollEndpointList | Action::Log(_) => {}
         }
     }
 
@@ -100,7 +111,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, proxy: usize, id: CallId, server: ServerId, until: Option<Micros>) {
+    pub(super) fn send(&mut self, proxy: usize, id: CallId, server: EndpointId, until: Option<Micros>) {
         let (now, place) = (self.now(), server.0 as usize);
         let at = now - START;
         let Some(call) = self.calls.get(id.0 as usize).filter(|c| c.proxy == proxy) else { return };
@@ -111,7 +122,7 @@
         let rule = match self.proxies[proxy].told.get(place).copied().flatten() {
             None => Some("sent to a server that no list named"),
             Some((state, _, since))
-                if state != State::Ready && now > since + self.scenario.discovery.drain_grace =>
+                if state != EndpointState::Ready && now > since + self.scenario.discovery.drain_grace =>
             {
                 Some("sent to a server past its drain window")
             }
@@ -153,12 +164,12 @@
         if server.health.silent {
             // It never comes up.
             let connect_timeout = self.scenario.network.connect_timeout;
-            let outcome = Outcome::NoConnection;
+            let outcome = Outcome::ConnectFailed;
             return self.queue.after(connect_timeout, Happening::AtProxy { attempt: number, outcome });
         }
         let link = if server.up && !server.fallen { server.link(now, proxy) } else { None };
         let Some(kept) = link else {
-            let outcome = Outcome::NoConnection;
+            let outcome = Outcome::ConnectFailed;
             return self.queue.after(2 * way, Happening::AtProxy { attempt: number, outcome });
         };
         self.attempts[number].linked = true;
@@ -177,7 +188,7 @@
     /// An answer, or what stands for it, reaches the proxy.
     pub(super) fn at_proxy(&mut self, number: usize, outcome: Outcome) {
         let Attempt { server, call, .. } = self.attempts[number];
-        if self.servers[server].health.silent && outcome != Outcome::NoConnection {
+        if self.servers[server].health.silent && outcome != Outcome::ConnectFailed {
             // Lost on the way; the proxy's own time ends it.
             return;
         }
@@ -194,7 +205,7 @@
     pub(super) fn timeout(&mut self, number: usize) {
         if self.attempts[number].outcome.is_none() {
             let outcome =
-                if self.attempts[number].reached { Outcome::TimedOut } else { Outcome::NoConnection };
+                if self.attempts[number].reached { Outcome::TimedOut } else { Outcome::ConnectFailed };
             self.abandon(number);
             self.outcome(number, outcome);
         }
@@ -221,7 +232,7 @@
         let (attempt_number, linked) = (attempt.number, attempt.linked);
         let Call { proxy, request, open, .. } = self.calls[id];
         if linked {
-            let keep = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::TurnedAway);
+            let keep = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected);
             self.servers[server].unlink(now, proxy, keep);
         }
         if outcome == Outcome::Served {
@@ -234,8 +245,15 @@
         }
         let closed = !self.calls[id].open;
         let call = CallId(id as u64);
-        let load = Load::default();
-        let event = Event::Outcome { call, attempt: attempt_number, outcome, elapsed, closed, load };
+        let load = LoadReport::default();
+        let event = Event::AttemptEnded {
+            call,
+            attempt: attempt_number,
+            outcome,
+            elapsed,
+            call_closed: closed,
+            load,
+        };
         self.event(proxy, event);
     }
 }
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -2,51 +2,55 @@
 
 use super::ATTEMPTS;
 use crate::scenario::{Again, Scenario};
-use oakport_core::{Class, Limits, Repeat, Rules, Settings, ZoneId};
+use oakport_core::{Class, Idempotency, Limits, Rules, Settings, ZoneId};
 
 /// What a proxy in this zone is told of the site.
 pub fn settings(scenario: &Scenario, zone: usize) -> Settings {
     let classes = scenario.classes.iter().map(|c| Class {
-        aim: c.aim,
-        deadline: c.deadline,
-        worth: c.worth,
-        late_value: 0.0,
-        repeat: if c.idempotency == Again::Free { Repeat::Free } else { Repeat::SingleShot },
-        live: true,
+        latency_objective: c.aim,
+        client_timeout: c.deadline,
+        priority_weight: c.worth,
+        late_weight_ratio: 0.0,
+        idempotency: if c.idempotency == Again::Free {
+            Idempotency::Idempotent
+        } else {
+            Idempotency::NonIdempotent
+        },
+        active: true,
     });
     let (base, goal, server) = (Settings::default(), &scenario.goal, &scenario.server);
     Settings {
-        balancers: scenario.balancers as u32,
+        proxy_count: scenario.balancers as u32,
         zone: ZoneId(zone as u32),
         classes: classes.collect(),
         limits: Limits {
-            cancel: true,
-            probes: false,
-            second_copies: true,
+            cancellation: true,
+            load_polling: false,
+            hedging: true,
             max_attempts: ATTEMPTS,
             max_retry_after: scenario.clients.retry_after_most,
             max_streams: 1,
         },
         rules: Rules {
-            cold_share: server.cold_share,
-            cold_time: server.cold_time,
-            fall_multiple: server.fall_multiple,
-            fall_time: server.fall_time,
+            warm_up_initial_ratio: server.cold_share,
+            warm_up_duration: server.cold_time,
+            warm_up_overload_factor: server.fall_multiple,
+            warm_up_overload_window: server.fall_time,
             drain_grace: scenario.discovery.drain_grace,
-            ask_every: base.rules.ask_every,
+            max_poll_interval: base.rules.max_poll_interval,
         },
-        goal: oakport_core::Goal {
-            whole: goal.whole,
+        objective_weights: oakport_core::ObjectiveWeights {
+            overall: goal.whole,
             worst_class: goal.worst_class,
             worst_tenant: 0.0,
             worst_window: goal.worst_window,
         },
         charges: oakport_core::Charges {
             cross_zone: goal.cross_zone,
-            probe: 0.0,
+            load_poll: 0.0,
             handshake: goal.handshake,
-            waste: goal.waste,
-            late_fail: goal.late_fail,
+            wasted_work: goal.waste,
+            late_failure: goal.late_fail,
         },
         ..base
     }
--- a/crates/simulator/src/world/troubles.rs
+++ b/crates/simulator/src/world/troubles.rs
@@ -4,7 +4,7 @@
 
 impl World<'_> {
     /// News of a server goes to all proxies.
-    pub(super) fn tell(&mut self, server: usize, state: State) {
+    pub(super) fn tell(&mut self, server: usize, state: EndpointState) {
         let delay = self.scenario.discovery.delay;
         let started = self.servers[server].started;
         for proxy in 0..self.proxies.len() {
@@ -13,36 +13,36 @@
         }
     }
 
-    pub(super) fn news(&mut self, proxy: usize, server: usize, state: State, started: Micros) {
+    pub(super) fn news(&mut self, proxy: usize, server: usize, state: EndpointState, started: Micros) {
         let now = self.now();
         let told = &mut self.proxies[proxy].told;
         if told.len() <= server {
             told.resize(server + 1, None);
         }
         // News that overtake others are not taken back by them.
-        if told[server]
-            .is_some_and(|(old, since, _)| since > started || since == started && old == State::Gone)
-        {
+        if told[server].is_some_and(|(old, since, _)| {
+            since > started || since == started && old == EndpointState::Removed
+        }) {
             return;
         }
         let since = match told[server] {
-            Some((old, _, since)) if old != State::Ready && state != State::Ready => since,
+            Some((old, _, since)) if old != EndpointState::Ready && state != EndpointState::Ready => since,
             _ => now,
         };
         told[server] = Some((state, started, since));
         let entries = vec![self.entry(server, state, started)];
-        self.event(proxy, Event::Members { kind: ListKind::Delta, entries });
+        self.event(proxy, Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries });
     }
 
     /// A machine goes, and another comes in its place, cold.
     pub(super) fn replace(&mut self, place: usize) {
         let now = self.now();
         self.fall(place);
-        self.tell(place, State::Gone);
+        self.tell(place, EndpointState::Removed);
         let zone = self.servers[place].zone;
         self.servers.push(Server::new(&self.scenario.server, zone, now));
         self.look();
-        self.tell(self.servers.len() - 1, State::Ready);
+        self.tell(self.servers.len() - 1, EndpointState::Ready);
     }
 
     /// What the ceiling's policies see.
@@ -110,7 +110,7 @@
                 What::Silent => health.silent = true,
                 _ => {
                     self.fall(server);
-                    self.tell(server, State::Gone);
+                    self.tell(server, EndpointState::Removed);
                 }
             }
             self.foresee(server);
@@ -124,12 +124,12 @@
             What::Surge => self.surge /= self.scenario.events[trouble].factor,
             What::Crash => {
                 self.servers[server].restart(now);
-                self.tell(server, State::Ready);
+                self.tell(server, EndpointState::Ready);
             }
             _ if self.scenario.events[trouble].cold => {
                 self.fall(server);
                 self.servers[server].restart(now);
-                self.tell(server, State::Ready);
+                self.tell(server, EndpointState::Ready);
             }
             _ => {
                 self.servers[server].advance(now);
@@ -167,7 +167,7 @@
             proxy.life += 1;
             proxy.events.clear();
             proxy.policy = (self.make)(seed, &site::settings(self.scenario, proxy.zone));
-            self.start(number, ListKind::Cached);
+            self.start(number, ListUpdateKind::Cached);
         }
     }
 }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! Whole days of the model: what must hold whatever the policy, and what the judge must see.
 
-use oakport_core::{Action, Balancer, CallId, Event, Micros, ServerId, Settings, State};
+use oakport_core::{Action, Balancer, CallId, EndpointId, EndpointState, Event, Micros, Settings};
 use oakport_simulator::{play, play_with, Kind, Policy, Scenario, Sight, Truth, Verdict, KINDS};
 use std::path::Path;
 
@@ -70,15 +70,15 @@
     what: &'static str,
     /// Calls whose answer has been doubled or kept back, or that were sent again.
     met: Vec<CallId>,
-    last: Option<ServerId>,
+    last: Option<EndpointId>,
 }
 
 impl Policy for Broken {
     fn handle(&mut self, now: Micros, mut event: Event, _: &[Truth], actions: &mut Vec<Action>) {
-        if let Event::Members { entries, .. } = &mut event {
+        if let Event::EndpointList { endpoints: entries, .. } = &mut event {
             match self.what {
-                "drains are not heard" => entries.retain(|e| e.state == State::Ready),
-                "starts are not heard" => entries.iter_mut().for_each(|e| e.started = 0),
+                "drains are not heard" => entries.retain(|e| e.state == EndpointState::Ready),
+                "starts are not heard" => entries.iter_mut().for_each(|e| e.started_at = 0),
                 _ => {}
             }
         }
@@ -87,20 +87,23 @@
         let mut more = Vec::new();
         for action in &mut actions[from..] {
             match action.clone() {
-                Action::Send { server, .. } => {
+                Action::Send { endpoint: server, .. } => {
                     self.last = Some(server);
-                    if let (Action::Send { server, .. }, "servers are made up") = (action, self.what) {
-                        *server = ServerId(900);
+                    if let (Action::Send { endpoint: server, .. }, "servers are made up") =
+                        (action, self.what)
+                    {
+                        *server = EndpointId(900);
                     }
                 }
-                Action::Refuse { call, .. } | Action::Fail { call } => match self.what {
+                Action::Reject { call, .. } | Action::Fail { call } => match self.what {
                     "answers are given twice" => more.push(Action::Fail { call }),
-                    "answers get lost" => *action = Action::Wake { after: 1_000 },
-                    "failures are called refusals" => *action = Action::Refuse { call, retry_after: 0 },
+                    "answers get lost" => *action = Action::SetTimer { after: 1_000 },
+                    "failures are called refusals" => *action = Action::Reject { call, retry_after: 0 },
                     "what may have run goes again" if !self.met.contains(&call) => {
                         self.met.push(call);
-                        let server = self.last.unwrap_or(ServerId(0));
-                        *action = Action::Send { call, server, until: None, by: None };
+                        let server = self.last.unwrap_or(EndpointId(0));
+                        *action =
+                            Action::Send { call, endpoint: server, timeout_at: None, send_before: None };
                     }
                     _ => {}
                 },
--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -10,7 +10,7 @@
 use super::servers::{author, body, name};
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
-use oakport_core::{Micros, State};
+use oakport_core::{EndpointState, Micros};
 use oakport_simulator::scenario::Scenario;
 use oakport_simulator::Arrivals;
 use std::collections::BTreeMap;
@@ -324,8 +324,13 @@
             let listener = TcpListener::bind(address(Party::Server, number)).await.map_err(odd)?;
             let address = listener.local_addr().map_err(odd)?;
             let zone = shared.day.zones[0].clone();
-            let member =
-                Member { state: State::Ready, address, zone, release: "first".to_owned(), started: 0 };
+            let member = Member {
+                state: EndpointState::Ready,
+                address,
+                zone,
+                release: "first".to_owned(),
+                started: 0,
+            };
             agent.news(number, member);
             servers.push(Caller::new(address));
             listeners.push((listener, hop, number % SERVERS));
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -5,7 +5,7 @@
 use super::record::{Seen, Shared, Word};
 use super::servers::name;
 use bytes::BytesMut;
-use oakport_core::{Micros, State};
+use oakport_core::{EndpointState, Micros};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Whether it is listed, drains, or is gone.
-    pub state: State,
+    pub state: EndpointState,
     /// Where this proxy reaches it.
     pub address: SocketAddr,
     /// The name of its zone.
@@ -121,7 +121,8 @@
     pub fn news(&self, server: usize, member: Member) {
         let mut known = self.known();
         if known.members.get(&server).is_some_and(|(old, _)| {
-            old.started > member.started || old.started == member.started && old.state == State::Gone
+            old.started > member.started
+                || old.started == member.started && old.state == EndpointState::Removed
         }) {
             return;
         }
@@ -157,7 +158,7 @@
     }
 
     /// For a while it tells of a server what is not so, or stops doing so.
-    pub fn pretend(&self, server: usize, state: State) {
+    pub fn pretend(&self, server: usize, state: EndpointState) {
         let mut known = self.known();
         if let Some((member, _)) = known.members.get(&server).cloned() {
             self.set(&mut known, [(server, Member { state, ..member })]);
@@ -213,15 +214,15 @@
         let since = since.filter(|since| *since >= known.whole_from);
         let wanted = |(member, index): &&(Member, u64)| match since {
             Some(since) => *index > since,
-            None => member.state != State::Gone,
+            None => member.state != EndpointState::Removed,
         };
         let (mut endpoints, mut told) = (Vec::new(), Vec::new());
         for (&server, entry) in known.members.iter().filter(|(_, entry)| wanted(entry)) {
             let member = &entry.0;
             let status = match member.state {
-                State::Ready => "up",
-                State::Draining => "draining",
-                State::Gone => "removed",
+                EndpointState::Ready => "up",
+                EndpointState::Draining => "draining",
+                EndpointState::Removed => "removed",
             };
             told.push(member.word(server));
             endpoints.push(json!({
@@ -233,7 +234,7 @@
         if since.is_none() {
             // A whole list tells also what is not in it.
             let all = known.members.iter().map(|(&server, (member, _))| member.word(server));
-            told.extend(all.filter(|word| word.state == State::Gone));
+            told.extend(all.filter(|word| word.state == EndpointState::Removed));
         }
         (json!({"index": known.index, "snapshot": since.is_none(), "endpoints": endpoints}), told)
     }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -8,7 +8,7 @@
 use super::record::Seen;
 use super::servers::Machine;
 use super::site::{met, met_peers, Pair, Site};
-use oakport_core::{Micros, State};
+use oakport_core::{EndpointState, Micros};
 use oakport_simulator::scenario::{LinkSpec, Trouble, What};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
             What::ListDiffers => {
                 let met = self.site.met_proxies(&Trouble { zone: None, ..event.clone() });
                 let hidden = self.site.met_servers(&event);
-                for (state, until) in [(State::Gone, end), (State::Ready, end)] {
+                for (state, until) in [(EndpointState::Removed, end), (EndpointState::Ready, end)] {
                     for machine in &hidden {
                         met.iter().for_each(|&proxy| self.site.agents[proxy].pretend(machine.number, state));
                     }
@@ -136,7 +136,7 @@
         match event.what {
             What::Crash => {
                 machine.stop();
-                self.site.tell(machine, State::Gone);
+                self.site.tell(machine, EndpointState::Removed);
             }
             What::Slow => machine.fall_ill(|health| health.slow = event.factor),
             What::Hang => machine.fall_ill(|health| health.hangs = true),
@@ -152,7 +152,7 @@
                 machine.stop();
             }
             machine.restart();
-            self.site.tell(machine, State::Ready);
+            self.site.tell(machine, EndpointState::Ready);
         } else {
             machine.fall_ill(|health| *health = Default::default());
         }
@@ -169,10 +169,10 @@
                 let at = begin + step * place as Micros;
                 fleet.site.shared.until(at).await;
                 machine.drain();
-                fleet.site.tell(&machine, State::Draining);
+                fleet.site.tell(&machine, EndpointState::Draining);
                 fleet.site.shared.until(at + DRAIN).await;
                 machine.stop();
-                fleet.site.tell(&machine, State::Gone);
+                fleet.site.tell(&machine, EndpointState::Removed);
                 let started = fleet.site.shared.now();
                 let mut machines = fleet.site.machines();
                 // Without a socket the fleet has one server less.
@@ -181,7 +181,7 @@
                 machines.extend(next.clone());
                 drop(machines);
                 if let Some(next) = next {
-                    fleet.site.tell(&next, State::Ready);
+                    fleet.site.tell(&next, EndpointState::Ready);
                 }
             });
         }
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -5,7 +5,7 @@
 use super::cold::Window;
 use super::membership;
 use super::record::{histogram, Late, Seen, Shared, Signal, Try, TryEnd, Word, TOO_LATE};
-use oakport_core::{Micros, Outcome, State};
+use oakport_core::{EndpointState, Micros, Outcome};
 use oakport_simulator::scenario::Again;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -114,7 +114,7 @@
 
 impl Attempt {
     fn may_have_run(&self) -> bool {
-        self.outcome != Some(Outcome::TurnedAway)
+        self.outcome != Some(Outcome::Rejected)
     }
 }
 
@@ -125,7 +125,7 @@
     attempts: HashMap<u64, Attempt>,
     tries: Vec<Try>,
     done: Vec<(usize, Micros, TryEnd)>,
-    told: HashMap<(usize, usize), Vec<(Micros, State)>>,
+    told: HashMap<(usize, usize), Vec<(Micros, EndpointState)>>,
     /// Since when a proxy has known of a server's process, by when that started.
     starts: HashMap<(usize, usize, Micros), Micros>,
     /// What came to servers while they were cold, by server and start.
@@ -384,7 +384,8 @@
     fn places(&mut self) {
         let grace = self.shared.day.discovery.drain_grace + SLACK;
         let mut found = Vec::new();
-        let left = self.told.iter().filter(|(_, told)| told.iter().any(|(_, state)| *state != State::Ready));
+        let left =
+            self.told.iter().filter(|(_, told)| told.iter().any(|(_, state)| *state != EndpointState::Ready));
         self.after_told = left.map(|(pair, _)| (*pair, 0)).collect();
         for attempt in self.attempts.values() {
             let proxy = self.shared.arrivals[attempt.request].proxy;
@@ -396,7 +397,7 @@
                 continue;
             }
             // Since when it has been drained or gone without a word that it is back.
-            let ready = before.iter().rposition(|(_, state)| *state == State::Ready);
+            let ready = before.iter().rposition(|(_, state)| *state == EndpointState::Ready);
             let since = before.get(ready.map_or(0, |ready| ready + 1)).map(|(at, _)| *at);
             let late = since.map(|since| {
                 (attempt.first - since).saturating_sub(self.stalled(proxy, since, attempt.first))
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -1,7 +1,7 @@
 //! What the parties saw, with the time on the one clock, for the judge to go through when the play is over.
 
 use hdrhistogram::Histogram;
-use oakport_core::{Micros, Outcome, State};
+use oakport_core::{EndpointState, Micros, Outcome};
 use oakport_simulator::scenario::Scenario;
 use oakport_simulator::Arrival;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -94,7 +94,7 @@
     /// Its number.
     pub server: usize,
     /// Whether it is listed, drains, or is gone.
-    pub state: State,
+    pub state: EndpointState,
     /// When its process started; 0: long ago.
     pub started: Micros,
 }
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -216,7 +216,7 @@
             self.shared.saw(Seen::Ended { attempt, outcome, wasted });
             let text = match outcome {
                 Outcome::Served => http::answer(200, "", &body(&self.name(), &Shared::id(request, number))),
-                Outcome::TurnedAway => http::answer(503, "X-Not-Processed: 1\r\n", ""),
+                Outcome::Rejected => http::answer(503, "X-Not-Processed: 1\r\n", ""),
                 Outcome::Error => http::answer(500, "", ""),
                 _ => return http::reset(stream),
             };
@@ -298,7 +298,7 @@
             return Err((Outcome::Reset, 0));
         }
         if inner.server.draining {
-            return Err((Outcome::TurnedAway, 0));
+            return Err((Outcome::Rejected, 0));
         }
         let Health { errors, resets, .. } = inner.server.health;
         if errors && inner.luck.gen_bool(0.5) {
@@ -308,7 +308,7 @@
             return Err((Outcome::Reset, FAST));
         }
         if inner.server.take(now, attempt, work) == Taken::Full {
-            return Err((Outcome::TurnedAway, 0));
+            return Err((Outcome::Rejected, 0));
         }
         let (sender, ends) = oneshot::channel();
         inner.waiting.insert(attempt, sender);
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -4,7 +4,7 @@
 use super::links::Relay;
 use super::record::Shared;
 use super::servers::Machine;
-use oakport_core::State;
+use oakport_core::EndpointState;
 use oakport_simulator::chance::{self, Part};
 use oakport_simulator::scenario::{Group, Scenario, Trouble, What};
 use rand::seq::SliceRandom;
@@ -100,7 +100,7 @@
         }
         for machine in site.machines().iter() {
             for (proxy, agent) in site.agents.iter().enumerate() {
-                agent.news(machine.number, site.member(proxy, machine, State::Ready));
+                agent.news(machine.number, site.member(proxy, machine, EndpointState::Ready));
             }
         }
         Ok(site)
@@ -126,7 +126,7 @@
     }
 
     /// A server as a proxy's list has it.
-    fn member(&self, proxy: usize, machine: &Machine, state: State) -> Member {
+    fn member(&self, proxy: usize, machine: &Machine, state: EndpointState) -> Member {
         let relay = self.relays.get(&(proxy, Some(machine.number)));
         Member {
             state,
@@ -138,7 +138,7 @@
     }
 
     /// News of a server go to all agents, to each after a while of its own.
-    pub fn tell(&self, machine: &Machine, state: State) {
+    pub fn tell(&self, machine: &Machine, state: EndpointState) {
         let delay = self.shared.day.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = chance::jitter(delay, 0.5, &mut *self.luck());
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -10,7 +10,7 @@
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use nix::time::{clock_gettime, ClockId};
-use oakport_core::{Action, Entry, Event, Micros, Settings};
+use oakport_core::{Action, EndpointInfo, Event, Micros, Settings};
 use oakport_simulator::{play_with, Kind, Policy, Scenario, Truth, Verdict, Window};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -212,7 +212,7 @@
         actions.reserve(ROOM);
         // What comes with an event was given by others, and is given back here.
         let given = match &event {
-            Event::Members { entries, .. } => entries.capacity() * size_of::<Entry>(),
+            Event::EndpointList { endpoints: entries, .. } => entries.capacity() * size_of::<EndpointInfo>(),
             _ => 0,
         };
         let (spent, held) = measured(|| self.policy.handle(now, event, truth, actions));
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -20,7 +20,7 @@
 use crate::cluster::outside;
 use crate::cluster::processes::Seat;
 use crate::cluster::record::Shared;
-use oakport_core::State;
+use oakport_core::EndpointState;
 use oakport_simulator::scenario::Scenario;
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -62,7 +62,7 @@
 const ZONES: usize = 11;
 /// Machines that fail, are restarted or replaced on an ordinary day, and what the list has to tell of each.
 const EVENTS_A_DAY: f64 = 845.0;
-const STEPS: [State; 3] = [State::Draining, State::Gone, State::Ready];
+const STEPS: [EndpointState; 3] = [EndpointState::Draining, EndpointState::Removed, EndpointState::Ready];
 const DAY_S: f64 = 86_400.0;
 /// What is not in force by then never will be: the list is not taken.
 const NEVER: Duration = Duration::from_secs(20);
@@ -206,7 +206,7 @@
     }
 
     /// A server as the list has it.
-    fn member(&self, server: usize, state: State) -> Member {
+    fn member(&self, server: usize, state: EndpointState) -> Member {
         // Nobody is there, nor is anybody asked.
         let [_, _, high, low] = (server as u32).to_be_bytes();
         Member {
@@ -214,11 +214,11 @@
             address: SocketAddr::from((Ipv4Addr::new(127, 9, high, low), 1)),
             zone: format!("zone-{:02}", server % ZONES),
             release: "first".to_owned(),
-            started: if state == State::Ready { self.shared.now() } else { 0 },
+            started: if state == EndpointState::Ready { self.shared.now() } else { 0 },
         }
     }
 
-    fn members(&self, servers: impl Iterator<Item = usize>, state: State) -> Vec<(usize, Member)> {
+    fn members(&self, servers: impl Iterator<Item = usize>, state: EndpointState) -> Vec<(usize, Member)> {
         servers.map(|server| (server, self.member(server, state))).collect()
     }
 
@@ -261,8 +261,8 @@
     /// until it is in force, and how many the process then lacks. Of one server both ways count, as both
     /// change one.
     async fn leave(&self, size: usize, servers: &[usize], times: usize) -> Result<[f64; 4], Stopped> {
-        let gone = || self.agent.news_of_many(self.members(servers.iter().copied(), State::Gone));
-        let back = || self.agent.news_of_many(self.members(servers.iter().copied(), State::Ready));
+        let gone = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Removed));
+        let back = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Ready));
         let mut spent = Vec::new();
         for _ in 0..times {
             spent.push(self.cost(gone).await?);
@@ -308,7 +308,7 @@
             before.seat.end(Duration::ZERO).await;
         }
         let process = Process::start(point, way).await?;
-        let all = process.members(0..size, State::Ready);
+        let all = process.members(0..size, EndpointState::Ready);
         if start % 2 == 0 {
             let begin = Instant::now();
             process.agent.begin_anew(all);
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -15,7 +15,7 @@
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use net::{Learnt, Net, Scopes, Tally, SECOND};
 use oakport_core::Micros;
-use oakport_membership::{Hearing, Peers, Scope};
+use oakport_membership::{Node, RemoteScope, ScopeStatus};
 use place::ZONES;
 
 /// The role.
@@ -169,26 +169,26 @@
 }
 
 /// How many a member holds to be in another scope than its own.
-fn in_scope(peers: &Peers, zone: usize) -> usize {
-    let of_zone = |(name, _): &(&str, &Scope)| place::named(name) == Some(zone);
-    match peers.scopes().others().find(of_zone) {
+fn in_scope(peers: &Node, zone: usize) -> usize {
+    let of_zone = |(name, _): &(&str, &RemoteScope)| place::named(name) == Some(zone);
+    match peers.scopes().iter().find(of_zone) {
         // What a scope that is silent had last is not known to be there.
-        Some((_, scope)) if scope.hearing() == Hearing::Fresh => scope.present(),
+        Some((_, scope)) if scope.status() == ScopeStatus::Fresh => scope.member_count(),
         _ => 0,
     }
 }
 
 /// Whether a member holds all that run to be there, and no other; so many run in each zone.
-fn knows_all(peers: &Peers, running: &[usize; ZONES]) -> bool {
+fn knows_all(peers: &Node, running: &[usize; ZONES]) -> bool {
     let Some(own) = place::named(peers.scope()) else {
-        return peers.view().size() == running.iter().sum::<usize>();
+        return peers.members().size() == running.iter().sum::<usize>();
     };
     let mut held = [0; ZONES];
-    held[own] = peers.view().size();
+    held[own] = peers.members().size();
     held[own] == running[own] && {
-        for (name, scope) in peers.scopes().others().filter(|(_, scope)| scope.hearing() == Hearing::Fresh) {
+        for (name, scope) in peers.scopes().iter().filter(|(_, scope)| scope.status() == ScopeStatus::Fresh) {
             if let Some(held) = place::named(name).and_then(|zone| held.get_mut(zone)) {
-                *held = scope.present();
+                *held = scope.member_count();
             }
         }
         held == *running
@@ -196,11 +196,11 @@
 }
 
 /// Whether a member knows that another is gone. Of another scope it is told how many there are.
-fn knows_gone(peers: &Peers, gone: usize, size: usize, running: &[usize; ZONES]) -> bool {
+fn knows_gone(peers: &Node, gone: usize, size: usize, running: &[usize; ZONES]) -> bool {
     let zone = place::zone(gone, size);
     match place::named(peers.scope()) {
         Some(own) if own != zone => in_scope(peers, zone) <= running[zone],
-        _ => !peers.view().get(place::address(gone)).is_some_and(|seen| seen.standing.is_there()),
+        _ => !peers.members().get(place::address(gone)).is_some_and(|seen| seen.status.is_live()),
     }
 }
 
@@ -275,7 +275,7 @@
     let all = net.size();
     let mut learnt = all_know_all(net, 15 * SECOND - TOGETHER)?;
     last(net, 15.0)?;
-    let off = net.peers().map(|peers| peers.count().get().abs_diff(all)).max().unwrap_or(all);
+    let off = net.peers().map(|peers| peers.live_count().get().abs_diff(all)).max().unwrap_or(all);
     if learnt.all.is_none() {
         learnt = all_know_all(net, 45 * SECOND)?;
     }
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -3,7 +3,7 @@
 use super::place;
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::Micros;
-use oakport_membership::{Config, Hearing, Identity, News, Peers, Standing};
+use oakport_membership::{Identity, MemberStatus, MembershipEvent, Node, NodeConfig, ScopeStatus};
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 pub struct Member {
     number: usize,
     /// Its state machine, if it runs.
-    pub peers: Option<Box<Peers>>,
+    pub peers: Option<Box<Node>>,
     random: Pcg32,
     sent: u64,
     /// It was told the time up to then.
@@ -104,11 +104,11 @@
         );
         let seeds = seeds.iter().map(|seed| place::address(*seed)).collect();
         // Told of one process, so that what it counts is all from what it knows.
-        let config = Config { fleet: "fares".to_owned(), seeds, balancers: 1 };
+        let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let seed = self.random.gen();
         let mut peers = None;
         let held = allocation_counter::measure(|| {
-            peers = Some(Box::new(Peers::in_scope(now, seed, own, config, scope)));
+            peers = Some(Box::new(Node::with_scope(now, seed, own, config, scope)));
         });
         (self.peers, self.heap, self.told, self.wakes) = (peers, held.bytes_current, now, now);
         self.timer(now)
@@ -141,12 +141,12 @@
             let at = event.at;
             // As the socket's loop does.
             self.call(at, weather, &mut done, |peers| {
-                peers.datagram(at, &datagram);
-                peers.time(at);
+                peers.handle_datagram(at, &datagram);
+                peers.handle_time(at);
             });
         }
         self.timers(end - 1, weather, &mut done);
-        let due = self.peers.as_ref().map(|peers| peers.next_due().max(end));
+        let due = self.peers.as_ref().map(|peers| peers.next_deadline().max(end));
         // A timer that is set already is not set again; one that comes too early finds nothing due.
         if let Some(due) = due.filter(|due| self.wakes < end || *due < self.wakes) {
             self.wakes = due;
@@ -163,22 +163,22 @@
     /// Tells it the time whenever that is due, up to a moment.
     fn timers(&mut self, until: Micros, weather: &Weather, done: &mut Done) {
         while let Some(peers) = &self.peers {
-            let due = peers.next_due().max(self.told);
+            let due = peers.next_deadline().max(self.told);
             if due > until {
                 return;
             }
             self.told = due + 1;
-            self.call(due, weather, done, |peers| peers.time(due));
+            self.call(due, weather, done, |peers| peers.handle_time(due));
         }
     }
 
     /// A call into the state machine, of which alone its processor time and its memory are taken.
-    fn call(&mut self, now: Micros, weather: &Weather, done: &mut Done, act: impl FnOnce(&mut Peers)) {
+    fn call(&mut self, now: Micros, weather: &Weather, done: &mut Done, act: impl FnOnce(&mut Node)) {
         let Some(peers) = &mut self.peers else { return };
         let (mut outbox, mut news) = (Vec::new(), Vec::new());
         let (held, took) = measured(|| {
             act(peers);
-            (outbox, news) = (peers.outbox(), peers.news());
+            (outbox, news) = (peers.take_outbox(), peers.take_events());
         });
         self.spent.processor += took.saturating_sub(weather.toll);
         for (to, datagram) in &outbox {
@@ -198,11 +198,13 @@
             done.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
         }
         done.dead.extend(news.iter().filter_map(|news| match news {
-            News::Member(who, Standing::Dead) => Some((place::member(who.address)?, who.life)),
+            MembershipEvent::MemberChanged(who, MemberStatus::Dead) => {
+                Some((place::member(who.address)?, who.incarnation))
+            }
             _ => None,
         }));
         done.silent.extend(news.iter().filter_map(|news| match news {
-            News::Scope(scope, Hearing::Silent) => Some(scope.clone()),
+            MembershipEvent::ScopeChanged(scope, ScopeStatus::Silent) => Some(scope.clone()),
             _ => None,
         }));
         // What it gave away is not its own any more.
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -6,7 +6,7 @@
 use super::place;
 use crate::scale::point::Stopped;
 use oakport_core::Micros;
-use oakport_membership::Peers;
+use oakport_membership::Node;
 use rand::seq::index;
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -117,14 +117,14 @@
     }
 
     /// All members' state machines that run.
-    pub fn peers(&self) -> impl Iterator<Item = &Peers> {
+    pub fn peers(&self) -> impl Iterator<Item = &Node> {
         self.members.iter().filter_map(|member| member.peers.as_deref())
     }
 
     /// Bytes of memory that each that runs holds.
     pub fn memory(&self) -> impl Iterator<Item = usize> + '_ {
         let running = self.members.iter().filter(|member| member.peers.is_some());
-        running.map(|member| std::mem::size_of::<Peers>() + usize::try_from(member.heap).unwrap_or(0))
+        running.map(|member| std::mem::size_of::<Node>() + usize::try_from(member.heap).unwrap_or(0))
     }
 
     /// All members, in an order by lot.
@@ -205,7 +205,7 @@
             tally.most_processor = tally.most_processor.max(*processor);
             if let Some(peers) = &member.peers {
                 tally.seconds += passed;
-                tally.least_count = tally.least_count.min(peers.count().get());
+                tally.least_count = tally.least_count.min(peers.live_count().get());
             }
         }
     }
@@ -236,7 +236,7 @@
         &mut self,
         span: Micros,
         goal: usize,
-        progress: impl Fn(&Peers, usize) -> usize + Sync,
+        progress: impl Fn(&Node, usize) -> usize + Sync,
     ) -> Result<Learnt, Stopped> {
         let end = self.now + span;
         let mut far = vec![0; self.size()];
@@ -309,7 +309,7 @@
     /// Somebody holds a life dead: is it?
     fn judge(&mut self, (number, life): (usize, u64)) {
         let runs = self.members.get(number).and_then(|member| member.peers.as_deref());
-        let wrong = runs.is_some_and(|peers| life >= peers.own().life);
+        let wrong = runs.is_some_and(|peers| life >= peers.identity().incarnation);
         // Who is parted is not to be told from who is dead.
         self.tally.wrongly += u64::from(wrong && self.weather.parted.is_none());
     }
