--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -2,7 +2,7 @@
 
 use crate::args::{Ctl, Question};
 use comfy_table::{presets, CellAlignment, Table};
-use oakport_proxy::{Ends, PeersReport, Report};
+use oakport_proxy::{MembershipReport, MetricsReport, OutcomeCounts};
 use std::io::{self, IsTerminal, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
 
 fn watch(address: SocketAddr, every: Duration, count: Option<u64>) -> Result<(), String> {
     let clear = if io::stdout().is_terminal() { CLEAR } else { "" };
-    let mut last: Option<(Report, Instant)> = None;
+    let mut last: Option<(MetricsReport, Instant)> = None;
     let mut looks = 0;
     while count.is_none_or(|count| looks < count) {
         if looks > 0 {
@@ -108,13 +108,13 @@
     figures.map(str::to_owned).ok_or_else(odd)
 }
 
-fn report(address: SocketAddr) -> Result<Report, String> {
+fn report(address: SocketAddr) -> Result<MetricsReport, String> {
     let text = figures(address)?;
     serde_json::from_str(&text).map_err(|e| format!("{address} gave figures that cannot be read: {e}"))
 }
 
 /// The peers for people.
-fn members(peers: &PeersReport) -> String {
+fn members(peers: &MembershipReport) -> String {
     let span = |ms| humantime::format_duration(Duration::from_secs(ms / 1_000)).to_string();
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["member", "address", "zone", "release", "is", "for"]);
@@ -150,8 +150,8 @@
 }
 
 /// The figures for people; with those of some time ago, what came each second since.
-fn table(now: &Report, before: Option<(&Report, Duration)>) -> String {
-    let rate = |now: u64, of: &dyn Fn(&Report) -> u64| match before {
+fn table(now: &MetricsReport, before: Option<(&MetricsReport, Duration)>) -> String {
+    let rate = |now: u64, of: &dyn Fn(&MetricsReport) -> u64| match before {
         Some((before, span)) => {
             let rate = now.saturating_sub(of(before)) as f64 / span.as_secs_f64().max(f64::MIN_POSITIVE);
             format!("{now} ({rate:.1}/s)")
@@ -161,8 +161,8 @@
     let mut calls = Table::new();
     calls.load_preset(presets::NOTHING).set_header(["class", "served", "refused", "failed"]);
     for (class, ends) in &now.calls {
-        let of = |part: fn(&Ends) -> u64| {
-            rate(part(ends), &|r: &Report| r.calls.get(class).map(part).unwrap_or_default())
+        let of = |part: fn(&OutcomeCounts) -> u64| {
+            rate(part(ends), &|r: &MetricsReport| r.calls.get(class).map(part).unwrap_or_default())
         };
         calls.add_row([class.clone(), of(|e| e.success), of(|e| e.busy), of(|e| e.failure)]);
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,14 +7,14 @@
 
 use args::{Arguments, Command, Serve};
 use clap::{CommandFactory, Parser};
-use oakport_proxy::{inherited, Config, Server};
+use oakport_proxy::{inherited_listener, Config, Process};
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     // First of all: a descriptor that was not inherited must not come to bear its number.
-    let listener = inherited();
+    let listener = inherited_listener();
     let done = match Arguments::parse().command {
         Command::Serve(arguments) => listener.and_then(|listener| serve(&arguments, listener)),
         Command::Check { files } => {
@@ -43,7 +43,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let server = Server::open(config, listener).await?;
+        let server = Process::open(config, listener).await?;
         tokio::select! {
             done = server.serve() => done,
             () = bounds.tell() => Ok(()),
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' address: one line to a connection, answered from the figures. It changes nothing.
 
-use crate::driver::Driver;
-use crate::figures::Report;
-use crate::peers::Member;
+use crate::dispatcher::Dispatcher;
+use crate::membership::MembershipService;
+use crate::metrics::MetricsReport;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Answers callers at `address` for as long as the program runs.
-pub async fn run(driver: Driver, peers: Option<Rc<Member>>, address: SocketAddr) {
+pub async fn run(driver: Dispatcher, peers: Option<Rc<MembershipService>>, address: SocketAddr) {
     let listener = listen(address).await;
     if let Ok(address) = listener.local_addr() {
         info!(%address, "operators may call");
@@ -73,7 +73,7 @@
     }
 }
 
-async fn call(driver: Driver, peers: Option<Rc<Member>>, mut stream: TcpStream) {
+async fn call(driver: Dispatcher, peers: Option<Rc<MembershipService>>, mut stream: TcpStream) {
     let answer = match tokio::time::timeout(LINE_TIME, line(&mut stream)).await {
         Ok(Some(line)) => answer(&driver, peers.as_deref(), &line),
         Ok(None) => return,
@@ -107,12 +107,13 @@
     Some(line)
 }
 
-fn answer(driver: &Driver, peers: Option<&Member>, line: &[u8]) -> String {
+fn answer(driver: &Dispatcher, peers: Option<&MembershipService>, line: &[u8]) -> String {
     match line {
-        b"HEALTH" if driver.takes_clients() => "YES\n".to_owned(),
+        b"HEALTH" if driver.is_accepting() => "YES\n".to_owned(),
         b"HEALTH" => "NO clients are not taken any more\n".to_owned(),
         b"DUMP" => {
-            let report = Report { peers: peers.and_then(Member::report), ..driver.report() };
+            let report =
+                MetricsReport { peers: peers.and_then(MembershipService::report), ..driver.report() };
             match serde_json::to_string(&report) {
                 Ok(figures) => format!("{figures}\nEND\n"),
                 Err(fault) => format!("NO {fault}\n"),
--- a/crates/proxy/src/bodies/sending.rs
+++ b/crates/proxy/src/body/request_stream.rs
@@ -1,6 +1,6 @@
 //! A request's body on its way to a host, and how far it has got.
 
-use super::upload::{Fault, Upload};
+use super::upload::{BodyError, Upload};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::cell::Cell;
@@ -12,7 +12,7 @@
 
 /// Whether all of a request has been handed to the socket.
 #[derive(Debug, Default)]
-pub struct Handover {
+pub struct WriteProgress {
     /// The last write took all that there was.
     pub emptied: Cell<bool>,
     /// Nothing more comes.
@@ -21,19 +21,19 @@
     stuck: Cell<Option<Instant>>,
 }
 
-impl Handover {
+impl WriteProgress {
     /// Was the last byte handed over?
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended.get() && self.emptied.get()
     }
 
     /// The socket has taken something, or for now takes nothing.
-    pub fn wrote(&self, some: bool) {
+    pub fn record_write(&self, some: bool) {
         self.stuck.set(if some { None } else { self.stuck.get().or_else(|| Some(Instant::now())) });
     }
 
     /// How long it has taken nothing.
-    pub fn stuck_for(&self) -> Duration {
+    pub fn stalled_for(&self) -> Duration {
         self.stuck.get().map(|since| since.elapsed()).unwrap_or_default()
     }
 
@@ -44,33 +44,33 @@
 }
 
 /// A request's body as it goes to a host.
-pub struct Sending {
+pub struct RequestStream {
     first: Bytes,
     rest: Option<Rc<Upload>>,
     /// What is still to come, where its length is known.
     left: Option<u64>,
-    handover: Rc<Handover>,
+    handover: Rc<WriteProgress>,
 }
 
-impl Sending {
-    pub fn new(first: Bytes, rest: Option<(Rc<Upload>, Option<u64>)>, handover: Rc<Handover>) -> Self {
+impl RequestStream {
+    pub fn new(first: Bytes, rest: Option<(Rc<Upload>, Option<u64>)>, handover: Rc<WriteProgress>) -> Self {
         let (rest, left) = match rest {
             Some((rest, length)) => (Some(rest), length),
             None => (None, Some(first.len() as u64)),
         };
         handover.more(first.is_empty() && rest.is_none());
-        Sending { first, rest, left, handover }
+        RequestStream { first, rest, left, handover }
     }
 }
 
-impl Body for Sending {
+impl Body for RequestStream {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let piece = if !self.first.is_empty() {
             Some(Ok(std::mem::take(&mut self.first)))
         } else if let Some(rest) = &self.rest {
--- a/crates/proxy/src/bodies/passing.rs
+++ b/crates/proxy/src/body/response_stream.rs
@@ -1,6 +1,6 @@
 //! An answer's body on its way to the client.
 
-use super::upload::Fault;
+use super::upload::BodyError;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
@@ -9,59 +9,59 @@
 
 /// One piece of an answer that is passed on, or its end; a channel that closes without the end was cut.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     Data(Bytes),
     End,
 }
 
 /// An answer as it goes to the client: whole, or its first bytes and a channel for the rest.
 #[derive(Debug)]
-pub struct Passing {
+pub struct ResponseStream {
     first: Bytes,
-    rest: Option<mpsc::Receiver<Piece>>,
+    rest: Option<mpsc::Receiver<BodyChunk>>,
     left: Option<u64>,
 }
 
-impl Passing {
-    pub fn stream(first: Bytes, rest: mpsc::Receiver<Piece>, length: Option<u64>) -> Self {
-        Passing { first, rest: Some(rest), left: length }
+impl ResponseStream {
+    pub fn stream(first: Bytes, rest: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
+        ResponseStream { first, rest: Some(rest), left: length }
     }
 }
 
-impl From<Bytes> for Passing {
+impl From<Bytes> for ResponseStream {
     fn from(whole: Bytes) -> Self {
         let left = Some(whole.len() as u64);
-        Passing { first: whole, rest: None, left }
+        ResponseStream { first: whole, rest: None, left }
     }
 }
 
-impl Body for Passing {
+impl Body for ResponseStream {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let piece = if !self.first.is_empty() {
-            Piece::Data(std::mem::take(&mut self.first))
+            BodyChunk::Data(std::mem::take(&mut self.first))
         } else if let Some(rest) = &mut self.rest {
             match std::task::ready!(rest.poll_recv(cx)) {
                 Some(piece) => piece,
                 // The client must see that this is not all: the connection ends without the end of the body.
-                None => return Poll::Ready(Some(Err(Fault::Broken))),
+                None => return Poll::Ready(Some(Err(BodyError::Aborted))),
             }
         } else {
-            Piece::End
+            BodyChunk::End
         };
         Poll::Ready(match piece {
-            Piece::Data(piece) => {
+            BodyChunk::Data(piece) => {
                 if let Some(left) = &mut self.left {
                     *left = left.saturating_sub(piece.len() as u64);
                 }
                 Some(Ok(Frame::data(piece)))
             }
-            Piece::End => {
+            BodyChunk::End => {
                 self.rest = None;
                 None
             }
--- a/crates/proxy/src/bodies/upload.rs
+++ b/crates/proxy/src/body/upload.rs
@@ -1,6 +1,6 @@
 //! A client's body as it comes: held whole up to 64 KiB, beyond that read piece by piece as a host takes it.
 
-use super::memory::{Memory, Part, WHOLE_MOST};
+use super::memory_limit::{MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming};
 use std::cell::{Cell, RefCell};
@@ -22,32 +22,32 @@
 
 /// Why a body did not come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum BodyError {
     /// Its sender left, or sent what is no body.
-    Broken,
+    Aborted,
     /// It came to a halt.
-    Halted,
+    Stalled,
     /// It is larger than any that occurs.
     TooLarge,
     /// There was no memory for it in time.
-    NoRoom,
+    OutOfMemory,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Broken => "the body broke off",
-            Fault::Halted => "the body came to a halt",
-            Fault::TooLarge => "the body is too large",
-            Fault::NoRoom => "no memory for the body",
+            BodyError::Aborted => "the body broke off",
+            BodyError::Stalled => "the body came to a halt",
+            BodyError::TooLarge => "the body is too large",
+            BodyError::OutOfMemory => "no memory for the body",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for BodyError {}
 
 /// A client's body, read with an eye on its progress: only the time spent waiting for the client counts.
-pub struct Reader {
+pub struct RequestBodyReader {
     body: Incoming,
     /// Time that it may lose on top of what its size explains.
     slack: Duration,
@@ -57,9 +57,9 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Reader {
+impl RequestBodyReader {
     pub fn new(body: Incoming, slack: Duration) -> Self {
-        Reader { body, slack, bytes: 0, waited: Duration::ZERO, waits_since: None, timer: None }
+        RequestBodyReader { body, slack, bytes: 0, waited: Duration::ZERO, waits_since: None, timer: None }
     }
 
     /// The length that its head tells.
@@ -73,7 +73,7 @@
         since + fair.saturating_sub(self.waited).min(HALT_MOST)
     }
 
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let frame = match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(frame) => frame,
@@ -83,11 +83,11 @@
             self.waited += waited.unwrap_or_default();
             match frame.map(|frame| frame.map(Frame::into_data)) {
                 None => return Poll::Ready(None),
-                Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Broken))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Aborted))),
                 Some(Ok(Ok(piece))) => {
                     self.bytes += piece.len() as u64;
                     if self.bytes > BODY_MOST {
-                        return Poll::Ready(Some(Err(Fault::TooLarge)));
+                        return Poll::Ready(Some(Err(BodyError::TooLarge)));
                     }
                     return Poll::Ready(Some(Ok(piece)));
                 }
@@ -101,10 +101,10 @@
         if timer.deadline() != halts {
             timer.as_mut().reset(halts);
         }
-        timer.as_mut().poll(cx).map(|()| Some(Err(Fault::Halted)))
+        timer.as_mut().poll(cx).map(|()| Some(Err(BodyError::Stalled)))
     }
 
-    async fn piece(&mut self) -> Option<Result<Bytes, Fault>> {
+    async fn piece(&mut self) -> Option<Result<Bytes, BodyError>> {
         poll_fn(|cx| self.poll_piece(cx)).await
     }
 
@@ -113,24 +113,25 @@
     /// wait for each other.
     pub async fn begin(
         &mut self,
-        part: &mut Part,
-        memory: &Memory,
+        part: &mut MemoryReservation,
+        memory: &MemoryLimit,
         patience: Duration,
-    ) -> Result<(Bytes, bool), Fault> {
+    ) -> Result<(Bytes, bool), BodyError> {
         let length = self.length();
         if length.is_some_and(|length| length > BODY_MOST) {
-            return Err(Fault::TooLarge);
+            return Err(BodyError::TooLarge);
         }
-        let all = length.map_or(WHOLE_MOST, |length| length.min(WHOLE_MOST as u64) as usize);
+        let all = length
+            .map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
         let mut whole = BytesMut::new();
         while let Some(piece) = self.piece().await {
             let piece = piece?;
-            if !Memory::is_free(whole.len() + piece.len()) {
-                let room = tokio::time::timeout(patience, memory.grow(part, all));
-                room.await.map_err(|_| Fault::NoRoom)?;
+            if !MemoryLimit::needs_no_reservation(whole.len() + piece.len()) {
+                let room = tokio::time::timeout(patience, memory.reserve(part, all));
+                room.await.map_err(|_| BodyError::OutOfMemory)?;
             }
             whole.extend_from_slice(&piece);
-            if whole.len() > WHOLE_MOST {
+            if whole.len() > MAX_BUFFERED_BODY_BYTES {
                 return Ok((whole.freeze(), false));
             }
         }
@@ -140,8 +141,8 @@
 
 /// What is left of a client's body that is too large to be held. It can be read once only.
 pub struct Upload {
-    reader: RefCell<Reader>,
-    _part: Part,
+    reader: RefCell<RequestBodyReader>,
+    _part: MemoryReservation,
     length: Option<u64>,
     state: Cell<Progress>,
     ended: Notify,
@@ -152,24 +153,24 @@
 enum Progress {
     Untouched,
     Flows,
-    Ended(Result<(), Fault>),
+    Ended(Result<(), BodyError>),
 }
 
 impl Upload {
     /// After its beginning, with the length of the whole where that is known.
-    pub fn new(reader: Reader, part: Part, length: Option<u64>) -> Rc<Self> {
+    pub fn new(reader: RequestBodyReader, part: MemoryReservation, length: Option<u64>) -> Rc<Self> {
         let state = Cell::new(Progress::Untouched);
         Rc::new(Upload { reader: RefCell::new(reader), _part: part, length, state, ended: Notify::new() })
     }
 
     /// May it still be sent from its beginning?
-    pub fn untouched(&self) -> bool {
+    pub fn is_unread(&self) -> bool {
         self.state.get() == Progress::Untouched
     }
 
     /// Takes it for one attempt; false if another has it.
-    pub fn claim(&self) -> bool {
-        let untouched = self.untouched();
+    pub fn try_claim(&self) -> bool {
+        let untouched = self.is_unread();
         if untouched {
             self.state.set(Progress::Flows);
         }
@@ -177,11 +178,11 @@
     }
 
     /// Has it failed to come whole?
-    pub fn failed(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         matches!(self.state.get(), Progress::Ended(Err(_)))
     }
 
-    pub(super) fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    pub(super) fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if let Progress::Ended(end) = self.state.get() {
             return Poll::Ready(end.err().map(Err));
         }
@@ -200,7 +201,7 @@
     }
 
     /// Waits until it has been read to its end, or has failed. For one caller.
-    pub async fn ended(&self) -> Result<(), Fault> {
+    pub async fn ended(&self) -> Result<(), BodyError> {
         loop {
             if let Progress::Ended(end) = self.state.get() {
                 return end;
--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/call_table.rs
@@ -1,8 +1,9 @@
 //! Calls and their attempts, from a request's arrival until its answer is given and nothing is out for it, with the
 //! moments at which something is due. Each call gets one final answer, each attempt one outcome.
 
-use crate::figures::{End, Figures};
-use crate::message::{Answer, Begun, Ended, Request};
+use crate::metrics::{Metrics, RequestOutcome};
+use crate::request::Request;
+use crate::response::{AttemptResult, FinalResponse, StreamingResponse};
 use oakport_core::{CallId, ClassId, EndpointId, Event, Micros, Outcome};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -31,7 +32,7 @@
     /// Never, until the last byte of its body has come.
     deadline: Micros,
     /// Taken when the final answer is given.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
 }
 
@@ -45,7 +46,7 @@
 }
 
 /// An attempt as it goes out.
-pub struct Outgoing {
+pub struct OutgoingAttempt {
     pub number: u32,
     pub request: Rc<Request>,
     /// When it times out; `Micros::MAX` while a large request is still coming, as no time runs then.
@@ -54,24 +55,24 @@
     pub wanted: bool,
 }
 
-impl Outgoing {
+impl OutgoingAttempt {
     pub fn timed(&self) -> bool {
         self.until < Micros::MAX
     }
 }
 
 /// All calls that are open or have attempts out.
-pub struct Calls {
-    figures: Rc<Figures>,
+pub struct CallTable {
+    figures: Rc<Metrics>,
     calls: HashMap<CallId, Call>,
     open: usize,
     next: u64,
     timers: BTreeSet<(Micros, Due)>,
 }
 
-impl Calls {
-    pub fn new(figures: Rc<Figures>) -> Self {
-        Calls { figures, calls: HashMap::new(), open: 0, next: 0, timers: BTreeSet::new() }
+impl CallTable {
+    pub fn new(figures: Rc<Metrics>) -> Self {
+        CallTable { figures, calls: HashMap::new(), open: 0, next: 0, timers: BTreeSet::new() }
     }
 
     /// Calls without their final answer.
@@ -100,13 +101,13 @@
         now: Micros,
         class: ClassId,
         request: Request,
-    ) -> (CallId, oneshot::Receiver<Answer>) {
+    ) -> (CallId, oneshot::Receiver<FinalResponse>) {
         let (sender, receiver) = oneshot::channel();
         let call = CallId(self.next);
         self.next += 1;
         self.open += 1;
-        let whole = request.rest.is_none();
-        let deadline = if whole { now + request.time } else { Micros::MAX };
+        let whole = request.upload.is_none();
+        let deadline = if whole { now + request.client_timeout } else { Micros::MAX };
         let (request, attempts) = (Rc::new(request), Vec::new());
         self.calls.insert(call, Call { class, request, deadline, answer: Some(sender), attempts });
         if whole {
@@ -118,7 +119,7 @@
     /// The last byte of a large request has come: its time counts from now. None: nobody waits any more.
     pub fn whole(&mut self, now: Micros, id: CallId) -> Option<Event> {
         let call = self.calls.get_mut(&id).filter(|c| c.answer.is_some())?;
-        let time_left = call.request.time;
+        let time_left = call.request.client_timeout;
         call.deadline = now + time_left;
         self.timers.insert((call.deadline, Due::Backstop(id)));
         for (number, attempt) in (0..).zip(&mut call.attempts).filter(|(_, a)| a.out) {
@@ -135,7 +136,7 @@
         id: CallId,
         server: EndpointId,
         (until, by): (Option<Micros>, Option<Micros>),
-    ) -> Option<Outgoing> {
+    ) -> Option<OutgoingAttempt> {
         let call = self.calls.get_mut(&id)?;
         let number = call.attempts.len() as u32;
         let timed = call.deadline < Micros::MAX;
@@ -143,7 +144,7 @@
         let (by, started, begun) = (by.unwrap_or(Micros::MAX), false, false);
         call.attempts.push(Attempt { server, sent: now, until, by, started, task: None, out: true, begun });
         let wanted = call.answer.is_some() && until > now;
-        Some(Outgoing { number, request: Rc::clone(&call.request), until, wanted })
+        Some(OutgoingAttempt { number, request: Rc::clone(&call.request), until, wanted })
     }
 
     /// An attempt is under way in this task, until its time is up.
@@ -172,7 +173,7 @@
     }
 
     /// A large answer begins. None if the call has ended meanwhile: then nobody wants it.
-    pub fn begin(&mut self, id: CallId, number: u32, begun: Begun) -> Option<Event> {
+    pub fn begin(&mut self, id: CallId, number: u32, begun: StreamingResponse) -> Option<Event> {
         let call = self.calls.get_mut(&id)?;
         let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
         let sender = call.answer.take()?;
@@ -180,19 +181,22 @@
         attempt.begun = true;
         self.timers.remove(&(attempt.until, Due::Attempt(id, number)));
         self.timers.remove(&(call.deadline, Due::Backstop(id)));
-        let _ = sender.send(Answer::Begun(begun));
+        let _ = sender.send(FinalResponse::Streaming(begun));
         Some(Event::ResponseStarted { call: id, attempt: number })
     }
 
     /// Gives the final answer, if it has not been given yet.
-    pub fn close(&mut self, id: CallId, answer: Option<Answer>) {
+    pub fn close(&mut self, id: CallId, answer: Option<FinalResponse>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if let Some(sender) = call.answer.take() {
             self.open -= 1;
             self.timers.remove(&(call.deadline, Due::Backstop(id)));
             if let Some(answer) = answer {
-                let refused = matches!(answer, Answer::Refused { .. });
-                self.figures.ended(call.class, if refused { End::Refused } else { End::Failed });
+                let refused = matches!(answer, FinalResponse::Rejected { .. });
+                self.figures.count_request(
+                    call.class,
+                    if refused { RequestOutcome::Rejected } else { RequestOutcome::Failed },
+                );
                 // The client may be gone: then its connection's end says so.
                 let _ = sender.send(answer);
             }
@@ -201,7 +205,7 @@
     }
 
     /// Notes the end of an attempt and stops its task. None if it had ended before.
-    pub fn outcome(&mut self, now: Micros, id: CallId, number: u32, ended: Ended) -> Option<Event> {
+    pub fn outcome(&mut self, now: Micros, id: CallId, number: u32, ended: AttemptResult) -> Option<Event> {
         let call = self.calls.get_mut(&id)?;
         let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
         attempt.out = false;
@@ -211,22 +215,22 @@
             task.abort();
         }
         let elapsed = now.saturating_sub(attempt.sent);
-        let Ended { outcome, load, served } = ended;
+        let AttemptResult { outcome, load, served } = ended;
         if let Some((body, content_type)) = served {
             if let Some(sender) = call.answer.take() {
                 self.open -= 1;
                 self.timers.remove(&(call.deadline, Due::Backstop(id)));
-                self.figures.ended(call.class, End::Served);
-                let _ = sender.send(Answer::Served { body, content_type });
+                self.figures.count_request(call.class, RequestOutcome::Served);
+                let _ = sender.send(FinalResponse::Served { body, content_type });
             }
         }
         if attempt.begun {
             self.open -= 1;
             match outcome {
-                Outcome::Served => self.figures.ended(call.class, End::Served),
+                Outcome::Served => self.figures.count_request(call.class, RequestOutcome::Served),
                 // The client left.
                 Outcome::Cancelled => {}
-                _ => self.figures.ended(call.class, End::Failed),
+                _ => self.figures.count_request(call.class, RequestOutcome::Failed),
             }
         }
         let closed = call.answer.is_none();
@@ -263,7 +267,7 @@
             Due::Module => Some(Event::Timer),
             Due::Backstop(call) => self.is_open(call).then(|| {
                 // Whatever the module does, a call ends by its deadline.
-                self.close(call, Some(Answer::Overdue));
+                self.close(call, Some(FinalResponse::DeadlineExceeded));
                 Event::ClientDisconnected { call }
             }),
         })
@@ -273,7 +277,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::front::Presence;
+    use crate::downstream::ClientPresence;
     use bytes::Bytes;
     use hyper::http::{HeaderMap, Method, Uri};
 
@@ -284,31 +288,31 @@
             uri,
             headers,
             body: Bytes::new(),
-            rest: None,
+            upload: None,
             length: Some(0),
-            time,
-            client: Presence::default(),
+            client_timeout: time,
+            client: ClientPresence::default(),
         }
     }
 
     /// The module ends each call by itself; should it ever forget one, the client still gets its answer.
     #[test]
     fn a_call_that_the_module_forgot_ends_at_its_deadline_once() {
-        let mut calls = Calls::new(Rc::default());
+        let mut calls = CallTable::new(Rc::default());
         let (call, mut answer) = calls.add(1_000, ClassId(0), request(30_000));
         assert_eq!(calls.next_due(), Some(31_000));
         assert!(calls.due(30_999).is_none() && answer.try_recv().is_err(), "not before its time");
         assert_eq!(calls.due(31_000), Some(Some(Event::ClientDisconnected { call })));
-        assert!(matches!(answer.try_recv(), Ok(Answer::Overdue)));
+        assert!(matches!(answer.try_recv(), Ok(FinalResponse::DeadlineExceeded)));
         assert_eq!((calls.open(), calls.calls.len(), calls.next_due()), (0, 0, None));
-        calls.close(call, Some(Answer::Failed));
+        calls.close(call, Some(FinalResponse::Failed));
         assert_eq!(calls.open(), 0, "a second end changes nothing");
     }
 
     #[test]
     fn an_attempt_that_never_began_has_not_run_when_its_time_is_up() {
         for (begins, wanted) in [(false, Outcome::ConnectFailed), (true, Outcome::TimedOut)] {
-            let mut calls = Calls::new(Rc::default());
+            let mut calls = CallTable::new(Rc::default());
             let (call, _answer) = calls.add(0, ClassId(0), request(9_000));
             let outgoing = calls.send(0, call, EndpointId(3), (Some(5_000), None)).expect("an open call");
             assert!(outgoing.wanted && outgoing.timed());
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -20,7 +20,7 @@
     }
 
     /// Takes new settings in; what the module is told has all classes under their old numbers.
-    pub fn retune(&mut self, facts: ParsedSettings) -> Settings {
+    pub fn apply_settings(&mut self, facts: ParsedSettings) -> Settings {
         self.specs.iter_mut().for_each(|class| class.active = false);
         for (name, class) in facts.class_names.into_iter().zip(&facts.settings.classes) {
             match place(&self.names, &name) {
@@ -36,11 +36,11 @@
     }
 
     /// The class of this name, if the settings in force have one.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
         place(&self.names, name).filter(|&number| self.specs[number].active).map(ClassId)
     }
 
-    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+    pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         place(&self.tenants, name).map(TenantId)
     }
 
--- a/crates/proxy/src/config/faults.rs
+++ b/crates/proxy/src/config/diagnostics.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a configuration file: all of it at once, with its place and a remedy.
 
 use super::document::Document;
-use super::places::{dotted, under, Places};
+use super::source_spans::{dotted, under, Places};
 use jsonschema::error::ValidationErrorKind as Kind;
 use jsonschema::{ValidationError, Validator};
 use miette::{GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, Severity, SourceCode};
@@ -51,14 +51,14 @@
 
 /// All that is wrong with one file.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct Diagnostics {
     /// The file's name.
     pub file: String,
     text: String,
     found: Vec<(Fault, Range<usize>)>,
 }
 
-impl Faults {
+impl Diagnostics {
     /// The faults of a text, in the order of their places. Those that stand at one place for one reason are one.
     pub fn new(file: &str, text: &str, faults: Vec<Fault>, places: &Places) -> Self {
         let place = |fault: Fault| {
@@ -68,13 +68,13 @@
         let mut found: Vec<_> = faults.into_iter().map(place).collect();
         found.sort_by_key(|(fault, range)| (range.start, fault.pointer.clone()));
         found.dedup_by(|a, b| a.0 == b.0);
-        Faults { file: file.to_owned(), text: text.to_owned(), found }
+        Diagnostics { file: file.to_owned(), text: text.to_owned(), found }
     }
 
     /// A fault that has no place in the text, such as a file that cannot be read.
     pub fn whole(file: &str, problem: impl Into<String>) -> Self {
         let fault = Fault { range: Some(0..0), ..Fault::new("", problem) };
-        Faults { file: file.to_owned(), text: String::new(), found: vec![(fault, 0..0)] }
+        Diagnostics { file: file.to_owned(), text: String::new(), found: vec![(fault, 0..0)] }
     }
 
     /// Is there nothing for which the file is turned down?
@@ -130,7 +130,7 @@
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let turned_down = || self.found.iter().zip(self.lines()).filter(|((fault, _), _)| !fault.harmless);
         for (number, (_, line)) in turned_down().enumerate() {
@@ -140,7 +140,7 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for Diagnostics {}
 
 /// A fault as the library that draws it wants it.
 #[derive(Debug)]
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,7 +1,7 @@
 //! The configuration file as its keys stand (DEPLOY, "What a client proxy is told"). These types are its one
 //! description: the schema and the faults that `oakport check` finds are drawn from them.
 
-use crate::list::List;
+use crate::endpoint_list::EndpointList;
 use oakport_core::settings_wire::SettingsFile;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,8 @@
 
 /// The other client proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-pub struct PeersConfig {
+#[schemars(rename = "PeersConfig")]
+pub struct MembershipConfig {
     /// Where this process sends and receives its datagrams, as ADDRESS:PORT.
     #[schemars(with = "String", extend("format" = "socket-address"))]
     pub address: SocketAddr,
@@ -72,7 +73,7 @@
     pub operator: Option<SocketAddr>,
     /// The other client proxies; without it nothing is opened, and their number is that of the settings.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub peers: Option<PeersConfig>,
+    pub peers: Option<MembershipConfig>,
     /// For random numbers: up to 16 hexadecimal digits, new with each start.
     #[schemars(regex(pattern = r"^\+?[0-9a-fA-F]+$"), length(max = 16))]
     pub seed: String,
@@ -80,7 +81,7 @@
     pub limits: Limits,
     /// The list of servers as this client proxy last had it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// What the site has settled.
     pub settings: SettingsFile,
 }
--- a/crates/proxy/src/config/people.rs
+++ b/crates/proxy/src/config/human_readable.rs
@@ -1,7 +1,7 @@
 //! The TOML form, for people: times and sizes may be written with their units, and most keys may be left out.
 
-use super::faults::Fault;
-use super::places::under;
+use super::diagnostics::Fault;
+use super::source_spans::under;
 use bytesize::ByteSize;
 use rand::rngs::OsRng;
 use rand::RngCore;
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,19 +1,19 @@
 //! The configuration file: read and checked as one value, at the start and at each SIGHUP.
 
+mod diagnostics;
 mod document;
-mod faults;
-mod people;
-mod places;
+mod human_readable;
+mod source_spans;
 
-use crate::list::List;
+use crate::endpoint_list::EndpointList;
+pub use diagnostics::Diagnostics;
+use diagnostics::Fault;
 use document::Document;
-pub use document::{Limits, PeersConfig};
-use faults::Fault;
-pub use faults::Faults;
+pub use document::{Limits, MembershipConfig};
 use oakport_core::settings_wire::{self, ParsedSettings};
-use places::{dotted, under, Places};
 use serde::Deserialize;
 use serde_json::Value;
+use source_spans::{dotted, under, Places};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use toml::de::DeTable;
@@ -36,12 +36,12 @@
     /// The name of this client proxy, if it has one.
     pub name: Option<String>,
     /// The others; without it nothing is opened.
-    pub peers: Option<PeersConfig>,
+    pub peers: Option<MembershipConfig>,
     /// For all random numbers of the decisions.
     pub seed: u64,
     /// What the process may use.
     pub limits: Limits,
-    pub(crate) known: Option<List>,
+    pub(crate) known: Option<EndpointList>,
     /// The settings, as the module and the sockets are told.
     pub facts: ParsedSettings,
     /// Keys that the file leaves out, with the values that stand for them.
@@ -57,7 +57,7 @@
     /// The configuration, unless there is a fault.
     pub config: Option<Config>,
     /// What is wrong, and what has no effect.
-    pub faults: Faults,
+    pub faults: Diagnostics,
 }
 
 impl Config {
@@ -66,11 +66,11 @@
     ///
     /// # Errors
     /// All that is wrong with the file, each with its place.
-    pub fn read(path: Option<&Path>) -> Result<Self, Faults> {
+    pub fn read(path: Option<&Path>) -> Result<Self, Diagnostics> {
         let path = path.map(Path::to_owned).or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
         let Some(path) = path else {
             let problem = "RELAY_CONFIG is not set; name the file with --config FILE";
-            return Err(Faults::whole("configuration", problem));
+            return Err(Diagnostics::whole("configuration", problem));
         };
         let (file, text) = text(&path)?;
         let mut config = parse(&file, &text, is_toml(&path))?;
@@ -78,7 +78,8 @@
         // A process's own environment comes before a file that another may share.
         if let Ok(address) = std::env::var("RELAY_OPERATOR") {
             let parsed = address.parse();
-            let operator = parsed.map_err(|e| Faults::whole("RELAY_OPERATOR", format!("{address}: {e}")))?;
+            let operator =
+                parsed.map_err(|e| Diagnostics::whole("RELAY_OPERATOR", format!("{address}: {e}")))?;
             config.operator = Some(operator);
         }
         Ok(config)
@@ -92,10 +93,13 @@
         };
         match parse(&file, &text, is_toml(path)) {
             Ok(config) => {
-                let beyond =
-                    if is_toml(path) { Vec::new() } else { faults::against_schema(&config.whole, false) };
+                let beyond = if is_toml(path) {
+                    Vec::new()
+                } else {
+                    diagnostics::against_schema(&config.whole, false)
+                };
                 let beyond = beyond.into_iter().filter(|fault| fault.harmless).collect();
-                let faults = Faults::new(&file, &text, beyond, &Places::json(&text));
+                let faults = Diagnostics::new(&file, &text, beyond, &Places::json(&text));
                 Checked { config: Some(config), faults }
             }
             Err(faults) => Checked { config: None, faults },
@@ -104,19 +108,19 @@
 
     /// The JSON schema of the file.
     pub fn schema() -> Value {
-        faults::schema(false).to_value()
+        diagnostics::schema(false).to_value()
     }
 
     /// Reads the file again. An error leaves all as it was.
     ///
     /// # Errors
     /// All that is wrong with the file, and a key of the one in force that it lacks.
-    pub fn again(&self) -> Result<Self, Faults> {
+    pub fn again(&self) -> Result<Self, Diagnostics> {
         let next = Config::read(Some(&self.path))?;
         match lacking(&self.whole, &next.whole) {
             Some(key) => {
                 let problem = format!("{key} is missing, which the file in force has; put it back");
-                Err(Faults::whole(&self.path.display().to_string(), problem))
+                Err(Diagnostics::whole(&self.path.display().to_string(), problem))
             }
             None => Ok(next),
         }
@@ -127,14 +131,14 @@
     path.extension().is_some_and(|end| end == "toml")
 }
 
-fn text(path: &Path) -> Result<(String, String), Faults> {
+fn text(path: &Path) -> Result<(String, String), Diagnostics> {
     let file = path.display().to_string();
-    let bytes = std::fs::read(path).map_err(|e| Faults::whole(&file, format!("cannot be read: {e}")))?;
+    let bytes = std::fs::read(path).map_err(|e| Diagnostics::whole(&file, format!("cannot be read: {e}")))?;
     match String::from_utf8(bytes) {
         Ok(text) => Ok((file, text)),
         Err(odd) => {
             let at = odd.utf8_error().valid_up_to();
-            Err(Faults::whole(&file, format!("is no text: byte {at} is not UTF-8")))
+            Err(Diagnostics::whole(&file, format!("is no text: byte {at} is not UTF-8")))
         }
     }
 }
@@ -156,16 +160,16 @@
     Ok((value, Places::json(text)))
 }
 
-fn parse(file: &str, text: &str, for_people: bool) -> Result<Config, Faults> {
+fn parse(file: &str, text: &str, for_people: bool) -> Result<Config, Diagnostics> {
     let (given, places) =
-        value(text, for_people).map_err(|f| Faults::new(file, text, vec![f], &Places::default()))?;
-    let fail = |faults| Err(Faults::new(file, text, faults, &places));
+        value(text, for_people).map_err(|f| Diagnostics::new(file, text, vec![f], &Places::default()))?;
+    let fail = |faults| Err(Diagnostics::new(file, text, faults, &places));
     let mut filled = given.clone();
     if for_people {
         let mut faults = Vec::new();
-        people::plain(&mut filled, "", &mut faults);
-        people::fill(&mut filled);
-        faults.extend(faults::against_schema(&filled, true));
+        human_readable::plain(&mut filled, "", &mut faults);
+        human_readable::fill(&mut filled);
+        faults.extend(diagnostics::against_schema(&filled, true));
         if !faults.is_empty() {
             return fail(faults);
         }
@@ -179,9 +183,9 @@
         }
         Err(first) => {
             // What the reader met first is one fault of the file; the schema finds the others.
-            let all = faults::against_schema(&filled, for_people);
+            let all = diagnostics::against_schema(&filled, for_people);
             let told = all.iter().any(|fault| !fault.harmless);
-            fail(if told { all } else { vec![faults::with_remedy(first)] })
+            fail(if told { all } else { vec![diagnostics::with_remedy(first)] })
         }
     }
 }
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -21,12 +21,12 @@
     }
 
     /// Another limit from now on; what is open beyond it stays.
-    pub fn allow(&self, limit: usize) {
+    pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
     /// How many are open.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Counts one more in, if there is room.
-    pub fn take(self: &Rc<Self>) -> Option<Descriptor> {
+    pub fn try_acquire(self: &Rc<Self>) -> Option<Descriptor> {
         (self.open.get() < self.limit.get()).then(|| {
             self.open.set(self.open.get() + 1);
             Descriptor(Rc::clone(self))
--- a/crates/proxy/src/discovery/terms.rs
+++ b/crates/proxy/src/discovery/deadlines.rs
@@ -22,18 +22,18 @@
 
 /// How lists come, by the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Deadlines {
     /// By an agent of one's own, which answers at once and free of charge; else by a service that all share.
     pub pushed: bool,
     pub drain_grace: Duration,
     pub ask_every: Duration,
 }
 
-impl Terms {
+impl Deadlines {
     pub fn new(asked: bool, rules: &Rules) -> Self {
         let [drain_grace, ask_every] =
             [rules.drain_grace, rules.max_poll_interval].map(Duration::from_micros);
-        Terms { pushed: !asked, drain_grace, ask_every }
+        Deadlines { pushed: !asked, drain_grace, ask_every }
     }
 
     /// How long a watch waits for news.
@@ -84,7 +84,7 @@
         for grace in [20, 80, 500, 1_000, 5_000, 60_000].map(Duration::from_millis) {
             for ask_every in [0, 1_600, 10_000, 600_000].map(Duration::from_millis) {
                 for unit in [0.0, 0.5, 1.0] {
-                    let at = |pushed| Terms { pushed, drain_grace: grace, ask_every };
+                    let at = |pushed| Deadlines { pushed, drain_grace: grace, ask_every };
                     let pushed = at(true);
                     // Silent from its first moment on.
                     let told = SILENCE.max(pushed.wait() + AFTER_WAIT);
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,15 +1,16 @@
 //! The one owner of the [`Balancer`]: turns what happens into events and carries the actions out. It never picks,
 //! retries or sheds by itself.
 
-use crate::calls::Calls;
+use crate::call_table::CallTable;
 use crate::classes::Classes;
 use crate::clock::Clock;
-use crate::figures::{End, Figures, Report};
-use crate::hosts::{Hosts, Outdated};
-use crate::list::{Endpoint, List};
-use crate::message::{Answer, Begun, Ended, Intake, Request};
-use crate::pool::{Pool, Target};
-use crate::upstream;
+use crate::endpoint_list::{EndpointEntry, EndpointList};
+use crate::endpoints::{Endpoints, OutdatedConnections};
+use crate::metrics::{Metrics, MetricsReport, RequestOutcome};
+use crate::request::{CallAttributes, Request};
+use crate::response::{AttemptResult, FinalResponse, StreamingResponse};
+use crate::upstream::attempt::attempt;
+use crate::upstream::pool::{ConnectionPool, Target};
 use oakport_core::settings_wire::{ParsedSettings, TransportSettings};
 use oakport_core::{
     Action, Balancer, CallId, ClassId, DecisionEvent, EndpointId, EndpointState, Event, ListUpdateKind,
@@ -23,10 +24,10 @@
 
 struct Core {
     balancer: Balancer,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     classes: Classes,
-    hosts: Hosts,
-    calls: Calls,
+    hosts: Endpoints,
+    calls: CallTable,
     max_open: usize,
     /// The settings in force, and what the sockets go by.
     settings: Settings,
@@ -41,10 +42,10 @@
 
 /// The driver as the other parts see it.
 #[derive(Clone)]
-pub struct Driver {
+pub struct Dispatcher {
     core: Rc<RefCell<Core>>,
     clock: Clock,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     /// For when the timers sleep; None: until they are told.
     asleep_until: Rc<Cell<Option<Micros>>>,
     timer_sooner: Rc<Notify>,
@@ -53,8 +54,14 @@
     subscribe: Rc<Notify>,
 }
 
-impl Driver {
-    pub fn new(seed: u64, facts: ParsedSettings, clock: Clock, pool: Rc<Pool>, figures: Rc<Figures>) -> Self {
+impl Dispatcher {
+    pub fn new(
+        seed: u64,
+        facts: ParsedSettings,
+        clock: Clock,
+        pool: Rc<ConnectionPool>,
+        figures: Rc<Metrics>,
+    ) -> Self {
         let transport = facts.transport;
         let (classes, settings) = Classes::new(facts);
         let core = Core {
@@ -62,10 +69,10 @@
             settings,
             transport,
             live: None,
-            calls: Calls::new(Rc::clone(&figures)),
+            calls: CallTable::new(Rc::clone(&figures)),
             figures,
             classes,
-            hosts: Hosts::default(),
+            hosts: Endpoints::default(),
             max_open: transport.max_open_requests,
             taking: false,
             events: VecDeque::new(),
@@ -73,11 +80,11 @@
         };
         let core = Rc::new(RefCell::new(core));
         let (asleep_until, timer_sooner, wants_list, subscribe) = <(_, Rc<Notify>, _, _)>::default();
-        Driver { core, clock, pool, asleep_until, timer_sooner, wants_list, subscribe }
+        Dispatcher { core, clock, pool, asleep_until, timer_sooner, wants_list, subscribe }
     }
 
     /// Waits until the module asks for the list.
-    pub async fn subscribed(&self) {
+    pub async fn endpoint_poll_requested(&self) {
         while !self.wants_list.take() {
             self.subscribe.notified().await;
         }
@@ -88,17 +95,17 @@
     }
 
     /// New settings are in force. Calls under way keep the class they were taken with.
-    pub fn retune(&self, facts: ParsedSettings) {
+    pub fn apply_settings(&self, facts: ParsedSettings) {
         let mut core = self.core.borrow_mut();
         core.max_open = facts.transport.max_open_requests;
         core.transport = facts.transport;
-        core.settings = core.classes.retune(facts);
+        core.settings = core.classes.apply_settings(facts);
         drop(core);
         self.settle();
     }
 
     /// So many client proxies are counted from now on.
-    pub fn live(&self, balancers: u32) {
+    pub fn set_live_count(&self, balancers: u32) {
         self.core.borrow_mut().live = Some(balancers);
         self.settle();
     }
@@ -110,31 +117,31 @@
         let (settings, transport) =
             (Settings { proxy_count: balancers, ..core.settings.clone() }, core.transport);
         drop(core);
-        self.pool.retune(transport, balancers);
+        self.pool.apply_settings(transport, balancers);
         self.event(Event::Settings(Box::new(settings)));
     }
 
     /// The class of this name, if the settings have one.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.core.borrow().classes.class(name)
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.core.borrow().classes.class_id(name)
     }
 
     /// Says whether new requests are taken.
-    pub fn take_clients(&self, taking: bool) {
+    pub fn set_accepting(&self, taking: bool) {
         self.core.borrow_mut().taking = taking;
     }
 
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.core.borrow().taking
     }
 
     /// A request that was refused before it became a call.
-    pub fn turned_back(&self, class: ClassId) {
-        self.core.borrow().figures.ended(class, End::Refused);
+    pub fn count_rejected(&self, class: ClassId) {
+        self.core.borrow().figures.count_request(class, RequestOutcome::Rejected);
     }
 
     /// The operators' figures as they are now.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> MetricsReport {
         let core = self.core.borrow();
         let (listed, down) =
             (core.hosts.listed().count(), core.balancer.unavailable_endpoints(self.clock.now()));
@@ -142,40 +149,44 @@
     }
 
     /// Calls without their final answer.
-    pub fn open_calls(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.core.borrow().calls.open()
     }
 
     /// Takes a request on. None: more are open than the settings allow.
-    pub fn request(&self, intake: Intake, request: Request) -> Option<(CallId, oneshot::Receiver<Answer>)> {
+    pub fn start_call(
+        &self,
+        intake: CallAttributes,
+        request: Request,
+    ) -> Option<(CallId, oneshot::Receiver<FinalResponse>)> {
         let mut core = self.core.borrow_mut();
-        let Intake { class, tenant, resent } = intake;
+        let CallAttributes { class, tenant, is_retry: resent } = intake;
         if core.calls.open() >= core.max_open {
-            core.figures.ended(class, End::Refused);
+            core.figures.count_request(class, RequestOutcome::Rejected);
             return None;
         }
-        let time_left = request.time;
+        let time_left = request.client_timeout;
         let (call, answer) = core.calls.add(self.clock.now(), class, request);
-        let tenant = tenant.and_then(|name| core.classes.tenant(&name));
+        let tenant = tenant.and_then(|name| core.classes.tenant_id(&name));
         drop(core);
         self.event(Event::Request { call, class, tenant, remaining_time: time_left, is_retry: resent });
         Some((call, answer))
     }
 
     /// The last byte of a large request has come: its time counts from now.
-    pub fn whole(&self, call: CallId) {
+    pub fn complete_request(&self, call: CallId) {
         let event = self.core.borrow_mut().calls.whole(self.clock.now(), call);
         event.into_iter().for_each(|event| self.event(event));
     }
 
     /// A large answer begins. False if the call has ended meanwhile: then nobody wants it.
-    fn begin(&self, call: CallId, attempt: u32, begun: Begun) -> bool {
+    fn begin(&self, call: CallId, attempt: u32, begun: StreamingResponse) -> bool {
         let event = self.core.borrow_mut().calls.begin(call, attempt, begun);
         event.map(|event| self.event(event)).is_some()
     }
 
     /// The client of this call has gone. Its attempts are dropped whatever the module says.
-    pub fn gone(&self, call: CallId) {
+    pub fn disconnect_client(&self, call: CallId) {
         let mut core = self.core.borrow_mut();
         if !core.calls.is_open(call) {
             return;
@@ -198,16 +209,16 @@
     }
 
     /// An attempt has ended by itself. Only its first outcome counts.
-    fn ended(&self, call: CallId, attempt: u32, ended: Ended) {
+    fn ended(&self, call: CallId, attempt: u32, ended: AttemptResult) {
         let event = self.core.borrow_mut().calls.outcome(self.clock.now(), call, attempt, ended);
         event.into_iter().for_each(|event| self.event(event));
     }
 
     /// News of the list.
-    pub fn members(&self, kind: ListUpdateKind, list: &[Endpoint]) {
-        let (entries, outdated) = self.core.borrow_mut().hosts.news(kind, list);
-        for Outdated { server, generation } in outdated {
-            self.pool.close(server, generation);
+    pub fn update_endpoints(&self, kind: ListUpdateKind, list: &[EndpointEntry]) {
+        let (entries, outdated) = self.core.borrow_mut().hosts.update(kind, list);
+        for OutdatedConnections { endpoint: server, generation } in outdated {
+            self.pool.close_outdated(server, generation);
         }
         let count = |state| entries.iter().filter(|e| e.state == state).count();
         let (up, draining, gone) =
@@ -220,7 +231,7 @@
     }
 
     /// The list as it is now, of this version.
-    pub fn list(&self, index: u64) -> List {
+    pub fn endpoint_list(&self, index: u64) -> EndpointList {
         self.core.borrow().hosts.list(index)
     }
 
@@ -231,7 +242,7 @@
     }
 
     /// Asking for the list failed: the module says when to ask again. What it said before is overtaken.
-    pub fn members_failed(&self) {
+    pub fn fail_endpoint_poll(&self) {
         self.wants_list.set(false);
         self.event(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
     }
@@ -275,9 +286,9 @@
                 self.send(core, now, (call, server), (until, by))
             }
             Action::Reject { call, retry_after } => {
-                core.calls.close(call, Some(Answer::Refused { retry_after }));
+                core.calls.close(call, Some(FinalResponse::Rejected { retry_after }));
             }
-            Action::Fail { call } => core.calls.close(call, Some(Answer::Failed)),
+            Action::Fail { call } => core.calls.close(call, Some(FinalResponse::Failed)),
             Action::Cancel { call, attempt } => {
                 core.events.extend(core.calls.outcome(now, call, attempt, Outcome::Cancelled.into()));
             }
@@ -306,11 +317,10 @@
     ) {
         let Some(outgoing) = core.calls.send(now, id, server, (until, by)) else { return };
         let number = outgoing.number;
-        let target = core
-            .hosts
-            .get(server)
-            .filter(|h| h.state == EndpointState::Ready && outgoing.wanted)
-            .and_then(|h| Some(Target { server, address: h.address?, generation: h.generation }));
+        let target =
+            core.hosts.get(server).filter(|h| h.state == EndpointState::Ready && outgoing.wanted).and_then(
+                |h| Some(Target { endpoint: server, address: h.address?, generation: h.generation }),
+            );
         let Some(target) = target else {
             core.events.extend(core.calls.outcome(now, id, number, Outcome::NotSent.into()));
             return;
@@ -321,16 +331,21 @@
             let mut guard = Guard { driver, call: id, attempt: number, ended: Some(Outcome::Unknown.into()) };
             let driver = &guard.driver;
             let (timed, request) = (outgoing.timed(), &outgoing.request);
-            let left =
-                || if timed { outgoing.until.saturating_sub(driver.clock.now()) } else { request.time };
+            let left = || {
+                if timed {
+                    outgoing.until.saturating_sub(driver.clock.now())
+                } else {
+                    request.client_timeout
+                }
+            };
             let begin = |begun| driver.begin(id, number, begun);
             let may_start = || {
                 if request.client.gone() {
-                    driver.gone(id);
+                    driver.disconnect_client(id);
                 }
                 driver.may_start(id, number, target.generation)
             };
-            let ended = upstream::attempt(&driver.pool, target, request, left, may_start, begin).await;
+            let ended = attempt(&driver.pool, target, request, left, may_start, begin).await;
             guard.ended = Some(ended);
         });
         core.calls.under_way(id, number, task.abort_handle());
@@ -353,7 +368,7 @@
     }
 
     /// Serves the timers, for as long as the program runs.
-    pub async fn timers(&self) {
+    pub async fn run_timers(&self) {
         loop {
             let next = self.core.borrow().calls.next_due();
             self.asleep_until.set(next);
@@ -401,10 +416,10 @@
 
 /// Reports the outcome of an attempt when its task ends, however that comes about.
 struct Guard {
-    driver: Driver,
+    driver: Dispatcher,
     call: CallId,
     attempt: u32,
-    ended: Option<Ended>,
+    ended: Option<AttemptResult>,
 }
 
 impl Drop for Guard {
@@ -418,13 +433,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::bodies::Memory;
+    use crate::body::MemoryLimit;
     use crate::descriptors::Descriptors;
-    use crate::front::Presence;
+    use crate::downstream::ClientPresence;
     use bytes::Bytes;
     use hyper::http::{HeaderMap, Method, Uri};
 
-    fn driver() -> Driver {
+    fn driver() -> Dispatcher {
         let clock = Clock::start();
         let transport = TransportSettings {
             max_open_requests: 9,
@@ -433,15 +448,22 @@
             handshake_charge: 0.0,
             shortest_latency_objective: 400_000,
         };
-        let figures = Rc::<Figures>::default();
-        let pool = Pool::new(transport, 1, Descriptors::new(9), clock, Rc::clone(&figures), Memory::new(64));
+        let figures = Rc::<Metrics>::default();
+        let pool = ConnectionPool::new(
+            transport,
+            1,
+            Descriptors::new(9),
+            clock,
+            Rc::clone(&figures),
+            MemoryLimit::new(64),
+        );
         let facts = ParsedSettings {
             settings: Settings::default(),
             class_names: vec![],
             tenant_names: vec![],
             transport,
         };
-        Driver::new(7, facts, clock, pool, figures)
+        Dispatcher::new(7, facts, clock, pool, figures)
     }
 
     fn request() -> Request {
@@ -452,10 +474,10 @@
             uri,
             headers,
             body,
-            rest: None,
+            upload: None,
             length: Some(0),
-            time,
-            client: Presence::default(),
+            client_timeout: time,
+            client: ClientPresence::default(),
         }
     }
 
@@ -463,10 +485,10 @@
     #[tokio::test(flavor = "current_thread")]
     async fn calls_are_bounded_and_a_client_that_leaves_makes_room() {
         let driver = driver();
-        let intake = || Intake { class: ClassId(0), tenant: None, resent: false };
-        let held: Vec<_> = (0..9).map(|_| driver.request(intake(), request()).expect("room")).collect();
-        assert!(driver.request(intake(), request()).is_none());
-        driver.gone(held[3].0);
-        assert!(driver.request(intake(), request()).is_some());
+        let intake = || CallAttributes { class: ClassId(0), tenant: None, is_retry: false };
+        let held: Vec<_> = (0..9).map(|_| driver.start_call(intake(), request()).expect("room")).collect();
+        assert!(driver.start_call(intake(), request()).is_none());
+        driver.disconnect_client(held[3].0);
+        assert!(driver.start_call(intake(), request()).is_some());
     }
 }
--- a/crates/proxy/src/front/visit.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! One client's connection: what happens on it, since when, and when it must end.
 
-use crate::bodies::{Memory, Part, WHOLE_MOST};
+use crate::body::{MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use crate::socket::Socket;
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 const STUCK_TIME: Duration = Duration::from_secs(30);
 /// Most bytes that are kept of what comes ahead of its time, as far as there is memory. A client sends one request at a
 /// time (PROTOCOL); some write a few at once.
-const AHEAD_MOST: usize = 4 * WHOLE_MOST;
+const AHEAD_MOST: usize = 4 * MAX_BUFFERED_BODY_BYTES;
 /// Most bytes that are looked past at a time for a client's end. Much more than its system holds for it may follow.
 const LOOK_MOST: usize = 1 << 20;
 /// A connection that has rested for less is not made to leave: a new one's request may be on its way. A way between a
@@ -48,12 +48,12 @@
 /// Clients' connections without an open request, the one that has rested longest first. When no place is left
 /// they make room: a crowd that keeps its connections must not keep others out.
 #[derive(Default)]
-pub struct Resting {
+pub struct IdleConnections {
     order: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
     next: Cell<u64>,
 }
 
-impl Resting {
+impl IdleConnections {
     /// Tells the connection that has rested longest to end. False if none has rested for long enough.
     pub fn make_room(&self) -> bool {
         let mut order = self.order.borrow_mut();
@@ -63,9 +63,9 @@
 }
 
 /// One client's connection, as the front sees it.
-pub struct Visit {
+pub struct ClientConnection {
     pub socket: Socket,
-    resting: Rc<Resting>,
+    resting: Rc<IdleConnections>,
     leave: Rc<Notify>,
     place: Cell<u64>,
     requests: Cell<u64>,
@@ -76,8 +76,8 @@
     /// The client has closed its side: it has gone, whatever of it is still unread.
     closed: Cell<bool>,
     /// What has come behind a request that waits for its answer, ahead of its time, and its part of the memory.
-    ahead: RefCell<(BytesMut, Part)>,
-    memory: Rc<Memory>,
+    ahead: RefCell<(BytesMut, MemoryReservation)>,
+    memory: Rc<MemoryLimit>,
     /// More came than is kept: its connection ends with the answer, and what comes until then is thrown away.
     flooded: Cell<bool>,
     changed: Notify,
@@ -98,9 +98,9 @@
     Answers,
 }
 
-impl Visit {
-    pub fn new(socket: Socket, resting: Rc<Resting>, memory: Rc<Memory>) -> Rc<Self> {
-        let visit = Visit {
+impl ClientConnection {
+    pub fn new(socket: Socket, resting: Rc<IdleConnections>, memory: Rc<MemoryLimit>) -> Rc<Self> {
+        let visit = ClientConnection {
             socket,
             resting,
             leave: Rc::default(),
@@ -198,7 +198,7 @@
 
     /// Reads some of what comes behind a request that waits.
     pub async fn read_ahead(&self) {
-        self.socket.read_some(|bytes| self.came_ahead(bytes)).await;
+        self.socket.read_with(|bytes| self.came_ahead(bytes)).await;
         // A flood must leave others their time.
         tokio::task::yield_now().await;
     }
@@ -207,10 +207,10 @@
     fn has_closed(&self) -> bool {
         let mut left = LOOK_MOST;
         while self.waits() && !self.closed.get() && left > 0 {
-            let Some(count) = self.socket.read_now(|bytes| self.came_ahead(bytes)) else { break };
+            let Some(count) = self.socket.try_read_with(|bytes| self.came_ahead(bytes)) else { break };
             left = left.saturating_sub(count.max(1));
         }
-        self.closed.get() || self.socket.has_ended()
+        self.closed.get() || self.socket.is_peer_closed()
     }
 
     /// Takes bytes that came ahead of their time, and tells how many; none are the end.
@@ -219,7 +219,7 @@
         let size = ahead.len() + bytes.len();
         if bytes.is_empty() {
             self.closes();
-        } else if self.flooded.get() || size > AHEAD_MOST || !self.memory.try_hold(part, size) {
+        } else if self.flooded.get() || size > AHEAD_MOST || !self.memory.try_reserve_unread(part, size) {
             self.flooded.set(true);
         } else {
             ahead.extend_from_slice(bytes);
@@ -233,7 +233,7 @@
         let count = ahead.len().min(buf.remaining());
         buf.put_slice(&ahead.split_to(count));
         if count > 0 && ahead.is_empty() {
-            (*ahead, *part) = (BytesMut::new(), Part::default());
+            (*ahead, *part) = (BytesMut::new(), MemoryReservation::default());
         }
         (count > 0).then_some(count)
     }
@@ -276,7 +276,7 @@
     }
 }
 
-impl Drop for Visit {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.resting.order.borrow_mut().remove(&self.place.get());
     }
@@ -284,11 +284,11 @@
 
 /// Tells whether the client of a request is still there, without keeping its connection.
 #[derive(Clone, Default)]
-pub struct Presence(Option<Weak<Visit>>);
+pub struct ClientPresence(Option<Weak<ClientConnection>>);
 
-impl Presence {
-    pub fn of(visit: &Rc<Visit>) -> Self {
-        Presence(Some(Rc::downgrade(visit)))
+impl ClientPresence {
+    pub fn of(visit: &Rc<ClientConnection>) -> Self {
+        ClientPresence(Some(Rc::downgrade(visit)))
     }
 
     /// Where nothing is known of a client it is there.
@@ -298,17 +298,17 @@
 }
 
 /// Keeps a request open until its answer is there whole and nothing of it is read any more.
-pub struct Open {
-    visit: Rc<Visit>,
+pub struct OpenRequest {
+    visit: Rc<ClientConnection>,
     /// Which request of its connection, from 1: what is left of an earlier one must not end a later one.
     number: u64,
 }
 
-impl Open {
+impl OpenRequest {
     /// A request begins on a connection.
-    pub fn begin(visit: &Rc<Visit>) -> Rc<Self> {
+    pub fn begin(visit: &Rc<ClientConnection>) -> Rc<Self> {
         visit.work();
-        Rc::new(Open { visit: Rc::clone(visit), number: visit.requests.get() })
+        Rc::new(OpenRequest { visit: Rc::clone(visit), number: visit.requests.get() })
     }
 
     /// All of the request is there.
@@ -328,7 +328,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         if self.visit.requests.get() == self.number {
             self.visit.answer();
@@ -337,17 +337,17 @@
 }
 
 /// A client's stream that says when something comes.
-pub struct Heard {
-    visit: Rc<Visit>,
+pub struct ObservedStream {
+    visit: Rc<ClientConnection>,
 }
 
-impl Heard {
-    pub fn new(visit: &Rc<Visit>) -> Self {
-        Heard { visit: Rc::clone(visit) }
+impl ObservedStream {
+    pub fn new(visit: &Rc<ClientConnection>) -> Self {
+        ObservedStream { visit: Rc::clone(visit) }
     }
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ObservedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let read = match self.visit.take_ahead(buf) {
             Some(count) => Poll::Ready(Ok(count)),
@@ -363,7 +363,7 @@
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.visit.socket.poll_write(cx, buf);
         self.visit.wrote(written.is_ready());
@@ -377,6 +377,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.visit.socket.shut())
+        Poll::Ready(self.visit.socket.shutdown_write())
     }
 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,15 +1,18 @@
 //! The client side: reads requests, hands them to the driver and writes the one final answer.
 
-mod answers;
-mod visit;
-
-use crate::bodies::{Fault, Memory, Part, Passing, Reader, Upload, WHOLE_MOST};
+use super::connection::{ClientConnection, ObservedStream, OpenRequest};
+use super::connection::{ClientPresence, IdleConnections};
+use super::response::{improper, not_whole, plain, refused, served, Ending};
+use crate::body::{
+    BodyError, MemoryLimit, MemoryReservation, RequestBodyReader, ResponseStream, Upload,
+    MAX_BUFFERED_BODY_BYTES,
+};
 use crate::descriptors::{Descriptor, Descriptors};
-use crate::driver::Driver;
-use crate::message::{Answer, Begun, Intake, Request};
-use crate::pool::Pool;
+use crate::dispatcher::Dispatcher;
+use crate::request::{CallAttributes, Request};
+use crate::response::{FinalResponse, StreamingResponse};
 use crate::socket::Socket;
-use answers::{improper, not_whole, plain, refused, served, Ending};
+use crate::upstream::pool::ConnectionPool;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::server::conn::http1;
@@ -28,8 +31,6 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 use tracing::warn;
-use visit::{Heard, Open, Visit};
-pub use visit::{Presence, Resting};
 
 /// Taken off the client's time, so that the final answer reaches it before that is up.
 const MARGIN: Micros = 2_000;
@@ -40,7 +41,7 @@
 /// Memory for a body is waited for this part of the client's time: it does not know of that wait.
 const MEMORY_PART: Micros = 8;
 /// Advice to a client that finds no place here: by then some connection has rested for long enough.
-const COME_BACK: Micros = 250_000;
+pub(super) const COME_BACK: Micros = 250_000;
 /// At a stop without a successor, connections are accepted for at least this long.
 const STOP_ACCEPT: Duration = Duration::from_millis(450);
 /// What a client sends as its connection is shut is read and thrown away for this long: a close over unread bytes is a
@@ -53,9 +54,9 @@
 /// Pause of accepting when the system has no descriptor left.
 const SHORT_PAUSE: Duration = Duration::from_millis(10);
 
-pub struct Front {
-    pub driver: Driver,
-    pub pool: Rc<Pool>,
+pub struct Downstream {
+    pub driver: Dispatcher,
+    pub pool: Rc<ConnectionPool>,
     pub descriptors: Rc<Descriptors>,
     /// Those of the reserve that clients' connections may take: they are refused and closed.
     pub uncounted: Rc<Descriptors>,
@@ -64,11 +65,11 @@
     pub most: usize,
     /// Further ones that are taken to be refused and closed.
     pub beyond: usize,
-    pub resting: Rc<Resting>,
-    pub memory: Rc<Memory>,
+    pub resting: Rc<IdleConnections>,
+    pub memory: Rc<MemoryLimit>,
 }
 
-impl Front {
+impl Downstream {
     /// Serves clients until `stop` resolves, then finishes what is taken. With a `successor`, which has the same
     /// listener, no connection is accepted from then on: what waits there is the successor's.
     pub async fn serve(
@@ -82,7 +83,7 @@
         let mut stop = pin!(stop);
         let mut end: Option<Instant> = None;
         let mut was_crowded = false;
-        self.driver.take_clients(true);
+        self.driver.set_accepting(true);
         loop {
             let late = async move {
                 match end {
@@ -103,7 +104,7 @@
                     // ones are still taken: clients move over before the listener goes.
                     end = Some(Instant::now() + STOP_ACCEPT);
                     let _ = closing.send(Some(Instant::now()));
-                    self.driver.take_clients(false);
+                    self.driver.set_accepting(false);
                     if successor {
                         break;
                     }
@@ -113,7 +114,7 @@
                         let full = places.available_permits() < self.beyond;
                         let crowded = full && !self.resting.make_room();
                         if crowded != std::mem::replace(&mut was_crowded, crowded) {
-                            let (most, open) = (self.most, self.driver.open_calls());
+                            let (most, open) = (self.most, self.driver.open_call_count());
                             let state = if crowded { "all taken" } else { "free again" };
                             warn!(places = most, state, calls = open, "places of clients");
                         }
@@ -153,7 +154,7 @@
     /// Running out of descriptors must not end the program: idle connections go first.
     async fn short_of_sockets(&self, fault: &io::Error) {
         let aborted = [io::ErrorKind::ConnectionAborted, io::ErrorKind::ConnectionReset];
-        if !aborted.contains(&fault.kind()) && !self.pool.evict() {
+        if !aborted.contains(&fault.kind()) && !self.pool.evict_oldest() {
             tokio::time::sleep(SHORT_PAUSE).await;
         }
     }
@@ -165,13 +166,13 @@
         crowded: bool,
         place: Option<OwnedSemaphorePermit>,
     ) {
-        let descriptor = self.descriptors.take().or_else(|| {
-            self.pool.evict();
-            self.descriptors.take()
+        let descriptor = self.descriptors.try_acquire().or_else(|| {
+            self.pool.evict_oldest();
+            self.descriptors.try_acquire()
         });
         // One that is only told to come back may be open beyond the count, as long as few are.
         let uncounted = descriptor.is_none();
-        let Some(descriptor) = descriptor.or_else(|| self.uncounted.take()) else { return };
+        let Some(descriptor) = descriptor.or_else(|| self.uncounted.try_acquire()) else { return };
         let crowded = crowded || uncounted;
         let front = Rc::clone(self);
         tokio::task::spawn_local(front.connection(stream, closing, crowded, (place, descriptor)));
@@ -184,13 +185,14 @@
         crowded: bool,
         _held: (Option<OwnedSemaphorePermit>, Descriptor),
     ) {
-        let visit = Visit::new(Socket::new(stream), Rc::clone(&self.resting), Rc::clone(&self.memory));
+        let visit =
+            ClientConnection::new(Socket::new(stream), Rc::clone(&self.resting), Rc::clone(&self.memory));
         let stopping = closing.clone();
         let service = service_fn(|request| {
             let (front, visit, stopping) = (&self, &visit, &stopping);
-            let client = Presence::of(visit);
+            let client = ClientPresence::of(visit);
             async move {
-                let open = Open::begin(visit);
+                let open = OpenRequest::begin(visit);
                 let mut answer = if crowded {
                     front.turn_back(&request)
                 } else {
@@ -205,15 +207,15 @@
         let serving = http1::Builder::new()
             .max_buf_size(HEAD_MOST)
             .keep_alive(!crowded)
-            .serve_connection(TokioIo::new(Heard::new(&visit)), service);
+            .serve_connection(TokioIo::new(ObservedStream::new(&visit)), service);
         let ends = attend(serving, &visit, closing, crowded).await;
         // All that was written arrives, and nothing that still comes is taken for a request.
         let linger = match ends {
-            Ends::Parted => LINGER,
-            Ends::MadeRoom => LINGER_CROWDED,
-            Ends::Deserted => return,
+            OutcomeCounts::Parted => LINGER,
+            OutcomeCounts::MadeRoom => LINGER_CROWDED,
+            OutcomeCounts::Deserted => return,
         };
-        if visit.socket.shut().is_ok() {
+        if visit.socket.shutdown_write().is_ok() {
             // A client that goes on for longer is cut.
             let _ = tokio::time::timeout(linger, discard_rest(&visit.socket)).await;
         }
@@ -221,14 +223,14 @@
 
     /// The class is the first part of the path.
     fn class(&self, path: &str) -> Option<ClassId> {
-        self.driver.class(path.trim_start_matches('/').split('/').next().unwrap_or_default())
+        self.driver.class_id(path.trim_start_matches('/').split('/').next().unwrap_or_default())
     }
 
     /// The answer to whoever finds no place.
-    fn turn_back(&self, request: &hyper::Request<Incoming>) -> Response<Passing> {
+    fn turn_back(&self, request: &hyper::Request<Incoming>) -> Response<ResponseStream> {
         let proper = request.headers().contains_key("x-request-id");
         if let Some(class) = self.class(request.uri().path()).filter(|_| proper) {
-            self.driver.turned_back(class);
+            self.driver.count_rejected(class);
         }
         refused(COME_BACK)
     }
@@ -236,9 +238,9 @@
     async fn request(
         &self,
         request: hyper::Request<Incoming>,
-        open: &Rc<Open>,
-        client: Presence,
-    ) -> Response<Passing> {
+        open: &Rc<OpenRequest>,
+        client: ClientPresence,
+    ) -> Response<ResponseStream> {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path();
         if path == "/_health" && matches!(parts.method, Method::GET | Method::HEAD) {
@@ -255,16 +257,16 @@
         let Some(class) = self.class(path) else {
             return improper(StatusCode::NOT_FOUND, "no such class of request");
         };
-        let mut part = Part::default();
-        let mut reader = Reader::new(body, open.body_time());
+        let mut part = MemoryReservation::default();
+        let mut reader = RequestBodyReader::new(body, open.body_time());
         let length = reader.length();
         let patience = Duration::from_micros(time / MEMORY_PART);
         let (body, whole) = match reader.begin(&mut part, &self.memory, patience).await {
             Ok(begun) => begun,
             Err(fault) => {
-                if fault == Fault::NoRoom {
-                    self.driver.turned_back(class);
-                    discard(Upload::new(reader, Part::default(), length), open);
+                if fault == BodyError::OutOfMemory {
+                    self.driver.count_rejected(class);
+                    discard(Upload::new(reader, MemoryReservation::default(), length), open);
                 }
                 return not_whole(fault);
             }
@@ -276,23 +278,32 @@
             None
         } else {
             // Without memory for it none of it is passed on.
-            let room = self.memory.try_grow(&mut part, WHOLE_MOST + 1);
+            let room = self.memory.try_reserve(&mut part, MAX_BUFFERED_BODY_BYTES + 1);
             let rest = Upload::new(reader, std::mem::take(&mut part), length);
             if !room {
-                self.driver.turned_back(class);
+                self.driver.count_rejected(class);
                 discard(rest, open);
                 return refused(COME_BACK);
             }
             Some(rest)
         };
-        let intake = Intake {
+        let intake = CallAttributes {
             class,
             tenant: text(&parts.headers, "x-tenant-id"),
-            resent: { parts.headers.get("x-retried").is_some_and(|v| v.as_bytes() == b"1") },
+            is_retry: { parts.headers.get("x-retried").is_some_and(|v| v.as_bytes() == b"1") },
         };
         let (method, uri, headers) = (parts.method, parts.uri, parts.headers);
-        let request = Request { method, uri, headers, body, rest: rest.clone(), length, time, client };
-        let Some((call, answer)) = self.driver.request(intake, request) else {
+        let request = Request {
+            method,
+            uri,
+            headers,
+            body,
+            upload: rest.clone(),
+            length,
+            client_timeout: time,
+            client,
+        };
+        let Some((call, answer)) = self.driver.start_call(intake, request) else {
             rest.into_iter().for_each(|rest| discard(rest, open));
             return refused(COME_BACK);
         };
@@ -306,7 +317,7 @@
                 end = upload.ended() => match end {
                     Ok(()) => {
                         open.whole();
-                        self.driver.whole(call);
+                        self.driver.complete_request(call);
                         answer.await
                     }
                     Err(fault) => return not_whole(fault),
@@ -314,16 +325,21 @@
             },
         };
         // A host that has begun its answer may be reading still.
-        let begun = matches!(answer, Ok(Answer::Begun(_)));
+        let begun = matches!(answer, Ok(FinalResponse::Streaming(_)));
         rest.into_iter().filter(|_| !begun).for_each(|rest| discard(rest, open));
         match answer {
-            Ok(Answer::Served { body, content_type }) => served(body.into(), content_type),
-            Ok(Answer::Begun(Begun { first, rest, length, content_type })) => {
-                served(Passing::stream(first, rest, length), content_type)
+            Ok(FinalResponse::Served { body, content_type }) => served(body.into(), content_type),
+            Ok(FinalResponse::Streaming(StreamingResponse {
+                first_chunk: first,
+                chunks: rest,
+                length,
+                content_type,
+            })) => served(ResponseStream::stream(first, rest, length), content_type),
+            Ok(FinalResponse::Rejected { retry_after }) => refused(retry_after),
+            Ok(FinalResponse::Failed) => plain(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(FinalResponse::DeadlineExceeded) | Err(_) => {
+                plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
-            Ok(Answer::Refused { retry_after }) => refused(retry_after),
-            Ok(Answer::Failed) => plain(StatusCode::BAD_GATEWAY, "failed"),
-            Ok(Answer::Overdue) | Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
         }
     }
 }
@@ -331,11 +347,11 @@
 /// Sees a connection through until it must end.
 async fn attend(
     serving: impl Future,
-    visit: &Visit,
+    visit: &ClientConnection,
     mut closing: watch::Receiver<Option<Instant>>,
     crowded: bool,
-) -> Ends {
-    let (mut serving, mut closed, mut has_closed) = (pin!(serving), pin!(visit.socket.ended()), false);
+) -> OutcomeCounts {
+    let (mut serving, mut closed, mut has_closed) = (pin!(serving), pin!(visit.socket.peer_closed()), false);
     loop {
         let stop = *closing.borrow_and_update();
         let due = visit.due(crowded, stop);
@@ -349,7 +365,7 @@
             // What has come is read before the time is looked at.
             biased;
             // How a client's connection ends concerns nobody: its calls are dropped with it.
-            _ = serving.as_mut() => return Ends::Parted,
+            _ = serving.as_mut() => return OutcomeCounts::Parted,
             () = closed.as_mut(), if !has_closed => {
                 has_closed = true;
                 visit.closes();
@@ -358,27 +374,27 @@
             () = visit.read_ahead(), if visit.waits() => {}
             () = late => {
                 if visit.due(crowded, stop).is_some_and(|due| due <= Instant::now()) {
-                    return Ends::Parted;
+                    return OutcomeCounts::Parted;
                 }
             }
             () = visit.changed() => {}
             Ok(()) = closing.changed() => {}
             () = visit.told_to_leave() => {
                 if visit.rests() {
-                    return Ends::MadeRoom;
+                    return OutcomeCounts::MadeRoom;
                 }
             }
         }
         // Bytes that nobody reads, such as half a next request, hide the close from who reads requests.
         if visit.deserted() {
-            return Ends::Deserted;
+            return OutcomeCounts::Deserted;
         }
     }
 }
 
 /// How a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ends {
+enum OutcomeCounts {
     /// Nothing more is to be done on it; the client may be there still.
     Parted,
     /// The same, and its place is wanted for another.
@@ -391,7 +407,7 @@
 async fn discard_rest(socket: &Socket) {
     let mut left = LINGER_MOST;
     while left > 0 {
-        match socket.read_some(<[u8]>::len).await {
+        match socket.read_with(<[u8]>::len).await {
             0 => return,
             count => left = left.saturating_sub(count),
         }
@@ -399,7 +415,7 @@
 }
 
 /// Reads on what a client still sends after its answer is there: it may look for that only then.
-fn discard(rest: Rc<Upload>, open: &Rc<Open>) {
+fn discard(rest: Rc<Upload>, open: &Rc<OpenRequest>) {
     let open = Rc::clone(open);
     tokio::task::spawn_local(async move {
         rest.discard().await;
@@ -409,13 +425,13 @@
 
 /// Tells the driver when the client goes before its answer: hyper drops the request's future then.
 struct Gone<'a> {
-    driver: &'a Driver,
+    driver: &'a Dispatcher,
     call: CallId,
 }
 
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
-        self.driver.gone(self.call);
+        self.driver.disconnect_client(self.call);
     }
 }
 
--- a/crates/proxy/src/front/answers.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,8 +1,8 @@
 //! What a client is answered, in the protocol's words.
 
-use super::visit::Open;
-use super::COME_BACK;
-use crate::bodies::{Fault, Passing};
+use super::connection::OpenRequest;
+use super::listener::COME_BACK;
+use crate::body::{BodyError, ResponseStream};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -14,24 +14,24 @@
 
 /// An answer's body with its open request.
 pub struct Ending {
-    body: Passing,
-    _open: Rc<Open>,
+    body: ResponseStream,
+    _open: Rc<OpenRequest>,
 }
 
 impl Ending {
-    pub fn new(body: Passing, open: Rc<Open>) -> Self {
+    pub fn new(body: ResponseStream, open: Rc<OpenRequest>) -> Self {
         Ending { body, _open: open }
     }
 }
 
 impl Body for Ending {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
@@ -44,16 +44,16 @@
     }
 }
 
-pub fn not_whole(fault: Fault) -> Response<Passing> {
+pub fn not_whole(fault: BodyError) -> Response<ResponseStream> {
     match fault {
-        Fault::Broken => improper(StatusCode::BAD_REQUEST, "broken body"),
-        Fault::TooLarge => improper(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB"),
-        Fault::NoRoom => refused(COME_BACK),
-        Fault::Halted => improper(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+        BodyError::Aborted => improper(StatusCode::BAD_REQUEST, "broken body"),
+        BodyError::TooLarge => improper(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB"),
+        BodyError::OutOfMemory => refused(COME_BACK),
+        BodyError::Stalled => improper(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
     }
 }
 
-pub fn served(body: Passing, content_type: Option<HeaderValue>) -> Response<Passing> {
+pub fn served(body: ResponseStream, content_type: Option<HeaderValue>) -> Response<ResponseStream> {
     let mut response = Response::new(body);
     if let Some(content_type) = content_type {
         response.headers_mut().insert(header::CONTENT_TYPE, content_type);
@@ -61,21 +61,21 @@
     response
 }
 
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Passing> {
-    let mut response = Response::new(Passing::from(Bytes::from_static(text.as_bytes())));
+pub fn plain(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
+    let mut response = Response::new(ResponseStream::from(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
 /// The answer to what is no request of a client's. Its connection ends with it and frees its place.
-pub fn improper(status: StatusCode, text: &'static str) -> Response<Passing> {
+pub fn improper(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
     let mut response = plain(status, text);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
 /// A refusal tells the client when to come back, in seconds.
-pub fn refused(retry_after: Micros) -> Response<Passing> {
+pub fn refused(retry_after: Micros) -> Response<ResponseStream> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = format!("{}.{:03}", retry_after / 1_000_000, retry_after / 1_000 % 1_000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -5,7 +5,8 @@
 
 /// An entry of the list.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-pub struct Endpoint {
+#[schemars(rename = "Endpoint")]
+pub struct EndpointEntry {
     /// The same at every client proxy.
     pub name: String,
     /// ADDRESS:PORT, as this client proxy reaches it.
@@ -33,12 +34,13 @@
 
 /// The list, or what changed of it.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-pub struct List {
+#[schemars(rename = "List")]
+pub struct EndpointList {
     /// Its version.
     pub index: u64,
     /// Whether it is whole, or holds what changed.
     #[serde(default)]
     pub snapshot: bool,
     /// The hosts.
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointEntry>,
 }
--- a/crates/proxy/src/hosts.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,14 +1,14 @@
 //! The hosts that discovery has named: their numbers, addresses and processes.
 
-use crate::list::{Endpoint, List};
+use crate::endpoint_list::{EndpointEntry, EndpointList};
 use oakport_core::{settings_wire, CellId, EndpointId, EndpointInfo, EndpointState, ListUpdateKind, Micros};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
 /// A host, and what discovery last told of it.
 #[derive(Debug)]
-pub struct Host {
-    told: Endpoint,
+pub struct Endpoint {
+    told: EndpointEntry,
     pub address: Option<SocketAddr>,
     started: Micros,
     pub state: EndpointState,
@@ -18,20 +18,20 @@
 
 /// Connections to a host of generations before this one lead to what is not there any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outdated {
-    pub server: EndpointId,
+pub struct OutdatedConnections {
+    pub endpoint: EndpointId,
     pub generation: u64,
 }
 
 /// All hosts ever named, by their numbers.
 #[derive(Debug, Default)]
-pub struct Hosts {
+pub struct Endpoints {
     numbers: HashMap<String, EndpointId>,
-    hosts: Vec<Host>,
+    hosts: Vec<Endpoint>,
 }
 
-impl Hosts {
-    pub fn get(&self, server: EndpointId) -> Option<&Host> {
+impl Endpoints {
+    pub fn get(&self, server: EndpointId) -> Option<&Endpoint> {
         self.hosts.get(server.0 as usize)
     }
 
@@ -41,17 +41,25 @@
     }
 
     /// Those that are in the list.
-    pub fn listed(&self) -> impl Iterator<Item = &Host> {
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.hosts.iter().filter(|host| host.state != EndpointState::Removed)
     }
 
     /// The list as it is now, of this version.
-    pub fn list(&self, index: u64) -> List {
-        List { index, snapshot: true, endpoints: self.listed().map(|host| host.told.clone()).collect() }
+    pub fn list(&self, index: u64) -> EndpointList {
+        EndpointList {
+            index,
+            snapshot: true,
+            endpoints: self.listed().map(|host| host.told.clone()).collect(),
+        }
     }
 
     /// Takes news of the list in: what the module is told of it, and whose connections are outdated.
-    pub fn news(&mut self, kind: ListUpdateKind, list: &[Endpoint]) -> (Vec<EndpointInfo>, Vec<Outdated>) {
+    pub fn update(
+        &mut self,
+        kind: ListUpdateKind,
+        list: &[EndpointEntry],
+    ) -> (Vec<EndpointInfo>, Vec<OutdatedConnections>) {
         let (mut entries, mut outdated) = (Vec::new(), Vec::new());
         if matches!(kind, ListUpdateKind::Snapshot | ListUpdateKind::Cached) {
             let named: HashSet<&str> = list.iter().map(|e| e.name.as_str()).collect();
@@ -59,7 +67,10 @@
                 if host.state != EndpointState::Removed && !named.contains(host.told.name.as_str()) {
                     host.state = EndpointState::Removed;
                     host.generation += 1;
-                    outdated.push(Outdated { server: EndpointId(number), generation: host.generation });
+                    outdated.push(OutdatedConnections {
+                        endpoint: EndpointId(number),
+                        generation: host.generation,
+                    });
                 }
             }
         }
@@ -73,7 +84,7 @@
             let (next, started) = (self.hosts.len() as u32, endpoint.since_ms.saturating_mul(1_000));
             let server = *self.numbers.entry(endpoint.name.clone()).or_insert(EndpointId(next));
             if server.0 == next {
-                self.hosts.push(Host {
+                self.hosts.push(Endpoint {
                     told: endpoint.clone(),
                     address: None,
                     started,
@@ -94,7 +105,7 @@
             // open leads to the old one.
             if state != EndpointState::Ready || address != host.address || started != host.started {
                 host.generation += 1;
-                outdated.push(Outdated { server, generation: host.generation });
+                outdated.push(OutdatedConnections { endpoint: server, generation: host.generation });
             }
             (host.state, host.address, host.started) = (state, address, started);
             host.told = endpoint.clone();
@@ -123,10 +134,10 @@
             let text = format!(
                 r#"[{{"name":"s","address":"{address}","status":"{status}","since_ms":{since_ms}}}]"#
             );
-            serde_json::from_str::<Vec<Endpoint>>(&text).expect("a list")
+            serde_json::from_str::<Vec<EndpointEntry>>(&text).expect("a list")
         };
         let (one, two) = ("127.0.0.1:9", "127.0.0.1:10");
-        let mut hosts = Hosts::default();
+        let mut hosts = Endpoints::default();
         for (status, address, since, state, given_up) in [
             ("up", one, 5, EndpointState::Ready, 1),
             ("up", one, 5, EndpointState::Ready, 0),
@@ -137,12 +148,12 @@
             ("up", "nowhere", 6, EndpointState::Draining, 1),
             ("removed", two, 6, EndpointState::Removed, 1),
         ] {
-            let (entries, outdated) = hosts.news(ListUpdateKind::Delta, &told(status, address, since));
+            let (entries, outdated) = hosts.update(ListUpdateKind::Delta, &told(status, address, since));
             assert_eq!((entries[0].state, outdated.len()), (state, given_up), "{status} {address} {since}");
             assert_eq!(entries[0].started_at, since * 1_000, "on the clock's own scale");
         }
-        hosts.news(ListUpdateKind::Snapshot, &told("up", one, 7));
-        let (entries, outdated) = hosts.news(ListUpdateKind::Snapshot, &[]);
+        hosts.update(ListUpdateKind::Snapshot, &told("up", one, 7));
+        let (entries, outdated) = hosts.update(ListUpdateKind::Snapshot, &[]);
         assert_eq!((entries.len(), outdated.len(), hosts.listed().count()), (0, 1, 0), "left out: gone");
     }
 }
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/hot_restart.rs
@@ -1,6 +1,6 @@
 //! Two processes for a while: the listener that the platform holds for both, and what one leaves to the next.
 
-use crate::list::List;
+use crate::endpoint_list::EndpointList;
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
 use std::net::{SocketAddr, TcpListener};
@@ -20,7 +20,7 @@
 const LIST_MOST: u64 = 4 << 20;
 
 /// The listener that `$RELAY_ACCEPT_FD` names, if it is set.
-pub fn inherited() -> Result<Option<TcpListener>, String> {
+pub fn inherited_listener() -> Result<Option<TcpListener>, String> {
     let Some(name) = std::env::var_os("RELAY_ACCEPT_FD") else { return Ok(None) };
     let adopted = name.to_str().and_then(|n| n.trim().parse().ok()).and_then(adopt);
     let listener = adopted.ok_or_else(|| format!("RELAY_ACCEPT_FD {name:?} is no listening socket"))?;
@@ -45,9 +45,9 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Left {
+struct HandoverFile {
     discovery: SocketAddr,
-    list: List,
+    list: EndpointList,
 }
 
 /// Left by a process that waits to take an address over from the one before it.
@@ -55,46 +55,48 @@
 
 /// Whether another process of this proxy waits for the peers' address.
 #[derive(Debug)]
-pub struct Heir {
+pub struct SuccessorMarker {
     place: Option<PathBuf>,
 }
 
-impl Heir {
+impl SuccessorMarker {
     /// In `$TMPDIR`, if there is one; else nobody can wait.
     pub fn open() -> Self {
-        Heir { place: std::env::var_os("TMPDIR").filter(|f| !f.is_empty()).map(|f| Path::new(&f).join(HEIR)) }
+        SuccessorMarker {
+            place: std::env::var_os("TMPDIR").filter(|f| !f.is_empty()).map(|f| Path::new(&f).join(HEIR)),
+        }
     }
 
     /// This process waits, or does so no longer.
-    pub fn wait(&self, waits: bool) {
+    pub fn set_waiting(&self, waits: bool) {
         let Some(place) = &self.place else { return };
         // At worst the one before says that it leaves, and this one is a new member a moment later.
         let _ = if waits { std::fs::write(place, []) } else { std::fs::remove_file(place) };
     }
 
     /// Another waits.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         self.place.as_ref().is_some_and(|place| place.exists())
     }
 }
 
 /// The folder that two processes of one proxy share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct HandoverDirectory {
     folder: PathBuf,
     lock: Option<File>,
     next: Option<File>,
 }
 
-impl Shared {
+impl HandoverDirectory {
     /// In `$TMPDIR`, if there is one.
     pub fn open() -> Option<Self> {
         let folder = std::env::var_os("TMPDIR").filter(|f| !f.is_empty())?;
-        Some(Shared { folder: folder.into(), lock: None, next: None })
+        Some(HandoverDirectory { folder: folder.into(), lock: None, next: None })
     }
 
     /// Is this the only process that serves here? Once it is, it stays so until the next one starts.
-    pub fn alone(&mut self) -> bool {
+    pub fn is_alone(&mut self) -> bool {
         if self.lock.is_none() {
             // Without a file nothing tells of another: then there is none to make room for.
             let Ok(file) = self.file(LOCK) else { return true };
@@ -110,7 +112,7 @@
     }
 
     /// Is the next process there?
-    pub fn followed(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         let next = self.file(NEXT);
         next.is_ok_and(|file| matches!(file.try_lock(), Err(std::fs::TryLockError::WouldBlock)))
     }
@@ -120,10 +122,10 @@
     }
 
     /// Leaves the list to whoever starts next. A reader finds the old one or the new one, never half of it.
-    pub fn leave(&self, discovery: SocketAddr, list: List) {
+    pub fn write_endpoint_list(&self, discovery: SocketAddr, list: EndpointList) {
         let place = self.folder.join(LIST);
         let beside = self.folder.join(format!("{LIST}.{}", std::process::id()));
-        let written = serde_json::to_vec(&Left { discovery, list })
+        let written = serde_json::to_vec(&HandoverFile { discovery, list })
             .map_err(std::io::Error::from)
             .and_then(|text| std::fs::write(&beside, text))
             .and_then(|()| std::fs::rename(&beside, &place));
@@ -134,18 +136,18 @@
     }
 
     /// The list that was left, if it came from this discovery and can be read.
-    pub fn left(&self, discovery: SocketAddr) -> Option<List> {
+    pub fn read_endpoint_list(&self, discovery: SocketAddr) -> Option<EndpointList> {
         read(&self.folder.join(LIST)).filter(|left| left.discovery == discovery).map(|left| left.list)
     }
 }
 
-fn read(place: &Path) -> Option<Left> {
+fn read(place: &Path) -> Option<HandoverFile> {
     let found = std::fs::metadata(place).ok().filter(|m| m.is_file() && m.len() <= LIST_MOST);
     found.and_then(|_| std::fs::read(place).ok()).and_then(|text| serde_json::from_slice(&text).ok())
 }
 
 /// The newer of two lists from one discovery.
-pub fn newer(known: Option<List>, left: Option<List>) -> Option<List> {
+pub fn newer_list(known: Option<EndpointList>, left: Option<EndpointList>) -> Option<EndpointList> {
     match (known, left) {
         (Some(known), Some(left)) if known.index >= left.index => Some(known),
         (known, left) => left.or(known),
@@ -156,13 +158,13 @@
 mod tests {
     use super::*;
 
-    fn folder(name: &str) -> Shared {
+    fn folder(name: &str) -> HandoverDirectory {
         let folder = std::env::temp_dir().join(format!("oakport-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a temporary folder");
-        Shared { folder, lock: None, next: None }
+        HandoverDirectory { folder, lock: None, next: None }
     }
 
-    fn list(index: u64) -> List {
+    fn list(index: u64) -> EndpointList {
         let text =
             format!(r#"{{"index":{index},"snapshot":true,"endpoints":[{{"name":"s","since_ms":5}}]}}"#);
         serde_json::from_str(&text).expect("a list")
@@ -180,12 +182,12 @@
     #[test]
     fn one_serves_alone_and_the_next_once_that_has_ended() {
         let (mut one, mut two) = (folder("lock"), folder("lock"));
-        assert!(one.alone());
-        assert!(!one.followed());
-        assert!(!two.alone() && !two.alone());
-        assert!(one.followed());
+        assert!(one.is_alone());
+        assert!(!one.has_successor());
+        assert!(!two.is_alone() && !two.is_alone());
+        assert!(one.has_successor());
         drop(one);
-        assert!(two.alone() && !two.followed());
+        assert!(two.is_alone() && !two.has_successor());
         let _ = std::fs::remove_dir_all(&two.folder);
     }
 
@@ -193,15 +195,15 @@
     fn a_list_is_left_whole_and_what_is_odd_is_not_believed() {
         let shared = folder("list");
         let (here, there) = ("127.0.0.1:1".parse().expect("ok"), "127.0.0.1:2".parse().expect("ok"));
-        assert!(shared.left(here).is_none());
-        shared.leave(here, list(7));
-        assert_eq!(shared.left(here).map(|l| (l.index, l.endpoints.len())), Some((7, 1)));
-        assert!(shared.left(there).is_none(), "another discovery counts otherwise");
+        assert!(shared.read_endpoint_list(here).is_none());
+        shared.write_endpoint_list(here, list(7));
+        assert_eq!(shared.read_endpoint_list(here).map(|l| (l.index, l.endpoints.len())), Some((7, 1)));
+        assert!(shared.read_endpoint_list(there).is_none(), "another discovery counts otherwise");
         let place = shared.folder.join(LIST);
         let text = std::fs::read(&place).expect("a file");
         for odd in [&b""[..], &text[..text.len() / 2], b"{}", b"\xff", b"[1]"] {
             std::fs::write(&place, odd).expect("a file");
-            assert!(shared.left(here).is_none());
+            assert!(shared.read_endpoint_list(here).is_none());
         }
         assert_eq!(
             std::fs::read_dir(&shared.folder).expect("a folder").count(),
@@ -213,8 +215,9 @@
 
     #[test]
     fn the_newer_list_is_taken() {
-        let index =
-            |known: Option<u64>, left: Option<u64>| newer(known.map(list), left.map(list)).map(|l| l.index);
+        let index = |known: Option<u64>, left: Option<u64>| {
+            newer_list(known.map(list), left.map(list)).map(|l| l.index)
+        };
         assert_eq!(index(Some(3), Some(5)), Some(5));
         assert_eq!(index(Some(5), Some(3)), Some(5));
         assert_eq!(index(None, Some(3)), Some(3));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,33 +1,31 @@
 //! The client proxy round the decisions of `oakport-core`: sockets, clock and timers. It decides nothing.
 //!
-//! [`Config`] is the configuration file, [`Server`] the process that serves by it. `docs/architecture.md` shows the
+//! [`Config`] is the configuration file, [`Process`] the process that serves by it. `docs/architecture.md` shows the
 //! parts and the way of one request through them.
 
-mod bodies;
-mod calls;
+mod admin;
+mod body;
+mod call_table;
 mod classes;
 mod clock;
 mod config;
-mod demand;
 mod descriptors;
 mod discovery;
-mod driver;
-mod figures;
-mod front;
-mod hosts;
-mod link;
-mod list;
-mod message;
-mod operator;
-mod peers;
-mod pool;
-mod server;
+mod dispatcher;
+mod downstream;
+mod endpoint_list;
+mod endpoints;
+mod hot_restart;
+mod membership;
+mod metrics;
+mod process;
+mod request;
+mod response;
 mod socket;
-mod upgrade;
 mod upstream;
 
-pub use config::{Checked, Config, Faults, Limits, PeersConfig};
-pub use figures::{Connections, Ends, Report};
-pub use peers::{MemberReport, PeersReport, ScopeReport};
-pub use server::{places, Server};
-pub use upgrade::inherited;
+pub use config::{Checked, Config, Diagnostics, Limits, MembershipConfig};
+pub use hot_restart::inherited_listener;
+pub use membership::{MemberReport, MembershipReport, ScopeReport};
+pub use metrics::{ConnectionCounts, MetricsReport, OutcomeCounts};
+pub use process::{client_capacity, Process};
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -3,12 +3,12 @@
 
 mod report;
 
-pub use report::{MemberReport, PeersReport, ScopeReport};
+pub use report::{MemberReport, MembershipReport, ScopeReport};
 
 use crate::clock::Clock;
-use crate::config::PeersConfig;
-use crate::driver::Driver;
-use crate::upgrade::Heir;
+use crate::config::MembershipConfig;
+use crate::dispatcher::Dispatcher;
+use crate::hot_restart::SuccessorMarker;
 use oakport_membership::{Identity, MemberStatus, MembershipEvent, Node, NodeConfig, ScopeStatus};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,12 +23,12 @@
 const ROOM: usize = 2_048;
 
 /// This process among its peers.
-pub struct Member {
-    config: PeersConfig,
+pub struct MembershipService {
+    config: MembershipConfig,
     name: String,
     seed: u64,
     clock: Clock,
-    heir: Heir,
+    heir: SuccessorMarker,
     /// None: the address is not to be had yet.
     machine: RefCell<Option<Node>>,
     /// What the configuration says of the number of processes.
@@ -37,15 +37,15 @@
     gone: Notify,
 }
 
-impl Member {
+impl MembershipService {
     /// Not yet among its peers.
-    pub fn new(config: PeersConfig, name: String, seed: u64, clock: Clock, balancers: u32) -> Rc<Self> {
-        Rc::new(Member {
+    pub fn new(config: MembershipConfig, name: String, seed: u64, clock: Clock, balancers: u32) -> Rc<Self> {
+        Rc::new(MembershipService {
             config,
             name,
             seed,
             clock,
-            heir: Heir::open(),
+            heir: SuccessorMarker::open(),
             machine: RefCell::new(None),
             told: Cell::new(balancers),
             leave: Notify::new(),
@@ -54,7 +54,7 @@
     }
 
     /// The configuration says another number of processes.
-    pub fn retell(&self, balancers: u32) {
+    pub fn set_configured_count(&self, balancers: u32) {
         self.told.set(balancers);
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
             machine.set_configured_count(balancers as usize);
@@ -71,9 +71,9 @@
     }
 
     /// What operators are told.
-    pub fn report(&self) -> Option<PeersReport> {
+    pub fn report(&self) -> Option<MembershipReport> {
         let machine = self.machine.borrow();
-        machine.as_ref().map(|machine| PeersReport::new(machine, self.clock.now()))
+        machine.as_ref().map(|machine| MembershipReport::new(machine, self.clock.now()))
     }
 
     /// Waits for the address.
@@ -83,14 +83,14 @@
         loop {
             match UdpSocket::bind(address).await {
                 Ok(socket) => {
-                    self.heir.wait(false);
+                    self.heir.set_waiting(false);
                     return socket;
                 }
                 Err(fault) => {
                     if !std::mem::replace(&mut told, true) {
                         info!(%address, reason = %fault, "peers' address not to be had yet");
                     }
-                    self.heir.wait(true);
+                    self.heir.set_waiting(true);
                 }
             }
             tokio::time::sleep(PAUSE).await;
@@ -98,7 +98,7 @@
     }
 
     /// Is a peer until it leaves.
-    pub async fn run(self: Rc<Self>, driver: Driver) {
+    pub async fn run(self: Rc<Self>, driver: Dispatcher) {
         let socket = self.bind().await;
         let Ok(bound) = socket.local_addr() else { return };
         let address = self.config.advertise.unwrap_or(bound);
@@ -123,7 +123,7 @@
                 () = tokio::time::sleep_until(self.clock.instant(due)) => {}
                 () = self.leave.notified() => {
                     // Whoever waits for the address is this member's next process.
-                    if !self.heir.waits() {
+                    if !self.heir.is_waiting() {
                         self.with(|machine, now| machine.leave(now));
                         self.post(&socket);
                     }
@@ -151,7 +151,7 @@
         }
     }
 
-    fn tell(&self, driver: &Driver) {
+    fn tell(&self, driver: &Dispatcher) {
         let news = self.machine.borrow_mut().as_mut().map(Node::take_events);
         for news in news.into_iter().flatten() {
             match news {
@@ -181,7 +181,7 @@
                 MembershipEvent::ScopeChanged(scope, ScopeStatus::Fresh) => info!(scope, "scope back"),
                 MembershipEvent::LiveCount(count) => {
                     info!(count, "client proxies counted");
-                    driver.live(u32::try_from(count).unwrap_or(u32::MAX));
+                    driver.set_live_count(u32::try_from(count).unwrap_or(u32::MAX));
                 }
             }
         }
--- a/crates/proxy/src/peers/report.rs
+++ b/crates/proxy/src/membership/report.rs
@@ -6,7 +6,7 @@
 
 /// Who is present, as this process sees it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct PeersReport {
+pub struct MembershipReport {
     /// The name of this process.
     pub name: String,
     /// Where others reach it, as ADDRESS:PORT.
@@ -73,10 +73,10 @@
     pub for_ms: u64,
 }
 
-impl PeersReport {
+impl MembershipReport {
     pub(super) fn new(machine: &Node, now: Micros) -> Self {
         let (own, view, count) = (machine.identity(), machine.members(), machine.live_count());
-        PeersReport {
+        MembershipReport {
             name: own.name.clone(),
             address: own.address.to_string(),
             size: view.size(),
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/process.rs
@@ -1,17 +1,17 @@
 //! One process of a client proxy: its parts, its signals, its end.
 
-use crate::bodies::Memory;
+use crate::admin;
+use crate::body::MemoryLimit;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::descriptors::Descriptors;
-use crate::discovery::Watcher;
-use crate::driver::Driver;
-use crate::figures::Figures;
-use crate::front::{Front, Resting};
-use crate::operator;
-use crate::peers::Member;
-use crate::pool::Pool;
-use crate::upgrade::{self, Shared};
+use crate::discovery::EndpointWatcher;
+use crate::dispatcher::Dispatcher;
+use crate::downstream::{Downstream, IdleConnections};
+use crate::hot_restart::{self, HandoverDirectory};
+use crate::membership::MembershipService;
+use crate::metrics::Metrics;
+use crate::upstream::pool::ConnectionPool;
 use oakport_core::ListUpdateKind;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -46,7 +46,7 @@
 struct Room {
     descriptors: Rc<Descriptors>,
     sockets: usize,
-    shared: Option<Rc<RefCell<Shared>>>,
+    shared: Option<Rc<RefCell<HandoverDirectory>>>,
     beside: Cell<Beside>,
 }
 
@@ -61,11 +61,11 @@
 }
 
 impl Room {
-    fn new(sockets: usize, shared: Option<Rc<RefCell<Shared>>>) -> Self {
-        let alone = shared.as_ref().is_none_or(|shared| shared.borrow_mut().alone());
+    fn new(sockets: usize, shared: Option<Rc<RefCell<HandoverDirectory>>>) -> Self {
+        let alone = shared.as_ref().is_none_or(|shared| shared.borrow_mut().is_alone());
         let beside = if alone { Beside::Nobody } else { Beside::Predecessor(Instant::now() + NOTICED) };
         let room = Room { descriptors: Descriptors::new(0), sockets, shared, beside: Cell::new(beside) };
-        room.descriptors.allow(room.part());
+        room.descriptors.set_limit(room.part());
         room
     }
 
@@ -84,49 +84,49 @@
     }
 
     /// Sees whether the other process is there, and keeps to this one's part.
-    fn settle(&self, pool: &Pool, resting: &Resting) {
+    fn settle(&self, pool: &ConnectionPool, resting: &IdleConnections) {
         let Some(shared) = &self.shared else { return };
         let mut shared = shared.borrow_mut();
         self.beside.set(match self.beside.get() {
-            Beside::Predecessor(noticed) if !shared.alone() => Beside::Predecessor(noticed),
-            _ if shared.followed() => Beside::Successor,
+            Beside::Predecessor(noticed) if !shared.is_alone() => Beside::Predecessor(noticed),
+            _ if shared.has_successor() => Beside::Successor,
             _ => Beside::Nobody,
         });
-        self.descriptors.allow(self.part());
+        self.descriptors.set_limit(self.part());
         for _ in 0..self.descriptors.excess() {
-            if !pool.evict() && !resting.make_room() {
+            if !pool.evict_oldest() && !resting.make_room() {
                 break;
             }
         }
     }
 
     /// Leaves the next process its part.
-    fn hand_over(&self, pool: &Pool) {
+    fn hand_over(&self, pool: &ConnectionPool) {
         self.beside.set(Beside::Successor);
-        self.descriptors.allow(self.part());
-        while pool.evict() {}
+        self.descriptors.set_limit(self.part());
+        while pool.evict_oldest() {}
     }
 }
 
 /// A client proxy that is ready to serve.
-pub struct Server {
+pub struct Process {
     config: Config,
     listener: TcpListener,
     /// The platform holds the listener: another process follows on this one, or went before it.
     successor: bool,
     room: Rc<Room>,
-    pool: Rc<Pool>,
-    memory: Rc<Memory>,
-    figures: Rc<Figures>,
-    driver: Driver,
-    peers: Option<Rc<Member>>,
+    pool: Rc<ConnectionPool>,
+    memory: Rc<MemoryLimit>,
+    figures: Rc<Metrics>,
+    driver: Dispatcher,
+    peers: Option<Rc<MembershipService>>,
     /// Version of the list that it starts from.
     index: Option<u64>,
     term: Signal,
     hangup: Signal,
 }
 
-impl Server {
+impl Process {
     /// Takes the listener, or opens it, and makes all parts. To be called within a runtime of one thread.
     ///
     /// # Errors
@@ -141,15 +141,17 @@
         };
         let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
         // Where the platform holds the listener, two processes serve for a while and share what is allowed.
-        let shared = Shared::open().filter(|_| successor).map(|shared| Rc::new(RefCell::new(shared)));
+        let shared =
+            HandoverDirectory::open().filter(|_| successor).map(|shared| Rc::new(RefCell::new(shared)));
         let room = Rc::new(Room::new(config.limits.sockets, shared));
-        let left = room.shared.as_ref().and_then(|shared| shared.borrow().left(config.discovery));
-        let known = upgrade::newer(config.known.take(), left);
+        let left =
+            room.shared.as_ref().and_then(|shared| shared.borrow().read_endpoint_list(config.discovery));
+        let known = hot_restart::newer_list(config.known.take(), left);
 
-        let (clock, figures) = (Clock::start(), Rc::<Figures>::default());
-        let memory = Memory::new(config.limits.memory_mb);
+        let (clock, figures) = (Clock::start(), Rc::<Metrics>::default());
+        let memory = MemoryLimit::new(config.limits.memory_mb);
         let facts = config.facts.clone();
-        let pool = Pool::new(
+        let pool = ConnectionPool::new(
             facts.transport,
             facts.settings.proxy_count,
             Rc::clone(&room.descriptors),
@@ -157,14 +159,17 @@
             Rc::clone(&figures),
             Rc::clone(&memory),
         );
-        let driver = Driver::new(config.seed, facts, clock, Rc::clone(&pool), Rc::clone(&figures));
+        let driver = Dispatcher::new(config.seed, facts, clock, Rc::clone(&pool), Rc::clone(&figures));
         driver.start();
         let balancers = config.facts.settings.proxy_count;
         let name = config.name.clone().unwrap_or_else(|| config.listen.to_string());
-        let peers = config.peers.clone().map(|peers| Member::new(peers, name, config.seed, clock, balancers));
+        let peers = config
+            .peers
+            .clone()
+            .map(|peers| MembershipService::new(peers, name, config.seed, clock, balancers));
         let index = known.as_ref().map(|k| k.index);
-        driver.members(ListUpdateKind::Cached, known.as_ref().map_or(&[], |k| &k.endpoints));
-        Ok(Server {
+        driver.update_endpoints(ListUpdateKind::Cached, known.as_ref().map_or(&[], |k| &k.endpoints));
+        Ok(Process {
             config,
             listener,
             successor,
@@ -185,17 +190,17 @@
     /// # Errors
     /// A part without which calls would stay unanswered has ended: better a crash that is seen.
     pub async fn serve(self) -> Result<(), String> {
-        let Server { config, listener, successor, room, pool, memory, figures, driver, peers, .. } = self;
+        let Process { config, listener, successor, room, pool, memory, figures, driver, peers, .. } = self;
         let (moved, address) = watch::channel(config.discovery);
         let mut timers = {
             let driver = driver.clone();
-            tokio::task::spawn_local(async move { driver.timers().await })
+            tokio::task::spawn_local(async move { driver.run_timers().await })
         };
         let mut watch: JoinHandle<()> = tokio::task::spawn_local(
-            Watcher::new(driver.clone(), address, self.index, room.shared.clone(), config.seed).run(),
+            EndpointWatcher::new(driver.clone(), address, self.index, room.shared.clone(), config.seed).run(),
         );
         if let Some(address) = config.operator {
-            tokio::task::spawn_local(operator::run(driver.clone(), peers.clone(), address));
+            tokio::task::spawn_local(admin::run(driver.clone(), peers.clone(), address));
         }
         if let Some(peers) = &peers {
             tokio::task::spawn_local(Rc::clone(peers).run(driver.clone()));
@@ -203,8 +208,8 @@
         if let Ok(address) = listener.local_addr() {
             info!(%address, "listening");
         }
-        let resting = Rc::<Resting>::default();
-        let front = Rc::new(Front {
+        let resting = Rc::<IdleConnections>::default();
+        let front = Rc::new(Downstream {
             driver: driver.clone(),
             pool: Rc::clone(&pool),
             descriptors: Rc::clone(&room.descriptors),
@@ -258,7 +263,7 @@
 
 /// How many connections of clients are served at a time by a process that may hold so many descriptors, and how many
 /// more are taken to be refused.
-pub fn places(sockets: usize) -> (usize, usize) {
+pub fn client_capacity(sockets: usize) -> (usize, usize) {
     (most_clients(counted(sockets)), beyond_clients(counted(sockets)))
 }
 
@@ -284,10 +289,10 @@
 }
 
 /// Closes what has been idle for too long, and sees when the other process has ended.
-async fn sweep(room: &Room, pool: &Pool, resting: &Resting) {
+async fn sweep(room: &Room, pool: &ConnectionPool, resting: &IdleConnections) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        pool.sweep();
+        pool.close_expired();
         room.settle(pool, resting);
     }
 }
@@ -296,21 +301,21 @@
 async fn reloads(
     mut hangup: Signal,
     mut config: Config,
-    (driver, peers): (&Driver, Option<&Member>),
-    figures: &Figures,
+    (driver, peers): (&Dispatcher, Option<&MembershipService>),
+    figures: &Metrics,
     moved: &watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
         let next = config.again();
-        figures.reload(next.is_ok());
+        figures.count_reload(next.is_ok());
         match next {
             Ok(next) => {
                 config = next;
                 let (discovery, attempts) = (config.discovery, config.facts.settings.limits.max_attempts);
                 info!(%discovery, classes = %config.facts.class_names.join(" "), attempts, "reloaded");
-                driver.retune(config.facts.clone());
+                driver.apply_settings(config.facts.clone());
                 if let Some(peers) = peers {
-                    peers.retell(config.facts.settings.proxy_count);
+                    peers.set_configured_count(config.facts.settings.proxy_count);
                 }
                 moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
             }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -51,12 +51,12 @@
     }
 
     /// Ends this side.
-    pub fn shut(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         socket2::SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
     /// Hands what is there now to `take`, 0 bytes at the end; None: nothing is.
-    pub fn read_now<T>(&self, take: impl Fn(&[u8]) -> T) -> Option<T> {
+    pub fn try_read_with<T>(&self, take: impl Fn(&[u8]) -> T) -> Option<T> {
         let mut some = [0; READ];
         match self.0.try_read(&mut some) {
             Ok(count) => Some(take(&some[..count])),
@@ -66,18 +66,18 @@
     }
 
     /// Waits for bytes and hands them to `take`; 0 bytes at the end, and where the connection broke.
-    pub async fn read_some<T>(&self, take: impl Fn(&[u8]) -> T) -> T {
+    pub async fn read_with<T>(&self, take: impl Fn(&[u8]) -> T) -> T {
         loop {
             // A connection that cannot be waited for cannot be read either, which tells its end.
             let _ = self.0.readable().await;
-            if let Some(taken) = self.read_now(&take) {
+            if let Some(taken) = self.try_read_with(&take) {
                 return taken;
             }
         }
     }
 
     /// Resolves when the other side has ended or reset the connection, whatever is unread before that.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         // Of this interest the system tells ends only, as no urgent data is asked for.
         let told = self.0.ready(Interest::PRIORITY).await;
         if !told.is_ok_and(|ready| ready.is_read_closed()) {
@@ -87,13 +87,13 @@
 
     /// Has the other side ended or reset the connection? Asks the system, not the runtime: an event that the runtime has
     /// not taken yet hides an end from it, as do bytes that nobody reads.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_peer_closed(&self) -> bool {
         // `nix` has no name for the end of the other side; a reset is told unasked.
         tells(&self.0, PollFlags::from_bits_retain(nix::libc::POLLRDHUP))
     }
 
     /// Is there anything to be read, an end included? Asks the system, as above.
-    pub fn stirs(&self) -> bool {
+    pub fn is_readable(&self) -> bool {
         tells(&self.0, PollFlags::POLLIN)
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,10 +1,13 @@
 //! Attempts at hosts: a request goes out on a connection, its answer comes back whole or is passed on.
 
-use crate::bodies::{Handover, Memory, Part, Piece, Sending, WHOLE_MOST};
-use crate::figures::Figures;
-use crate::link::Link;
-use crate::message::{Begun, Ended, Request};
-use crate::pool::{Pool, Target};
+use crate::body::{
+    BodyChunk, MemoryLimit, MemoryReservation, RequestStream, WriteProgress, MAX_BUFFERED_BODY_BYTES,
+};
+use crate::metrics::Metrics;
+use crate::request::Request;
+use crate::response::{AttemptResult, StreamingResponse};
+use crate::upstream::connection::UpstreamConnection;
+use crate::upstream::pool::{ConnectionPool, Target};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -32,7 +35,12 @@
 
 /// Reads an answer until it is whole or is to be passed on. An answer in pieces is only passed on if it is one
 /// that serves; of any other that is large no more is needed than that it is there.
-async fn come(head: &Parts, mut body: Incoming, part: &mut Part, memory: &Memory) -> Option<Came> {
+async fn come(
+    head: &Parts,
+    mut body: Incoming,
+    part: &mut MemoryReservation,
+    memory: &MemoryLimit,
+) -> Option<Came> {
     let length = body.size_hint().exact();
     // A body may end with its connection, where its head says that this closes. Else that may be a cut.
     let closes = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"close");
@@ -40,7 +48,7 @@
         || head.headers.contains_key(header::TRANSFER_ENCODING)
         || head.headers.get_all(header::CONNECTION).iter().any(closes)
         || head.status == StatusCode::NO_CONTENT;
-    let large = length.is_some_and(|length| length > WHOLE_MOST as u64);
+    let large = length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
     let mut first = BytesMut::new();
     let mut since: Option<tokio::time::Instant> = None;
     loop {
@@ -53,17 +61,17 @@
             Ok(Some(frame)) => {
                 if let Ok(piece) = frame.ok()?.into_data() {
                     since = since.or(Some(tokio::time::Instant::now()));
-                    memory.grow(part, first.len() + piece.len()).await;
+                    memory.reserve(part, first.len() + piece.len()).await;
                     first.extend_from_slice(&piece);
                 }
             }
             Ok(None) => return framed.then(|| Came::Whole(first.freeze())),
             Err(_) => return Some(Came::Part(first.freeze(), body)),
         }
-        if framed && (large || first.len() > WHOLE_MOST) && !first.is_empty() {
+        if framed && (large || first.len() > MAX_BUFFERED_BODY_BYTES) && !first.is_empty() {
             return Some(Came::Part(first.freeze(), body));
         }
-        if first.len() > WHOLE_MOST {
+        if first.len() > MAX_BUFFERED_BODY_BYTES {
             return None;
         }
     }
@@ -72,14 +80,14 @@
 /// Makes one attempt and tells how it ended. `left` is the time it still has; `may_start` is asked right
 /// before the first byte; `begin` takes a large answer, unless nobody wants it any more.
 pub async fn attempt(
-    pool: &Rc<Pool>,
+    pool: &Rc<ConnectionPool>,
     target: Target,
     request: &Request,
     left: impl Fn() -> Micros,
     may_start: impl Fn() -> bool,
-    begin: impl FnOnce(Begun) -> bool,
-) -> Ended {
-    if request.rest.as_ref().is_some_and(|rest| !rest.untouched()) {
+    begin: impl FnOnce(StreamingResponse) -> bool,
+) -> AttemptResult {
+    if request.upload.as_ref().is_some_and(|rest| !rest.is_unread()) {
         // What has gone to one host is not here any more for another.
         return Outcome::NotSent.into();
     }
@@ -91,13 +99,13 @@
         },
     };
     if !may_start() {
-        pool.put_back(target.server, link).await;
+        pool.return_unused(target.endpoint, link).await;
         return Outcome::NotSent.into();
     }
-    let claimed = request.rest.as_ref().is_none_or(|rest| rest.claim());
+    let claimed = request.upload.as_ref().is_none_or(|rest| rest.try_claim());
     let message = message(request, left(), &link.handover).filter(|_| claimed);
     let Some(message) = message else { return Outcome::NotSent.into() };
-    let mut part = Part::default();
+    let mut part = MemoryReservation::default();
     let sent = link.sender.send_request(message);
     let stuck = stuck(Rc::clone(&link.handover), request);
     let came = link.drive(&pool.figures, true, async {
@@ -110,13 +118,13 @@
         () = stuck => None,
     };
     let Some((head, came)) = came else {
-        if request.rest.as_ref().is_some_and(|rest| rest.failed()) {
+        if request.upload.as_ref().is_some_and(|rest| rest.has_failed()) {
             // The client's fault, and its request's end: the front sees to that.
             drop(link);
             return std::future::pending().await;
         }
         // Never ran only if the last byte was not handed to the socket; all else may have run.
-        return if link.handover.whole() { Outcome::Reset } else { Outcome::ConnectFailed }.into();
+        return if link.handover.is_complete() { Outcome::Reset } else { Outcome::ConnectFailed }.into();
     };
     let load = head.headers.get("x-server-load").map(load).unwrap_or_default();
     let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
@@ -130,35 +138,35 @@
     };
     let served = match came {
         Came::Whole(body) => {
-            pool.keep(&target, link).await;
+            pool.return_after_response(&target, link).await;
             (outcome == Outcome::Served).then_some((body, content_type))
         }
         Came::Part(first, body) if outcome == Outcome::Served => {
-            pool.memory.grow(&mut part, WHOLE_MOST + 1).await;
+            pool.memory.reserve(&mut part, MAX_BUFFERED_BODY_BYTES + 1).await;
             let (pieces, rest) = mpsc::channel(1);
             let length = body.size_hint().exact().map(|left| left + first.len() as u64);
-            if !begin(Begun { first, rest, length, content_type }) {
+            if !begin(StreamingResponse { first_chunk: first, chunks: rest, length, content_type }) {
                 return Outcome::Cancelled.into();
             }
             let ended = pass_on(&mut link, &pool.figures, body, pieces).await;
             if ended == Outcome::Served {
-                pool.keep(&target, link).await;
+                pool.return_after_response(&target, link).await;
             }
-            return Ended { outcome: ended, load, served: None };
+            return AttemptResult { outcome: ended, load, served: None };
         }
         // The rest of an answer that serves nobody goes with its connection.
         Came::Part(..) => None,
     };
-    Ended { outcome, load, served }
+    AttemptResult { outcome, load, served }
 }
 
 /// Waits until a host has taken nothing of a large request for as long as the client would wait for an answer.
-async fn stuck(handover: Rc<Handover>, request: &Request) {
-    let patience = Duration::from_micros(request.time).clamp(PATIENCE_LEAST, HALT_TIME);
-    while request.rest.is_some() && handover.stuck_for() < patience {
+async fn stuck(handover: Rc<WriteProgress>, request: &Request) {
+    let patience = Duration::from_micros(request.client_timeout).clamp(PATIENCE_LEAST, HALT_TIME);
+    while request.upload.is_some() && handover.stalled_for() < patience {
         tokio::time::sleep(PATIENCE_LEAST / 10).await;
     }
-    if request.rest.is_none() {
+    if request.upload.is_none() {
         std::future::pending::<()>().await;
     }
 }
@@ -166,10 +174,10 @@
 /// Passes the rest of an answer on, each piece once the one before has been taken. What the host still gives
 /// is never cut; if it comes to a halt, or the client leaves, it ends.
 async fn pass_on(
-    link: &mut Link,
-    figures: &Figures,
+    link: &mut UpstreamConnection,
+    figures: &Metrics,
     mut body: Incoming,
-    pieces: mpsc::Sender<Piece>,
+    pieces: mpsc::Sender<BodyChunk>,
 ) -> Outcome {
     loop {
         // After the last byte nobody need be there to take more.
@@ -182,15 +190,15 @@
         };
         let piece = match frame {
             Some(Ok(Some(Ok(frame)))) => match frame.into_data() {
-                Ok(piece) => Piece::Data(piece),
+                Ok(piece) => BodyChunk::Data(piece),
                 Err(_) => continue,
             },
-            Some(Ok(None)) => Piece::End,
+            Some(Ok(None)) => BodyChunk::End,
             Some(Ok(Some(Err(_)))) | None => return Outcome::Reset,
             Some(Err(_)) => return Outcome::TimedOut,
         };
         // The connection is driven on: some of the request may still be on its way out.
-        let end = matches!(piece, Piece::End);
+        let end = matches!(piece, BodyChunk::End);
         match link.drive(figures, false, pieces.reserve()).await {
             Some(Ok(place)) => place.send(piece),
             _ if !end => return Outcome::Cancelled,
@@ -219,9 +227,14 @@
     !own.contains(&name.as_str())
 }
 
-fn message(request: &Request, left: Micros, handover: &Rc<Handover>) -> Option<hyper::Request<Sending>> {
-    let rest = request.rest.as_ref().map(|rest| (Rc::clone(rest), request.length));
-    let mut message = hyper::Request::new(Sending::new(request.body.clone(), rest, Rc::clone(handover)));
+fn message(
+    request: &Request,
+    left: Micros,
+    handover: &Rc<WriteProgress>,
+) -> Option<hyper::Request<RequestStream>> {
+    let rest = request.upload.as_ref().map(|rest| (Rc::clone(rest), request.length));
+    let mut message =
+        hyper::Request::new(RequestStream::new(request.body.clone(), rest, Rc::clone(handover)));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.uri.clone();
     let headers = message.headers_mut();
@@ -256,7 +269,7 @@
     use super::*;
     use crate::clock::Clock;
     use crate::descriptors::Descriptors;
-    use crate::front::Presence;
+    use crate::downstream::ClientPresence;
     use hyper::header::HeaderMap;
     use hyper::http::{Method, Uri};
     use oakport_core::settings_wire::TransportSettings;
@@ -265,7 +278,7 @@
     use std::net::TcpListener;
 
     /// One attempt at a stub that reads a little and answers `text`.
-    fn attempt_at(text: &'static str, may_start: bool) -> Ended {
+    fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         std::thread::spawn(move || {
@@ -281,18 +294,24 @@
             handshake_charge: 0.0,
             shortest_latency_objective: 400_000,
         };
-        let pool =
-            Pool::new(transport, 1, Descriptors::new(9), Clock::start(), Rc::default(), Memory::new(64));
-        let target = Target { server: EndpointId(0), address, generation: 0 };
+        let pool = ConnectionPool::new(
+            transport,
+            1,
+            Descriptors::new(9),
+            Clock::start(),
+            Rc::default(),
+            MemoryLimit::new(64),
+        );
+        let target = Target { endpoint: EndpointId(0), address, generation: 0 };
         let request = Request {
             method: Method::GET,
             uri: Uri::from_static("/a"),
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            rest: None,
+            upload: None,
             length: Some(0),
-            time: 1_000,
-            client: Presence::default(),
+            client_timeout: 1_000,
+            client: ClientPresence::default(),
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start, |_| false))
@@ -307,8 +326,8 @@
             error_rate: Some(0.0),
         };
         for text in [
-            "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX-Process-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX-Process-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
         ] {
             let ended = attempt_at(text, true);
             assert_eq!((ended.outcome, ended.load), (Outcome::Served, wanted), "{text}");
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,11 +1,11 @@
 //! The connections to all hosts that are open and idle, and the making of new ones.
 
-use crate::bodies::Memory;
+use crate::body::MemoryLimit;
 use crate::clock::Clock;
-use crate::demand::{Demand, REST};
 use crate::descriptors::{Descriptor, Descriptors};
-use crate::figures::Figures;
-use crate::link::Link;
+use crate::metrics::Metrics;
+use crate::upstream::connection::UpstreamConnection;
+use crate::upstream::preconnect::{ConnectionDemand, REST};
 use oakport_core::settings_wire::TransportSettings;
 use oakport_core::{EndpointId, Micros, Outcome};
 use std::cell::{Cell, RefCell};
@@ -30,20 +30,20 @@
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub generation: u64,
 }
 
 /// The connections to one host.
-struct Way {
+struct EndpointConnections {
     /// Those that carry nothing, the one that may be used first before the others.
-    idle: VecDeque<Link>,
+    idle: VecDeque<UpstreamConnection>,
     /// Counts them, those in use and those that come up.
     open: Rc<Descriptors>,
     /// Those of generations before this one are not kept.
     generation: u64,
-    demand: Demand,
+    demand: ConnectionDemand,
     /// How long the last new one took to come up.
     took: Micros,
     /// None is opened ahead before that moment, as one has failed.
@@ -52,13 +52,13 @@
     came: Rc<Notify>,
 }
 
-impl Default for Way {
+impl Default for EndpointConnections {
     fn default() -> Self {
-        Way {
+        EndpointConnections {
             idle: VecDeque::new(),
             open: Descriptors::new(usize::MAX),
             generation: 0,
-            demand: Demand::default(),
+            demand: ConnectionDemand::default(),
             took: 0,
             ahead_from: 0,
             came: Rc::default(),
@@ -66,13 +66,13 @@
     }
 }
 
-impl Way {
+impl EndpointConnections {
     /// Takes the idle connection used last among those that have rested twice over, so that what is not
     /// needed goes unused and is let go; else the one that has rested longest. That also goes first where the
     /// rate justifies all and it would soon be let go: to open it anew would cost a handshake.
-    fn take(&mut self, now: Micros, limits: &Limits) -> Option<Link> {
+    fn take(&mut self, now: Micros, limits: &Limits) -> Option<UpstreamConnection> {
         let longest = self.idle.front().filter(|link| link.ready <= now)?;
-        if longest.ready + limits.idle_most / 2 <= now && self.open.open() <= self.need(limits) {
+        if longest.ready + limits.idle_most / 2 <= now && self.open.open_count() <= self.need(limits) {
             return self.idle.pop_front();
         }
         let well = self.idle.partition_point(|link| link.ready + REST <= now);
@@ -94,14 +94,14 @@
 }
 
 /// The connections to all hosts.
-pub struct Pool {
-    ways: RefCell<HashMap<EndpointId, Way>>,
+pub struct ConnectionPool {
+    ways: RefCell<HashMap<EndpointId, EndpointConnections>>,
     /// The calls to all of them together.
-    demand: Cell<Demand>,
+    demand: Cell<ConnectionDemand>,
     descriptors: Rc<Descriptors>,
     clock: Clock,
-    pub figures: Rc<Figures>,
-    pub memory: Rc<Memory>,
+    pub figures: Rc<Metrics>,
+    pub memory: Rc<MemoryLimit>,
     limits: Cell<Limits>,
 }
 
@@ -132,16 +132,16 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(
         transport: TransportSettings,
         balancers: u32,
         descriptors: Rc<Descriptors>,
         clock: Clock,
-        figures: Rc<Figures>,
-        memory: Rc<Memory>,
+        figures: Rc<Metrics>,
+        memory: Rc<MemoryLimit>,
     ) -> Rc<Self> {
-        Rc::new(Pool {
+        Rc::new(ConnectionPool {
             ways: RefCell::default(),
             demand: Cell::default(),
             descriptors,
@@ -153,13 +153,13 @@
     }
 
     /// New settings are in force.
-    pub fn retune(&self, transport: TransportSettings, balancers: u32) {
+    pub fn apply_settings(&self, transport: TransportSettings, balancers: u32) {
         self.limits.set(Limits::new(transport, balancers));
     }
 
     /// Closes the idle connections to a host, and those in use of a generation before this one when they
     /// come back: a host that drains would otherwise keep connections that nothing uses any more.
-    pub fn close(&self, server: EndpointId, generation: u64) {
+    pub fn close_outdated(&self, server: EndpointId, generation: u64) {
         let mut ways = self.ways.borrow_mut();
         let way = ways.entry(server).or_default();
         way.idle.clear();
@@ -167,7 +167,7 @@
     }
 
     /// Closes what has been idle for too long, and what a rate that is over had needed.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let (now, idle_most) = (self.clock.now(), self.limits.get().idle_most);
         let mut ways = self.ways.borrow_mut();
         ways.values_mut().for_each(|way| {
@@ -180,7 +180,7 @@
     }
 
     /// Closes the connection that has been idle longest, to make room. False if none is idle.
-    pub fn evict(&self) -> bool {
+    pub fn evict_oldest(&self) -> bool {
         let mut ways = self.ways.borrow_mut();
         let oldest = ways.values_mut().filter(|way| !way.idle.is_empty());
         let oldest = oldest.min_by_key(|way| way.idle.front().map(|link| link.ready));
@@ -190,9 +190,9 @@
     /// An idle connection that has rested, if it is still open. Where there is none but some that have yet to
     /// rest, the first of those is waited for: a new one costs its host work and its first request time.
     /// Where that has come to too many calls one more is opened meanwhile, if it is there sooner.
-    pub async fn checkout(self: &Rc<Self>, target: &Target) -> Option<Link> {
+    pub async fn checkout(self: &Rc<Self>, target: &Target) -> Option<UpstreamConnection> {
         let now = self.clock.now();
-        self.ways.borrow_mut().entry(target.server).or_default().demand.call(now);
+        self.ways.borrow_mut().entry(target.endpoint).or_default().demand.call(now);
         self.demanded(|all| all.call(now));
         let mut waited = false;
         loop {
@@ -215,16 +215,16 @@
     }
 
     /// What there is for a call now; `first` when it asks for the first time. None: nothing is idle.
-    fn find(self: &Rc<Self>, target: &Target, first: bool) -> Option<Result<Link, Resting>> {
+    fn find(self: &Rc<Self>, target: &Target, first: bool) -> Option<Result<UpstreamConnection, Resting>> {
         let now = self.clock.now();
         let mut ways = self.ways.borrow_mut();
-        let way = ways.get_mut(&target.server)?;
+        let way = ways.get_mut(&target.endpoint)?;
         if let Some(link) = way.take(now, &self.limits.get()) {
             return Some(Ok(link));
         }
         let until = way.idle.front()?.ready;
         if first {
-            self.figures.rest();
+            self.figures.count_cooldown_wait();
             way.demand.waits(now);
             let all = self.demanded(|all| all.waits(now));
             // Trains to several hosts are no single one either.
@@ -238,7 +238,7 @@
     }
 
     /// Notes something of the calls to all hosts, and tells how they stand.
-    fn demanded(&self, note: impl FnOnce(&mut Demand)) -> Demand {
+    fn demanded(&self, note: impl FnOnce(&mut ConnectionDemand)) -> ConnectionDemand {
         let mut all = self.demand.get();
         note(&mut all);
         self.demand.set(all);
@@ -247,35 +247,35 @@
 
     /// Opens a connection for calls to come, where there is room for it. It takes no descriptor from anything
     /// else.
-    fn open_ahead(self: &Rc<Self>, target: &Target, way: &Way) {
-        let fits = way.open.open() < self.limits.get().spares && way.ahead_from <= self.clock.now();
+    fn open_ahead(self: &Rc<Self>, target: &Target, way: &EndpointConnections) {
+        let fits = way.open.open_count() < self.limits.get().spares && way.ahead_from <= self.clock.now();
         let Some(places) = fits.then(|| self.places(way)).flatten() else { return };
         let (pool, target) = (Rc::clone(self), *target);
         tokio::task::spawn_local(async move {
             if let Ok(link) = pool.open(&target, places).await {
-                pool.put_back(target.server, link).await;
+                pool.return_unused(target.endpoint, link).await;
             }
         });
     }
 
     /// A place among all sockets, and one among those to this host.
-    fn places(&self, way: &Way) -> Option<[Descriptor; 2]> {
-        Some([self.descriptors.take()?, way.open.take()?])
+    fn places(&self, way: &EndpointConnections) -> Option<[Descriptor; 2]> {
+        Some([self.descriptors.try_acquire()?, way.open.try_acquire()?])
     }
 
     /// A new connection for a call that waits for it.
-    pub async fn connect(&self, target: &Target) -> Result<Link, Outcome> {
-        let places = || self.places(self.ways.borrow_mut().entry(target.server).or_default());
+    pub async fn connect(&self, target: &Target) -> Result<UpstreamConnection, Outcome> {
+        let places = || self.places(self.ways.borrow_mut().entry(target.endpoint).or_default());
         // Our own want of sockets says nothing of the host: not sent, rather than no connection.
-        let places = places().or_else(|| self.evict().then(places).flatten());
+        let places = places().or_else(|| self.evict_oldest().then(places).flatten());
         self.open(target, places.ok_or(Outcome::NotSent)?).await
     }
 
-    async fn open(&self, target: &Target, places: [Descriptor; 2]) -> Result<Link, Outcome> {
+    async fn open(&self, target: &Target, places: [Descriptor; 2]) -> Result<UpstreamConnection, Outcome> {
         let (asked, limits) = (self.clock.now(), self.limits.get());
         let connect = tokio::time::timeout(limits.connect_timeout, TcpStream::connect(target.address)).await;
         let now = self.clock.now();
-        if let Some(way) = self.ways.borrow_mut().get_mut(&target.server) {
+        if let Some(way) = self.ways.borrow_mut().get_mut(&target.endpoint) {
             match &connect {
                 Ok(Ok(_)) => way.took = now - asked,
                 _ => way.ahead_from = now + limits.idle_most,
@@ -284,34 +284,34 @@
         let stream = match connect {
             Ok(Ok(stream)) => stream,
             Ok(Err(fault)) if matches!(fault.raw_os_error(), Some(ENFILE | EMFILE)) => {
-                self.evict();
+                self.evict_oldest();
                 return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
         };
-        self.figures.connection();
-        Link::open(stream, target.generation, places, now).await.ok_or(Outcome::ConnectFailed)
+        self.figures.count_connection();
+        UpstreamConnection::open(stream, target.generation, places, now).await.ok_or(Outcome::ConnectFailed)
     }
 
     /// Takes a connection back after an answer. While it rests another call may come: where the rate says so,
     /// one more is opened before that.
-    pub async fn keep(self: &Rc<Self>, target: &Target, mut link: Link) {
+    pub async fn return_after_response(self: &Rc<Self>, target: &Target, mut link: UpstreamConnection) {
         link.ready = self.clock.now() + REST;
-        self.put_back(target.server, link).await;
+        self.return_unused(target.endpoint, link).await;
         let limits = self.limits.get();
         let ways = self.ways.borrow();
-        let Some(way) = ways.get(&target.server).filter(|way| way.generation <= target.generation) else {
+        let Some(way) = ways.get(&target.endpoint).filter(|way| way.generation <= target.generation) else {
             return;
         };
         // Where there is no room the rate need not be looked at; one that its host closed is no call's need.
-        let open = way.open.open();
+        let open = way.open.open_count();
         if (1..limits.spares).contains(&open) && open < way.need(&limits) {
             self.open_ahead(target, way);
         }
     }
 
     /// Takes back one that has carried nothing since it was taken out, or at all: it need not rest.
-    pub async fn put_back(&self, server: EndpointId, mut link: Link) {
+    pub async fn return_unused(&self, server: EndpointId, mut link: UpstreamConnection) {
         let now = self.clock.now();
         if !link.alive().await {
             return;
--- a/crates/proxy/src/demand.rs
+++ b/crates/proxy/src/upstream/preconnect.rs
@@ -21,7 +21,7 @@
 
 /// The calls of late to one host, fading.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Demand {
+pub struct ConnectionDemand {
     /// When the first of them came after a silence.
     since: Micros,
     at: Micros,
@@ -29,7 +29,7 @@
     waits: f64,
 }
 
-impl Demand {
+impl ConnectionDemand {
     /// No call has come for so long that those before tell of no rate.
     pub fn silent(&self, now: Micros) -> bool {
         (now.saturating_sub(self.at) as f64) > MEMORY
@@ -38,7 +38,7 @@
     /// A call comes.
     pub fn call(&mut self, now: Micros) {
         if self.silent(now) {
-            *self = Demand { since: now, at: now, ..Demand::default() };
+            *self = ConnectionDemand { since: now, at: now, ..ConnectionDemand::default() };
         }
         self.fade(now);
         self.calls += 1.0;
