--- a/crates/proxy/src/call_table.rs
+++ b/crates/proxy/src/call_table.rs
@@ -277,7 +277,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::downstream::ClientPresence;
+    use crate::downstream::connection::ClientPresence;
     use bytes::Bytes;
     use hyper::http::{HeaderMap, Method, Uri};
 
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -435,7 +435,7 @@
     use super::*;
     use crate::body::MemoryLimit;
     use crate::descriptors::Descriptors;
-    use crate::downstream::ClientPresence;
+    use crate::downstream::connection::ClientPresence;
     use bytes::Bytes;
     use hyper::http::{HeaderMap, Method, Uri};
 
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ClientConnection, ObservedStream, OpenRequest};
 use super::connection::{ClientPresence, IdleConnections};
-use super::response::{improper, not_whole, plain, refused, served, Ending};
+use super::response::{improper, not_whole, plain, refused, served, Ending, COME_BACK};
 use crate::body::{
     BodyError, MemoryLimit, MemoryReservation, RequestBodyReader, ResponseStream, Upload,
     MAX_BUFFERED_BODY_BYTES,
@@ -40,8 +40,6 @@
 const HEAD_MOST: usize = 32 * 1024;
 /// Memory for a body is waited for this part of the client's time: it does not know of that wait.
 const MEMORY_PART: Micros = 8;
-/// Advice to a client that finds no place here: by then some connection has rested for long enough.
-pub(super) const COME_BACK: Micros = 250_000;
 /// At a stop without a successor, connections are accepted for at least this long.
 const STOP_ACCEPT: Duration = Duration::from_millis(450);
 /// What a client sends as its connection is shut is read and thrown away for this long: a close over unread bytes is a
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,8 +1,8 @@
 //! The side of the clients: their connections, requests and final responses.
 
-mod connection;
+pub mod connection;
 mod listener;
 mod response;
 
-pub use connection::{ClientPresence, IdleConnections};
+pub use connection::IdleConnections;
 pub use listener::Downstream;
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,7 +1,6 @@
 //! What a client is answered, in the protocol's words.
 
 use super::connection::OpenRequest;
-use super::listener::COME_BACK;
 use crate::body::{BodyError, ResponseStream};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -12,6 +11,9 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
+/// Advice to a client that finds no place here: by then some connection has rested for long enough.
+pub const COME_BACK: Micros = 250_000;
+
 /// An answer's body with its open request.
 pub struct Ending {
     body: ResponseStream,
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! The datagram socket and the timers of `oakport-membership`. Without `peers` in the configuration nothing here
 //! runs.
 
-mod report;
+pub mod report;
 
 pub use report::{MemberReport, MembershipReport, ScopeReport};
 
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The figures that operators read. Each fact is counted once, where it becomes final.
 
-use crate::membership::MembershipReport;
+use crate::membership::report::MembershipReport;
 use oakport_core::ClassId;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,7 +1,7 @@
 //! A client's request, as it passes between the parts of the proxy.
 
 use crate::body::Upload;
-use crate::downstream::ClientPresence;
+use crate::downstream::connection::ClientPresence;
 use bytes::Bytes;
 use hyper::http::{HeaderMap, Method, Uri};
 use oakport_core::{ClassId, Micros};
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -269,7 +269,7 @@
     use super::*;
     use crate::clock::Clock;
     use crate::descriptors::Descriptors;
-    use crate::downstream::ClientPresence;
+    use crate::downstream::connection::ClientPresence;
     use hyper::header::HeaderMap;
     use hyper::http::{Method, Uri};
     use oakport_core::settings_wire::TransportSettings;
