--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -326,8 +326,8 @@
             error_rate: Some(0.0),
         };
         for text in [
-            "HTTP/1.1 200 OK\r\nX-Process-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nX-Process-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
         ] {
             let ended = attempt_at(text, true);
             assert_eq!((ended.outcome, ended.load), (Outcome::Served, wanted), "{text}");
