--- /dev/null
+++ b/crates/cli/tests/module_imports.rs
@@ -0,0 +1,135 @@
+//! No two modules of a crate import each other, whether directly or by way of others.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+use syn::visit::{self, Visit};
+
+type ModulePath = Vec<String>;
+type Imports = BTreeMap<ModulePath, BTreeSet<ModulePath>>;
+
+/// All source files below a folder; test files are left out.
+fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("a source folder") {
+        let path = entry.expect("a folder entry").path();
+        if path.is_dir() {
+            sources(&path, found);
+        } else if path.extension().is_some_and(|end| end == "rs") && !path.ends_with("tests.rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// The module that a source file holds; empty for the root of the crate.
+fn module_path(root: &Path, file: &Path) -> ModulePath {
+    let relative = file.strip_prefix(root).expect("a file below the root").with_extension("");
+    let mut path: ModulePath = relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
+    if path.last().is_some_and(|last| ["mod", "lib", "main"].contains(&last.as_str())) {
+        path.pop();
+    }
+    path
+}
+
+/// Collects the paths that a file names, outside its tests.
+#[derive(Default)]
+struct NamedPaths(Vec<ModulePath>);
+
+impl NamedPaths {
+    fn add_use_tree(&mut self, prefix: &ModulePath, tree: &syn::UseTree) {
+        match tree {
+            syn::UseTree::Path(path) => {
+                let mut longer = prefix.clone();
+                longer.push(path.ident.to_string());
+                self.add_use_tree(&longer, &path.tree);
+            }
+            syn::UseTree::Name(name) => self.0.push([&prefix[..], &[name.ident.to_string()]].concat()),
+            syn::UseTree::Rename(name) => self.0.push([&prefix[..], &[name.ident.to_string()]].concat()),
+            syn::UseTree::Glob(_) => self.0.push(prefix.clone()),
+            syn::UseTree::Group(group) => {
+                group.items.iter().for_each(|tree| self.add_use_tree(prefix, tree));
+            }
+        }
+    }
+}
+
+impl<'ast> Visit<'ast> for NamedPaths {
+    fn visit_item_use(&mut self, item: &'ast syn::ItemUse) {
+        self.add_use_tree(&ModulePath::new(), &item.tree);
+    }
+
+    fn visit_item_mod(&mut self, item: &'ast syn::ItemMod) {
+        let is_test = item.attrs.iter().any(|attribute| attribute.path().is_ident("cfg"));
+        if !is_test {
+            visit::visit_item_mod(self, item);
+        }
+    }
+
+    fn visit_path(&mut self, path: &'ast syn::Path) {
+        self.0.push(path.segments.iter().map(|segment| segment.ident.to_string()).collect());
+        visit::visit_path(self, path);
+    }
+}
+
+/// The module that a path named in `module` belongs to, if it is one of this crate other than the root.
+fn resolve(modules: &BTreeSet<ModulePath>, module: &ModulePath, named: &[String]) -> Option<ModulePath> {
+    let supers = named.iter().take_while(|part| *part == "super").count();
+    let mut target = match named.first()?.as_str() {
+        "crate" => named[1..].to_vec(),
+        "self" => [&module[..], &named[1..]].concat(),
+        "super" => [&module[..module.len().checked_sub(supers)?], &named[supers..]].concat(),
+        first if modules.contains(&[&module[..], &[first.to_owned()]].concat()) => {
+            [&module[..], named].concat()
+        }
+        _ => return None,
+    };
+    while !modules.contains(&target) {
+        target.pop();
+    }
+    (!target.is_empty() && target != *module).then_some(target)
+}
+
+fn imports(root: &Path) -> Imports {
+    let mut files = Vec::new();
+    sources(root, &mut files);
+    let paths = files.iter().map(|file| module_path(root, file));
+    let modules: BTreeSet<ModulePath> = paths.chain([ModulePath::new()]).collect();
+    let mut imports = Imports::new();
+    for file in &files {
+        let module = module_path(root, file);
+        let text = std::fs::read_to_string(file).expect("a source file");
+        let mut named = NamedPaths::default();
+        named.visit_file(&syn::parse_file(&text).expect("Rust"));
+        let targets = named.0.iter().filter_map(|path| resolve(&modules, &module, path));
+        imports.entry(module.clone()).or_default().extend(targets);
+    }
+    imports
+}
+
+/// All modules that a module imports, directly or by way of others.
+fn reachable(imports: &Imports, module: &ModulePath) -> BTreeSet<ModulePath> {
+    let mut found = BTreeSet::new();
+    let mut open = vec![module.clone()];
+    while let Some(next) = open.pop() {
+        for target in imports.get(&next).into_iter().flatten() {
+            if found.insert(target.clone()) {
+                open.push(target.clone());
+            }
+        }
+    }
+    found
+}
+
+#[test]
+fn no_two_modules_of_a_crate_import_each_other() {
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
+    for folder in std::fs::read_dir(crates).expect("the crates") {
+        let root = folder.expect("a crate").path().join("src");
+        let imports = imports(&root);
+        assert!(!imports.is_empty(), "{} has sources", root.display());
+        let circular: Vec<String> = imports
+            .keys()
+            .filter(|module| reachable(&imports, module).contains(*module))
+            .map(|module| module.join("::"))
+            .collect();
+        assert!(circular.is_empty(), "{}: circular imports of {circular:?}", root.display());
+    }
+}
