--- a/crates/proxy/src/body/memory_limit.rs
+++ b/crates/proxy/src/body/memory_limit.rs
@@ -1,75 +1,87 @@
-//! The memory that bodies may hold, and each body's part of it.
+//! The memory that bodies may take, and each body's reservation of it.
 
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Most bytes of a body that is held whole, either way.
+/// Most bytes of a body that is buffered completely, either way.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// Most bytes that a connection's own buffer takes.
 pub const MAX_CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
 /// A body up to this costs no more than its connection does anyway.
-const FREE: usize = 16 * 1024;
-/// What a body that passes piece by piece holds at a time: a buffer on either side and the piece between.
-const PASSING: usize = MAX_BUFFERED_BODY_BYTES + 3 * MAX_CONNECTION_BUFFER_BYTES;
-/// Share of the memory that bodies may take: two processes may be there, and each needs some for itself.
-const SHARE: usize = 3;
-const KIB: usize = 1024;
+const MAX_UNRESERVED_BODY_BYTES: usize = 16 * 1024;
+/// What a streamed body takes at a time: a buffer on either side and the chunk between.
+const STREAMED_BODY_BYTES: usize = MAX_BUFFERED_BODY_BYTES + 3 * MAX_CONNECTION_BUFFER_BYTES;
+/// Bodies may take this part of the memory: two processes may be there, and each needs some for itself.
+const BODY_MEMORY_DIVISOR: usize = 3;
+/// The limit always has room for so many streamed bodies.
+const MIN_STREAMED_BODIES: usize = 4;
+const BYTES_PER_KIB: usize = 1024;
+const KIB_PER_MB: usize = 1024;
 
-/// The memory that bodies may hold.
+/// The memory that bodies may take, in units of 1 KiB.
 #[derive(Debug)]
 pub struct MemoryLimit(Arc<Semaphore>);
 
-/// A body's part of it, given back when dropped.
+/// A body's part of the memory, returned when dropped.
 #[derive(Debug, Default)]
 pub struct MemoryReservation {
-    held: Vec<OwnedSemaphorePermit>,
+    permits: Vec<OwnedSemaphorePermit>,
     kib: usize,
 }
 
+impl MemoryReservation {
+    fn grow(&mut self, kib: u32, permit: OwnedSemaphorePermit) {
+        self.kib += kib as usize;
+        self.permits.push(permit);
+    }
+}
+
 impl MemoryLimit {
-    /// The bodies' share of so many MB.
+    /// The bodies' part of `memory_mb` in all.
     pub fn new(memory_mb: usize) -> Rc<Self> {
-        let kib = (memory_mb * KIB / SHARE).clamp(4 * PASSING / KIB, Semaphore::MAX_PERMITS);
-        Rc::new(MemoryLimit(Arc::new(Semaphore::new(kib))))
+        let min_kib = MIN_STREAMED_BODIES * STREAMED_BODY_BYTES / BYTES_PER_KIB;
+        let kib = memory_mb * KIB_PER_MB / BODY_MEMORY_DIVISOR;
+        Rc::new(MemoryLimit(Arc::new(Semaphore::new(kib.clamp(min_kib, Semaphore::MAX_PERMITS)))))
     }
 
     /// Does a body of this size cost no more than its connection does anyway?
-    pub fn needs_no_reservation(size: usize) -> bool {
-        size <= FREE
+    pub fn needs_no_reservation(size_bytes: usize) -> bool {
+        size_bytes <= MAX_UNRESERVED_BODY_BYTES
     }
 
-    /// How much a part must grow for a body of this size.
-    fn missing(part: &MemoryReservation, size: usize) -> u32 {
-        let size = if size > MAX_BUFFERED_BODY_BYTES { PASSING } else { size };
-        let kib = if MemoryLimit::needs_no_reservation(size) { 0 } else { size.div_ceil(KIB) };
-        kib.saturating_sub(part.kib) as u32
+    /// By how many KiB a reservation must grow for a body of this size.
+    fn missing_kib(reservation: &MemoryReservation, size_bytes: usize) -> u32 {
+        let size_bytes = if size_bytes > MAX_BUFFERED_BODY_BYTES { STREAMED_BODY_BYTES } else { size_bytes };
+        if MemoryLimit::needs_no_reservation(size_bytes) {
+            return 0;
+        }
+        size_bytes.div_ceil(BYTES_PER_KIB).saturating_sub(reservation.kib) as u32
     }
 
-    fn grown(part: &mut MemoryReservation, kib: u32, permit: OwnedSemaphorePermit) {
-        part.kib += kib as usize;
-        part.held.push(permit);
+    fn try_grow(&self, reservation: &mut MemoryReservation, kib: u32) -> bool {
+        let Ok(permit) = Arc::clone(&self.0).try_acquire_many_owned(kib) else { return false };
+        reservation.grow(kib, permit);
+        true
     }
 
-    /// Makes a part large enough for a body of this size, if there is room.
-    pub fn try_reserve(&self, part: &mut MemoryReservation, size: usize) -> bool {
-        let kib = MemoryLimit::missing(part, size);
-        let permit = Arc::clone(&self.0).try_acquire_many_owned(kib);
-        permit.map(|permit| MemoryLimit::grown(part, kib, permit)).is_ok()
+    /// Makes a reservation large enough for a body of this size. False if the memory does not suffice.
+    pub fn try_reserve(&self, reservation: &mut MemoryReservation, size_bytes: usize) -> bool {
+        self.try_grow(reservation, MemoryLimit::missing_kib(reservation, size_bytes))
     }
 
-    /// Makes a part as large as so many bytes that wait to be read, if there is room.
-    pub fn try_reserve_unread(&self, part: &mut MemoryReservation, bytes: usize) -> bool {
-        let kib = bytes.saturating_sub(FREE).div_ceil(KIB).saturating_sub(part.kib) as u32;
-        let permit = Arc::clone(&self.0).try_acquire_many_owned(kib);
-        permit.map(|permit| MemoryLimit::grown(part, kib, permit)).is_ok()
+    /// Makes a reservation large enough for so many bytes that wait to be read. False if the memory does not suffice.
+    pub fn try_reserve_unread(&self, reservation: &mut MemoryReservation, size_bytes: usize) -> bool {
+        let reserved_bytes = size_bytes.saturating_sub(MAX_UNRESERVED_BODY_BYTES);
+        let kib = reserved_bytes.div_ceil(BYTES_PER_KIB).saturating_sub(reservation.kib) as u32;
+        self.try_grow(reservation, kib)
     }
 
-    /// Makes a part large enough for a body of this size, waiting for room.
-    pub async fn reserve(&self, part: &mut MemoryReservation, size: usize) {
-        let kib = MemoryLimit::missing(part, size);
+    /// Makes a reservation large enough for a body of this size, waiting until the memory suffices.
+    pub async fn reserve(&self, reservation: &mut MemoryReservation, size_bytes: usize) {
+        let kib = MemoryLimit::missing_kib(reservation, size_bytes);
         if let Ok(permit) = Arc::clone(&self.0).acquire_many_owned(kib).await {
-            MemoryLimit::grown(part, kib, permit);
+            reservation.grow(kib, permit);
         }
     }
 }
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way: up to 64 KiB they are held whole, beyond that they pass piece by piece, each side waiting
-//! for the other, within a budget of memory.
+//! Bodies of requests and responses: buffered up to 64 KiB, beyond that streamed chunk by chunk, each side waiting
+//! for the other, within a memory limit.
 
 mod memory_limit;
 mod request_stream;
--- a/crates/proxy/src/body/request_stream.rs
+++ b/crates/proxy/src/body/request_stream.rs
@@ -1,4 +1,4 @@
-//! A request's body on its way to a host, and how far it has got.
+//! A request's body on its way to an endpoint, and how far it has been written.
 
 use super::upload::{BodyError, Upload};
 use bytes::Bytes;
@@ -10,56 +10,77 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether all of a request has been handed to the socket.
+/// Whether all of a request has been written to the socket.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     /// The last write took all that there was.
     pub emptied: Cell<bool>,
-    /// Nothing more comes.
-    ended: Cell<bool>,
+    /// The body has ended: nothing more is to be written.
+    body_ended: Cell<bool>,
     /// Since when the socket has taken nothing.
-    stuck: Cell<Option<Instant>>,
+    stalled_since: Cell<Option<Instant>>,
 }
 
 impl WriteProgress {
-    /// Was the last byte handed over?
+    /// Has the last byte been written?
     pub fn is_complete(&self) -> bool {
-        self.ended.get() && self.emptied.get()
+        self.body_ended.get() && self.emptied.get()
     }
 
-    /// The socket has taken something, or for now takes nothing.
-    pub fn record_write(&self, some: bool) {
-        self.stuck.set(if some { None } else { self.stuck.get().or_else(|| Some(Instant::now())) });
+    /// The socket has taken something, or takes nothing for now.
+    pub fn record_write(&self, progressed: bool) {
+        if progressed {
+            self.stalled_since.set(None);
+        } else if self.stalled_since.get().is_none() {
+            self.stalled_since.set(Some(Instant::now()));
+        }
     }
 
-    /// How long it has taken nothing.
+    /// How long the socket has taken nothing.
     pub fn stalled_for(&self) -> Duration {
-        self.stuck.get().map(|since| since.elapsed()).unwrap_or_default()
+        self.stalled_since.get().map(|since| since.elapsed()).unwrap_or_default()
     }
 
-    fn more(&self, ended: bool) {
+    /// More is to be written, the last of the body if it has ended.
+    fn record_chunk(&self, body_ended: bool) {
         self.emptied.set(false);
-        self.ended.set(ended);
+        self.body_ended.set(body_ended);
     }
 }
 
-/// A request's body as it goes to a host.
+/// A request's body as it goes to an endpoint.
 pub struct RequestStream {
-    first: Bytes,
-    rest: Option<Rc<Upload>>,
-    /// What is still to come, where its length is known.
-    left: Option<u64>,
-    handover: Rc<WriteProgress>,
+    first_chunk: Bytes,
+    upload: Option<Rc<Upload>>,
+    /// What is still to be sent, where the length is known.
+    remaining_bytes: Option<u64>,
+    progress: Rc<WriteProgress>,
 }
 
 impl RequestStream {
-    pub fn new(first: Bytes, rest: Option<(Rc<Upload>, Option<u64>)>, handover: Rc<WriteProgress>) -> Self {
-        let (rest, left) = match rest {
-            Some((rest, length)) => (Some(rest), length),
-            None => (None, Some(first.len() as u64)),
+    /// A body that begins with `first_chunk`, or is all of it. `streamed` is what follows, with the length of the
+    /// complete body in bytes where that is known.
+    pub fn new(
+        first_chunk: Bytes,
+        streamed: Option<(Rc<Upload>, Option<u64>)>,
+        progress: Rc<WriteProgress>,
+    ) -> Self {
+        let (upload, remaining_bytes) = match streamed {
+            Some((upload, length)) => (Some(upload), length),
+            None => (None, Some(first_chunk.len() as u64)),
         };
-        handover.more(first.is_empty() && rest.is_none());
-        RequestStream { first, rest, left, handover }
+        progress.record_chunk(first_chunk.is_empty() && upload.is_none());
+        RequestStream { first_chunk, upload, remaining_bytes, progress }
+    }
+
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        if !self.first_chunk.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first_chunk))));
+        }
+        match &self.upload {
+            Some(upload) => upload.poll_chunk(cx),
+            None => Poll::Ready(None),
+        }
     }
 }
 
@@ -71,25 +92,19 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let piece = if !self.first.is_empty() {
-            Some(Ok(std::mem::take(&mut self.first)))
-        } else if let Some(rest) = &self.rest {
-            std::task::ready!(rest.poll_piece(cx))
-        } else {
-            None
-        };
-        if let (Some(Ok(piece)), Some(left)) = (&piece, &mut self.left) {
-            *left = left.saturating_sub(piece.len() as u64);
+        let chunk = std::task::ready!(self.poll_chunk(cx));
+        if let (Some(Ok(chunk)), Some(remaining_bytes)) = (&chunk, &mut self.remaining_bytes) {
+            *remaining_bytes = remaining_bytes.saturating_sub(chunk.len() as u64);
         }
-        self.handover.more(piece.is_none() || self.left == Some(0));
-        Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+        self.progress.record_chunk(chunk.is_none() || self.remaining_bytes == Some(0));
+        Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.remaining_bytes == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map(SizeHint::with_exact).unwrap_or_default()
+        self.remaining_bytes.map(SizeHint::with_exact).unwrap_or_default()
     }
 }
--- a/crates/proxy/src/body/response_stream.rs
+++ b/crates/proxy/src/body/response_stream.rs
@@ -1,4 +1,4 @@
-//! An answer's body on its way to the client.
+//! A response's body on its way to the client.
 
 use super::upload::BodyError;
 use bytes::Bytes;
@@ -7,31 +7,42 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// One piece of an answer that is passed on, or its end; a channel that closes without the end was cut.
+/// One chunk of a streamed response, or its end. A channel that closes without the end carried an incomplete one.
 #[derive(Debug)]
 pub enum BodyChunk {
     Data(Bytes),
     End,
 }
 
-/// An answer as it goes to the client: whole, or its first bytes and a channel for the rest.
+/// A response's body as it goes to the client: complete, or its first chunk and a channel for the remaining ones.
 #[derive(Debug)]
 pub struct ResponseStream {
-    first: Bytes,
-    rest: Option<mpsc::Receiver<BodyChunk>>,
-    left: Option<u64>,
+    first_chunk: Bytes,
+    chunks: Option<mpsc::Receiver<BodyChunk>>,
+    /// What is still to be sent, where the length is known.
+    remaining_bytes: Option<u64>,
 }
 
 impl ResponseStream {
-    pub fn stream(first: Bytes, rest: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
-        ResponseStream { first, rest: Some(rest), left: length }
+    /// A body that is still arriving, with its length in bytes where that is known.
+    pub fn stream(first_chunk: Bytes, chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
+        ResponseStream { first_chunk, chunks: Some(chunks), remaining_bytes: length }
+    }
+
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<BodyChunk, BodyError>> {
+        if !self.first_chunk.is_empty() {
+            return Poll::Ready(Ok(BodyChunk::Data(std::mem::take(&mut self.first_chunk))));
+        }
+        let Some(chunks) = &mut self.chunks else { return Poll::Ready(Ok(BodyChunk::End)) };
+        // The client must see that the body is incomplete: the connection ends without the end of the body.
+        chunks.poll_recv(cx).map(|chunk| chunk.ok_or(BodyError::Aborted))
     }
 }
 
 impl From<Bytes> for ResponseStream {
-    fn from(whole: Bytes) -> Self {
-        let left = Some(whole.len() as u64);
-        ResponseStream { first: whole, rest: None, left }
+    fn from(complete: Bytes) -> Self {
+        let remaining_bytes = Some(complete.len() as u64);
+        ResponseStream { first_chunk: complete, chunks: None, remaining_bytes }
     }
 }
 
@@ -43,36 +54,26 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let piece = if !self.first.is_empty() {
-            BodyChunk::Data(std::mem::take(&mut self.first))
-        } else if let Some(rest) = &mut self.rest {
-            match std::task::ready!(rest.poll_recv(cx)) {
-                Some(piece) => piece,
-                // The client must see that this is not all: the connection ends without the end of the body.
-                None => return Poll::Ready(Some(Err(BodyError::Aborted))),
-            }
-        } else {
-            BodyChunk::End
-        };
-        Poll::Ready(match piece {
-            BodyChunk::Data(piece) => {
-                if let Some(left) = &mut self.left {
-                    *left = left.saturating_sub(piece.len() as u64);
+        match std::task::ready!(self.poll_chunk(cx)) {
+            Ok(BodyChunk::Data(chunk)) => {
+                if let Some(remaining_bytes) = &mut self.remaining_bytes {
+                    *remaining_bytes = remaining_bytes.saturating_sub(chunk.len() as u64);
                 }
-                Some(Ok(Frame::data(piece)))
+                Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
-            BodyChunk::End => {
-                self.rest = None;
-                None
+            Ok(BodyChunk::End) => {
+                self.chunks = None;
+                Poll::Ready(None)
             }
-        })
+            Err(fault) => Poll::Ready(Some(Err(fault))),
+        }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.remaining_bytes == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map(SizeHint::with_exact).unwrap_or_default()
+        self.remaining_bytes.map(SizeHint::with_exact).unwrap_or_default()
     }
 }
--- /dev/null
+++ b/crates/proxy/src/downstream/close.rs
@@ -0,0 +1,30 @@
+//! Closes a client connection so that all that was written to it arrives.
+
+use crate::socket::Socket;
+use std::time::Duration;
+
+/// What a client sends as its connection closes is read and discarded for this long: a close over unread bytes is a
+/// reset, which takes what is still on its way to the client with it. Far longer than the way between the two takes, and
+/// short enough for a client to be disconnected within its 3 s (TERMS).
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
+/// The same where the connection's capacity is needed for another.
+pub const EVICTION_LINGER_TIMEOUT: Duration = Duration::from_millis(50);
+/// A client that sends more than this while its connection closes is cut off.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+
+/// Ends the writing side, then reads until the client has ended its own or the linger timeout is over.
+pub async fn close_gracefully(socket: &Socket, linger_timeout: Duration) {
+    if socket.shutdown_write().is_ok() {
+        let _ = tokio::time::timeout(linger_timeout, discard_until_end(socket)).await;
+    }
+}
+
+async fn discard_until_end(socket: &Socket) {
+    let mut remaining_bytes = MAX_LINGER_BYTES;
+    while remaining_bytes > 0 {
+        match socket.read_with(<[u8]>::len).await {
+            0 => return,
+            count => remaining_bytes = remaining_bytes.saturating_sub(count),
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/http_connection.rs
@@ -0,0 +1,133 @@
+//! Serves HTTP/1.1 on one client connection until it must close.
+
+use super::close::{close_gracefully, EVICTION_LINGER_TIMEOUT, LINGER_TIMEOUT};
+use super::connection::{ClientConnection, ClientPresence};
+use super::open_request::OpenRequest;
+use super::request::RequestHandler;
+use super::response::TrackedBody;
+use super::stream::ObservedStream;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::future::Future;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// Most bytes of a request's head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+
+/// When graceful shutdown began; None: it has not.
+pub type ShutdownSignal = watch::Receiver<Option<Instant>>;
+
+/// How a connection ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionEnd {
+    /// Nothing more is to be done on it; the client may still be connected.
+    Finished,
+    /// The same, and its capacity is needed for another.
+    Evicted,
+    /// The client has disconnected before it had its response.
+    Abandoned,
+}
+
+/// A client connection and what its requests are answered by.
+pub struct HttpConnection {
+    pub connection: Rc<ClientConnection>,
+    pub handler: Rc<RequestHandler>,
+    pub shutdown: ShutdownSignal,
+    /// The proxy is at capacity: the connection carries one request, which is rejected.
+    pub at_capacity: bool,
+}
+
+impl HttpConnection {
+    /// Serves the connection, then closes it.
+    pub async fn serve(self) {
+        let end = {
+            let this = &self;
+            let service =
+                service_fn(move |request| async move { Ok::<_, Infallible>(this.respond(request).await) });
+            let serving = http1::Builder::new()
+                .max_buf_size(MAX_HEAD_BYTES)
+                .keep_alive(!self.at_capacity)
+                .serve_connection(TokioIo::new(ObservedStream::new(&self.connection)), service);
+            self.run_until_end(serving).await
+        };
+        // All that was written arrives, and nothing that still arrives is taken for a request.
+        match end {
+            ConnectionEnd::Finished => close_gracefully(&self.connection.socket, LINGER_TIMEOUT).await,
+            ConnectionEnd::Evicted => {
+                close_gracefully(&self.connection.socket, EVICTION_LINGER_TIMEOUT).await;
+            }
+            ConnectionEnd::Abandoned => {}
+        }
+    }
+
+    async fn respond(&self, request: Request<Incoming>) -> Response<TrackedBody> {
+        let open = OpenRequest::begin(&self.connection);
+        let mut response = if self.at_capacity {
+            self.handler.reject(&request)
+        } else {
+            let client = ClientPresence::of(&self.connection);
+            self.handler.handle(request, &open, client).await
+        };
+        if self.shutdown.borrow().is_some() || self.connection.read_ahead_overflowed() {
+            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        response.map(|body| TrackedBody::new(body, open))
+    }
+
+    async fn run_until_end(&self, serving: impl Future) -> ConnectionEnd {
+        let connection = &self.connection;
+        let mut shutdown = self.shutdown.clone();
+        let mut serving = pin!(serving);
+        let mut peer_closed = pin!(connection.socket.peer_closed());
+        let mut close_seen = false;
+        loop {
+            let shutdown_began = *shutdown.borrow_and_update();
+            let deadline = connection.deadline(self.at_capacity, shutdown_began);
+            tokio::select! {
+                // What has arrived is read before the time is looked at.
+                biased;
+                // How a client's connection ends concerns nobody: its calls are dropped with it.
+                _ = serving.as_mut() => return ConnectionEnd::Finished,
+                () = peer_closed.as_mut(), if !close_seen => {
+                    close_seen = true;
+                    connection.record_client_close();
+                }
+                // Else a close stays behind bytes for which the system has no room until some are read.
+                () = connection.read_ahead(), if connection.awaits_response() => {}
+                () = sleep_until(deadline) => {
+                    let deadline = connection.deadline(self.at_capacity, shutdown_began);
+                    if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
+                        return ConnectionEnd::Finished;
+                    }
+                }
+                () = connection.state_changed() => {}
+                Ok(()) = shutdown.changed() => {}
+                () = connection.evicted() => {
+                    if connection.is_idle() {
+                        return ConnectionEnd::Evicted;
+                    }
+                }
+            }
+            // Bytes that nobody reads, such as half a next request, hide the close from the HTTP parser.
+            if connection.is_abandoned() {
+                return ConnectionEnd::Abandoned;
+            }
+        }
+    }
+}
+
+/// Sleeps until a deadline, or for ever without one.
+pub async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
+        None => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/idle.rs
@@ -0,0 +1,57 @@
+//! Clients' connections without an open request, and their eviction when capacity runs out.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// A connection that has been idle for less is not evicted: a new one's request may be on its way. Client and proxy
+/// share a machine, so a request takes a small part of this; a short time also lets a crowd of idle connections turn
+/// over fast.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
+
+/// Identifies one idle period of a connection; ascending in the order in which they began.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleKey(u64);
+
+struct IdleConnection {
+    since: Instant,
+    evicted: Rc<Notify>,
+}
+
+/// The idle connections, the one that has been idle longest first. Evicting them at capacity keeps clients that hold
+/// connections without using them from locking others out.
+#[derive(Default)]
+pub struct IdleConnections {
+    by_age: RefCell<BTreeMap<IdleKey, IdleConnection>>,
+    next_key: Cell<u64>,
+}
+
+impl IdleConnections {
+    /// Adds a connection that is idle from now on; `evicted` is notified when it must close.
+    pub fn insert(&self, evicted: &Rc<Notify>) -> IdleKey {
+        let key = IdleKey(self.next_key.get());
+        self.next_key.set(key.0 + 1);
+        let connection = IdleConnection { since: Instant::now(), evicted: Rc::clone(evicted) };
+        self.by_age.borrow_mut().insert(key, connection);
+        key
+    }
+
+    /// Removes a connection that is no longer idle. Does nothing if it was evicted or removed before.
+    pub fn remove(&self, key: IdleKey) {
+        self.by_age.borrow_mut().remove(&key);
+    }
+
+    /// Evicts the connection that has been idle longest. False if none has been idle for long enough.
+    pub fn evict_longest_idle(&self) -> bool {
+        let mut by_age = self.by_age.borrow_mut();
+        let Some(longest_idle) = by_age.first_entry() else { return false };
+        if longest_idle.get().since.elapsed() < MIN_IDLE_BEFORE_EVICTION {
+            return false;
+        }
+        longest_idle.remove().evicted.notify_one();
+        true
+    }
+}
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,8 +1,17 @@
-//! The side of the clients: their connections, requests and final responses.
+//! The client side: accepts connections, reads requests and writes the final responses.
 
+mod close;
 pub mod connection;
+mod deadline;
+mod http_connection;
+mod idle;
 mod listener;
+mod open_request;
+mod read_ahead;
+mod request;
 mod response;
+mod stream;
 
-pub use connection::IdleConnections;
+pub use idle::IdleConnections;
 pub use listener::Downstream;
+pub use request::RequestHandler;
--- /dev/null
+++ b/crates/proxy/src/downstream/open_request.rs
@@ -0,0 +1,36 @@
+//! A request that is open on a client connection.
+
+use super::connection::ClientConnection;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Keeps a request open until its response is there in full and nothing of the request is read any more.
+pub struct OpenRequest {
+    connection: Rc<ClientConnection>,
+    /// Which request of its connection, from 1: what remains of an earlier one must not end a later one.
+    number: u64,
+}
+
+impl OpenRequest {
+    /// A request begins on a connection.
+    pub fn begin(connection: &Rc<ClientConnection>) -> Rc<Self> {
+        let number = connection.begin_request();
+        Rc::new(OpenRequest { connection: Rc::clone(connection), number })
+    }
+
+    /// All of the request has arrived.
+    pub fn complete(&self) {
+        self.connection.complete_request(self.number);
+    }
+
+    /// How long its body may stall in total, beyond what its size explains. To be called as the request begins.
+    pub fn body_slack(&self) -> Duration {
+        self.connection.body_slack()
+    }
+}
+
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        self.connection.end_request(self.number);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -0,0 +1,64 @@
+//! Bytes that a client has sent behind a request whose response it still awaits.
+
+use crate::body::{MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
+use bytes::BytesMut;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::io::ReadBuf;
+
+/// Most bytes that are buffered, as far as there is memory. A client sends one request at a time (PROTOCOL); some write a
+/// few at once.
+const MAX_READ_AHEAD_BYTES: usize = 4 * MAX_BUFFERED_BODY_BYTES;
+
+/// A connection's bytes that were read before their turn, within the memory limit.
+pub struct ReadAhead {
+    buffer: RefCell<Buffer>,
+    memory: Rc<MemoryLimit>,
+    overflowed: Cell<bool>,
+}
+
+#[derive(Default)]
+struct Buffer {
+    bytes: BytesMut,
+    reservation: MemoryReservation,
+}
+
+impl ReadAhead {
+    pub fn new(memory: Rc<MemoryLimit>) -> Self {
+        ReadAhead { buffer: RefCell::default(), memory, overflowed: Cell::new(false) }
+    }
+
+    /// More arrived than is buffered: the connection closes with the response, and what arrives until then is
+    /// discarded.
+    pub fn has_overflowed(&self) -> bool {
+        self.overflowed.get()
+    }
+
+    /// Appends bytes, or discards them once there were too many.
+    pub fn push(&self, bytes: &[u8]) {
+        let buffer = &mut *self.buffer.borrow_mut();
+        let size = buffer.bytes.len() + bytes.len();
+        if self.overflowed.get()
+            || size > MAX_READ_AHEAD_BYTES
+            || !self.memory.try_reserve_unread(&mut buffer.reservation, size)
+        {
+            self.overflowed.set(true);
+        } else {
+            buffer.bytes.extend_from_slice(bytes);
+        }
+    }
+
+    /// Moves buffered bytes to `target` and returns how many; None: none are buffered.
+    pub fn take(&self, target: &mut ReadBuf<'_>) -> Option<usize> {
+        let buffer = &mut *self.buffer.borrow_mut();
+        let count = buffer.bytes.len().min(target.remaining());
+        target.put_slice(&buffer.bytes.split_to(count));
+        if count == 0 {
+            return None;
+        }
+        if buffer.bytes.is_empty() {
+            *buffer = Buffer::default();
+        }
+        Some(count)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request.rs
@@ -0,0 +1,256 @@
+//! Reads and validates a client's request, starts its call and waits for the final response.
+
+use super::connection::ClientPresence;
+use super::open_request::OpenRequest;
+use super::response::{final_response, rejected, text_response, RequestError, CAPACITY_RETRY_AFTER_US};
+use crate::body::{
+    BodyError, MemoryLimit, MemoryReservation, RequestBodyReader, ResponseStream, Upload,
+    MAX_BUFFERED_BODY_BYTES,
+};
+use crate::dispatcher::Dispatcher;
+use crate::request::{CallAttributes, Request};
+use crate::response::FinalResponse;
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::HeaderMap;
+use hyper::http::request::Parts;
+use hyper::{Method, Response, StatusCode};
+use oakport_core::{CallId, ClassId, Micros};
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// Taken off the client's timeout, so that the final response arrives before it is over.
+const RESPONSE_MARGIN_US: Micros = 2_000;
+/// Longest client timeout; a longer one counts as this.
+const MAX_CLIENT_TIMEOUT_US: Micros = 600_000_000;
+/// A body waits for memory for this part of the client's timeout, which does not take that wait into account.
+const MEMORY_WAIT_DIVISOR: Micros = 8;
+
+const TIMEOUT_HEADER: &str = "x-timeout";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const TENANT_HEADER: &str = "x-tenant-id";
+const RETRIED_HEADER: &str = "x-retried";
+
+/// Answers the requests of all client connections.
+pub struct RequestHandler {
+    pub dispatcher: Dispatcher,
+    pub memory: Rc<MemoryLimit>,
+}
+
+/// What the head of a valid request says.
+struct RequestHead {
+    class: ClassId,
+    client_timeout_us: Micros,
+}
+
+/// A request's body, complete or as far as it is buffered.
+struct ReceivedBody {
+    buffered: Bytes,
+    /// What has still to arrive.
+    upload: Option<Rc<Upload>>,
+    /// Length of the complete body, where its head declares it.
+    length: Option<u64>,
+    /// Memory of a complete body, until its request is answered.
+    _reservation: MemoryReservation,
+}
+
+impl RequestHandler {
+    /// The response to a request for which there is no capacity.
+    pub fn reject(&self, request: &hyper::Request<Incoming>) -> Response<ResponseStream> {
+        if request.headers().contains_key(REQUEST_ID_HEADER) {
+            if let Some(class) = self.class_id(request.uri().path()) {
+                self.dispatcher.count_rejected(class);
+            }
+        }
+        rejected(CAPACITY_RETRY_AFTER_US)
+    }
+
+    /// The response to a request. `client` says whether anybody still waits for it.
+    pub async fn handle(
+        &self,
+        request: hyper::Request<Incoming>,
+        open: &Rc<OpenRequest>,
+        client: ClientPresence,
+    ) -> Response<ResponseStream> {
+        let (parts, body) = request.into_parts();
+        if is_health_check(&parts) {
+            return text_response(StatusCode::OK, "ok");
+        }
+        match self.forward(parts, body, open, client).await {
+            Ok(response) => final_response(response),
+            Err(fault) => fault.into_response(),
+        }
+    }
+
+    async fn forward(
+        &self,
+        parts: Parts,
+        body: Incoming,
+        open: &Rc<OpenRequest>,
+        client: ClientPresence,
+    ) -> Result<Option<FinalResponse>, RequestError> {
+        let head = self.validate(&parts)?;
+        let body = self.receive_body(body, &head, open).await?;
+        let attributes = CallAttributes {
+            class: head.class,
+            tenant: text_header(&parts.headers, TENANT_HEADER),
+            is_retry: parts.headers.get(RETRIED_HEADER).is_some_and(|value| value.as_bytes() == b"1"),
+        };
+        let request = Request {
+            method: parts.method,
+            uri: parts.uri,
+            headers: parts.headers,
+            body: body.buffered,
+            upload: body.upload.clone(),
+            length: body.length,
+            client_timeout: head.client_timeout_us,
+            client,
+        };
+        let Some((call, response)) = self.dispatcher.start_call(attributes, request) else {
+            discard_remaining(body.upload, open);
+            return Err(RequestError::AtCapacity);
+        };
+        let _guard = CallGuard { dispatcher: &self.dispatcher, call };
+        let response = match &body.upload {
+            None => response.await.ok(),
+            Some(upload) => self.await_streamed(call, upload, response, open).await?,
+        };
+        // An endpoint that has begun its response may still be reading the request.
+        if !matches!(response, Some(FinalResponse::Streaming(_))) {
+            discard_remaining(body.upload, open);
+        }
+        Ok(response)
+    }
+
+    fn validate(&self, parts: &Parts) -> Result<RequestHead, RequestError> {
+        let timeout = parts.headers.get(TIMEOUT_HEADER);
+        let timeout = timeout.and_then(|value| value.to_str().ok()).and_then(parse_timeout_us);
+        let timeout_us = timeout.ok_or(RequestError::InvalidTimeout)?;
+        if !parts.headers.contains_key(REQUEST_ID_HEADER) {
+            return Err(RequestError::MissingRequestId);
+        }
+        // No endpoint knows what the settings do not name: it would only answer with an error.
+        let class = self.class_id(parts.uri.path()).ok_or(RequestError::UnknownClass)?;
+        let client_timeout_us = timeout_us.saturating_sub(RESPONSE_MARGIN_US).max(1);
+        Ok(RequestHead { class, client_timeout_us })
+    }
+
+    /// The class is the first segment of the path.
+    fn class_id(&self, path: &str) -> Option<ClassId> {
+        let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+        self.dispatcher.class_id(name)
+    }
+
+    /// Reads the body to its end, or as much of it as is buffered.
+    async fn receive_body(
+        &self,
+        body: Incoming,
+        head: &RequestHead,
+        open: &Rc<OpenRequest>,
+    ) -> Result<ReceivedBody, RequestError> {
+        let mut reservation = MemoryReservation::default();
+        let mut reader = RequestBodyReader::new(body, open.body_slack());
+        let length = reader.length();
+        let memory_wait = Duration::from_micros(head.client_timeout_us / MEMORY_WAIT_DIVISOR);
+        let beginning = match reader.read_beginning(&mut reservation, &self.memory, memory_wait).await {
+            Ok(beginning) => beginning,
+            Err(BodyError::OutOfMemory) => {
+                self.dispatcher.count_rejected(head.class);
+                discard(Upload::new(reader, MemoryReservation::default(), length), open);
+                return Err(RequestError::AtCapacity);
+            }
+            Err(fault) => return Err(RequestError::Body(fault)),
+        };
+        if beginning.is_complete {
+            open.complete();
+            let buffered = beginning.bytes;
+            return Ok(ReceivedBody { buffered, upload: None, length, _reservation: reservation });
+        }
+        // Without memory to stream it nothing of it is forwarded.
+        let has_memory = self.memory.try_reserve(&mut reservation, MAX_BUFFERED_BODY_BYTES + 1);
+        let upload = Upload::new(reader, reservation, length);
+        if !has_memory {
+            self.dispatcher.count_rejected(head.class);
+            discard(upload, open);
+            return Err(RequestError::AtCapacity);
+        }
+        Ok(ReceivedBody {
+            buffered: beginning.bytes,
+            upload: Some(upload),
+            length,
+            _reservation: MemoryReservation::default(),
+        })
+    }
+
+    /// Waits for the response to a request whose body is still arriving. Fails if the body does first.
+    async fn await_streamed(
+        &self,
+        call: CallId,
+        upload: &Upload,
+        response: oneshot::Receiver<FinalResponse>,
+        open: &OpenRequest,
+    ) -> Result<Option<FinalResponse>, RequestError> {
+        let mut response = pin!(response);
+        tokio::select! {
+            biased;
+            response = response.as_mut() => return Ok(response.ok()),
+            end = upload.ended() => end.map_err(RequestError::Body)?,
+        }
+        open.complete();
+        self.dispatcher.complete_request(call);
+        Ok(response.await.ok())
+    }
+}
+
+fn is_health_check(parts: &Parts) -> bool {
+    parts.uri.path() == "/_health" && matches!(parts.method, Method::GET | Method::HEAD)
+}
+
+/// Reads on what a client still sends after its response is there: it may look for that only then.
+fn discard(upload: Rc<Upload>, open: &Rc<OpenRequest>) {
+    let open = Rc::clone(open);
+    tokio::task::spawn_local(async move {
+        upload.discard().await;
+        drop(open);
+    });
+}
+
+fn discard_remaining(upload: Option<Rc<Upload>>, open: &Rc<OpenRequest>) {
+    if let Some(upload) = upload {
+        discard(upload, open);
+    }
+}
+
+/// Notifies the dispatcher when the client disconnects before its response: hyper drops the request's future then.
+struct CallGuard<'a> {
+    dispatcher: &'a Dispatcher,
+    call: CallId,
+}
+
+impl Drop for CallGuard<'_> {
+    fn drop(&mut self) {
+        self.dispatcher.disconnect_client(self.call);
+    }
+}
+
+fn text_header(headers: &HeaderMap, name: &str) -> Option<String> {
+    headers.get(name)?.to_str().ok().map(str::to_owned)
+}
+
+/// Reads a number and a unit: `m` milliseconds or `u` microseconds. None if it is neither, or zero.
+fn parse_timeout_us(text: &str) -> Option<Micros> {
+    let text = text.trim();
+    let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
+    let unit_us = match unit {
+        "m" => 1_000,
+        "u" => 1,
+        _ => return None,
+    };
+    if !number.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    let timeout_us = number.parse::<Micros>().ok()?.saturating_mul(unit_us);
+    (timeout_us > 0).then_some(timeout_us.min(MAX_CLIENT_TIMEOUT_US))
+}
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,7 +1,8 @@
-//! What a client is answered, in the protocol's words.
+//! What a client is answered.
 
-use super::connection::OpenRequest;
+use super::open_request::OpenRequest;
 use crate::body::{BodyError, ResponseStream};
+use crate::response::{FinalResponse, StreamingResponse};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -10,52 +11,66 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
+use thiserror::Error;
 
-/// Advice to a client that finds no place here: by then some connection has rested for long enough.
-pub const COME_BACK: Micros = 250_000;
+/// `Retry-After` of a client for which there is no capacity here: by then some connection has been idle for long enough to
+/// be evicted.
+pub const CAPACITY_RETRY_AFTER_US: Micros = 250_000;
 
-/// An answer's body with its open request.
-pub struct Ending {
-    body: ResponseStream,
-    _open: Rc<OpenRequest>,
+/// Why a request was not forwarded to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RequestError {
+    #[error("X-Timeout missing or odd")]
+    InvalidTimeout,
+    #[error("X-Request-ID missing")]
+    MissingRequestId,
+    #[error("no such class of request")]
+    UnknownClass,
+    #[error("refused")]
+    AtCapacity,
+    #[error(transparent)]
+    Body(BodyError),
 }
 
-impl Ending {
-    pub fn new(body: ResponseStream, open: Rc<OpenRequest>) -> Self {
-        Ending { body, _open: open }
+impl RequestError {
+    /// The response that says so.
+    pub fn into_response(self) -> Response<ResponseStream> {
+        let status = match self {
+            RequestError::InvalidTimeout | RequestError::MissingRequestId => StatusCode::BAD_REQUEST,
+            RequestError::UnknownClass => StatusCode::NOT_FOUND,
+            RequestError::AtCapacity => return rejected(CAPACITY_RETRY_AFTER_US),
+            RequestError::Body(fault) => return body_error(fault),
+        };
+        closing_response(status, self.to_string())
     }
 }
 
-impl Body for Ending {
-    type Data = Bytes;
-    type Error = BodyError;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        Pin::new(&mut self.body).poll_frame(cx)
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.body.is_end_stream()
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        self.body.size_hint()
+fn body_error(fault: BodyError) -> Response<ResponseStream> {
+    match fault {
+        BodyError::Aborted => closing_response(StatusCode::BAD_REQUEST, "broken body"),
+        BodyError::TooLarge => closing_response(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB"),
+        BodyError::OutOfMemory => rejected(CAPACITY_RETRY_AFTER_US),
+        BodyError::Stalled => closing_response(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
     }
 }
 
-pub fn not_whole(fault: BodyError) -> Response<ResponseStream> {
-    match fault {
-        BodyError::Aborted => improper(StatusCode::BAD_REQUEST, "broken body"),
-        BodyError::TooLarge => improper(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB"),
-        BodyError::OutOfMemory => refused(COME_BACK),
-        BodyError::Stalled => improper(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+/// The response to a call that was started; None: the dispatcher has dropped it.
+pub fn final_response(response: Option<FinalResponse>) -> Response<ResponseStream> {
+    match response {
+        Some(FinalResponse::Served { body, content_type }) => successful(body.into(), content_type),
+        Some(FinalResponse::Streaming(streaming)) => {
+            let StreamingResponse { first_chunk, chunks, length, content_type } = streaming;
+            successful(ResponseStream::stream(first_chunk, chunks, length), content_type)
+        }
+        Some(FinalResponse::Rejected { retry_after }) => rejected(retry_after),
+        Some(FinalResponse::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed"),
+        Some(FinalResponse::DeadlineExceeded) | None => {
+            text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+        }
     }
 }
 
-pub fn served(body: ResponseStream, content_type: Option<HeaderValue>) -> Response<ResponseStream> {
+fn successful(body: ResponseStream, content_type: Option<HeaderValue>) -> Response<ResponseStream> {
     let mut response = Response::new(body);
     if let Some(content_type) = content_type {
         response.headers_mut().insert(header::CONTENT_TYPE, content_type);
@@ -63,25 +78,58 @@
     response
 }
 
-pub fn plain(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
-    let mut response = Response::new(ResponseStream::from(Bytes::from_static(text.as_bytes())));
+/// A response of one short text.
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseStream> {
+    let mut response = Response::new(ResponseStream::from(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// The answer to what is no request of a client's. Its connection ends with it and frees its place.
-pub fn improper(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
-    let mut response = plain(status, text);
+/// The response to an invalid request. Its connection closes with it and frees its capacity.
+fn closing_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseStream> {
+    let mut response = text_response(status, text);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// A refusal tells the client when to come back, in seconds.
-pub fn refused(retry_after: Micros) -> Response<ResponseStream> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-    let seconds = format!("{}.{:03}", retry_after / 1_000_000, retry_after / 1_000 % 1_000);
+/// A rejection, with `Retry-After` in seconds.
+pub fn rejected(retry_after_us: Micros) -> Response<ResponseStream> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    let seconds = format!("{}.{:03}", retry_after_us / 1_000_000, retry_after_us / 1_000 % 1_000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
+
+/// A response's body that keeps its request open until it has been written.
+pub struct TrackedBody {
+    body: ResponseStream,
+    _open: Rc<OpenRequest>,
+}
+
+impl TrackedBody {
+    pub fn new(body: ResponseStream, open: Rc<OpenRequest>) -> Self {
+        TrackedBody { body, _open: open }
+    }
+}
+
+impl Body for TrackedBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        Pin::new(&mut self.body).poll_frame(cx)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/stream.rs
@@ -0,0 +1,53 @@
+//! The byte stream of a client connection, which reports its progress to the connection.
+
+use super::connection::ClientConnection;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+/// A client's stream: reads what was read ahead first, and reports reads and writes.
+pub struct ObservedStream {
+    connection: Rc<ClientConnection>,
+}
+
+impl ObservedStream {
+    pub fn new(connection: &Rc<ClientConnection>) -> Self {
+        ObservedStream { connection: Rc::clone(connection) }
+    }
+}
+
+impl AsyncRead for ObservedStream {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let read = match self.connection.buffered().take(buf) {
+            Some(count) => Poll::Ready(Ok(count)),
+            // What would follow has been discarded.
+            None if self.connection.read_ahead_overflowed() => Poll::Pending,
+            None => self.connection.socket.poll_read(cx, buf),
+        };
+        read.map_ok(|count| {
+            if count > 0 {
+                self.connection.record_read();
+            }
+        })
+    }
+}
+
+impl AsyncWrite for ObservedStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        let written = self.connection.socket.poll_write(cx, buf);
+        self.connection.record_write(written.is_ready());
+        written
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // Called when nothing is left to write.
+        self.connection.record_flush();
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(self.connection.socket.shutdown_write())
+    }
+}
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -7,7 +7,7 @@
 use crate::descriptors::Descriptors;
 use crate::discovery::EndpointWatcher;
 use crate::dispatcher::Dispatcher;
-use crate::downstream::{Downstream, IdleConnections};
+use crate::downstream::{Downstream, IdleConnections, RequestHandler};
 use crate::hot_restart::{self, HandoverDirectory};
 use crate::membership::MembershipService;
 use crate::metrics::Metrics;
@@ -94,7 +94,7 @@
         });
         self.descriptors.set_limit(self.part());
         for _ in 0..self.descriptors.excess() {
-            if !pool.evict_oldest() && !resting.make_room() {
+            if !pool.evict_oldest() && !resting.evict_longest_idle() {
                 break;
             }
         }
@@ -210,14 +210,13 @@
         }
         let resting = Rc::<IdleConnections>::default();
         let front = Rc::new(Downstream {
-            driver: driver.clone(),
+            handler: Rc::new(RequestHandler { dispatcher: driver.clone(), memory }),
             pool: Rc::clone(&pool),
             descriptors: Rc::clone(&room.descriptors),
-            uncounted: Descriptors::new(RESERVE_REFUSED),
-            most: most_clients(counted(room.sockets)),
-            beyond: beyond_clients(counted(room.sockets)),
-            resting: Rc::clone(&resting),
-            memory,
+            reserved_descriptors: Descriptors::new(RESERVE_REFUSED),
+            max_client_connections: most_clients(counted(room.sockets)),
+            max_rejected_connections: beyond_clients(counted(room.sockets)),
+            idle_connections: Rc::clone(&resting),
         });
         let (mut term, stopped) = (self.term, Notify::new());
         let stop = async {
