--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,7 +2,7 @@
 
 use comfy_table::{presets, Table};
 use oakport_core::{DeduplicationScope, Idempotency, Micros};
-use oakport_proxy::{client_capacity, Checked, Config};
+use oakport_proxy::{client_capacity, Checked, ClientCapacity, Config};
 use serde_json::Value;
 use std::fmt::Write;
 use std::io::IsTerminal;
@@ -34,7 +34,7 @@
 fn describe(file: &Path, config: &Config) -> String {
     let (limits, transport) = (&config.limits, &config.facts.transport);
     let settings = &config.facts.settings;
-    let (served, refused) = client_capacity(limits.sockets);
+    let ClientCapacity { max_connections: served, max_rejected: refused } = client_capacity(limits.sockets);
     let mut text = format!("{}: good\n", file.display());
     let mut line = |name: &str, what: String| {
         // Writing to a string does not fail.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,7 +14,7 @@
 
 fn main() -> ExitCode {
     // First of all: a descriptor that was not inherited must not come to bear its number.
-    let listener = inherited_listener();
+    let listener = inherited_listener().map_err(|fault| fault.to_string());
     let done = match Arguments::parse().command {
         Command::Serve(arguments) => listener.and_then(|listener| serve(&arguments, listener)),
         Command::Check { files } => {
@@ -43,9 +43,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let server = Process::open(config, listener).await?;
+        let server = Process::open(config, listener).await.map_err(|fault| fault.to_string())?;
         tokio::select! {
-            done = server.serve() => done,
+            done = server.serve() => done.map_err(|fault| fault.to_string()),
             () = bounds.tell() => Ok(()),
         }
     })
--- /dev/null
+++ b/crates/proxy/src/descriptor_budget.rs
@@ -0,0 +1,141 @@
+//! How many descriptors a process may use, alone or beside another process of the same proxy.
+
+use crate::descriptors::Descriptors;
+use crate::downstream::IdleConnections;
+use crate::hot_restart::HandoverDirectory;
+use crate::upstream::pool::ConnectionPool;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How often the budget is checked.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A process has noticed its successor by then, and freed descriptors for it.
+const SUCCESSOR_NOTICE_TIME: Duration = CHECK_INTERVAL.saturating_mul(4);
+/// Descriptors that are not counted: standard streams, the runtime's own, the listeners, discovery, callers of the admin
+/// endpoint, and a client's connection that is closed as soon as it is accepted.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// Of these, descriptors for client connections beyond the capacity. The others, at their most: 12 callers of the admin
+/// endpoint, two polls and a watch of discovery, two listeners, the membership socket, and ten of the runtime and the
+/// standard streams.
+pub const RESERVED_CLIENT_DESCRIPTORS: usize = 16;
+/// Any process may use so many.
+const MIN_DESCRIPTORS: usize = 8;
+/// Parts of what two processes share, in tenths.
+const SHARE_TENTHS: usize = 10;
+/// A process with a successor has nearly no clients left: it needs what its last requests do.
+const PREDECESSOR_SHARE: usize = 4;
+const SUCCESSOR_SHARE: usize = 6;
+/// Until a successor has been noticed it uses what its predecessor certainly leaves free.
+const UNNOTICED_SUCCESSOR_SHARE: usize = 1;
+
+/// How many client connections a process holds at a time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClientCapacity {
+    /// Connections that are served.
+    pub max_connections: usize,
+    /// Further ones, which are accepted to be rejected and closed.
+    pub max_rejected: usize,
+}
+
+/// The client capacity of a process that may hold `max_sockets` descriptors in all. Each served connection needs a
+/// second descriptor for its way to an endpoint.
+pub fn client_capacity(max_sockets: usize) -> ClientCapacity {
+    let counted = counted_descriptors(max_sockets);
+    ClientCapacity { max_connections: counted / 2, max_rejected: counted / 8 }
+}
+
+/// Descriptors for clients and endpoints among `max_sockets` in all.
+fn counted_descriptors(max_sockets: usize) -> usize {
+    max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS)
+}
+
+/// Another process of the same proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OtherProcess {
+    None,
+    Successor,
+    /// It may not have noticed this process before `notices_by`.
+    Predecessor {
+        notices_by: Instant,
+    },
+}
+
+/// What this process may hold open.
+pub struct DescriptorBudget {
+    pub descriptors: Rc<Descriptors>,
+    /// Descriptors in all, those that are not counted included.
+    pub max_sockets: usize,
+    /// Shared with the other process. None: there can be no other.
+    pub handover: Option<Rc<RefCell<HandoverDirectory>>>,
+    other_process: Cell<OtherProcess>,
+}
+
+impl DescriptorBudget {
+    /// The budget of a process that starts.
+    pub fn new(max_sockets: usize, handover: Option<Rc<RefCell<HandoverDirectory>>>) -> Self {
+        let is_alone = handover.as_ref().is_none_or(|handover| handover.borrow_mut().is_alone());
+        let other_process = if is_alone {
+            OtherProcess::None
+        } else {
+            OtherProcess::Predecessor { notices_by: Instant::now() + SUCCESSOR_NOTICE_TIME }
+        };
+        let budget = DescriptorBudget {
+            descriptors: Descriptors::new(0),
+            max_sockets,
+            handover,
+            other_process: Cell::new(other_process),
+        };
+        budget.apply_limit();
+        budget
+    }
+
+    fn apply_limit(&self) {
+        self.descriptors.set_limit(self.limit());
+    }
+
+    /// Descriptors for clients and endpoints. Two processes share what is left after the reserve of each.
+    fn limit(&self) -> usize {
+        let shared = self.max_sockets.saturating_sub(2 * RESERVED_DESCRIPTORS);
+        let limit = match self.other_process.get() {
+            OtherProcess::None => counted_descriptors(self.max_sockets),
+            OtherProcess::Successor => shared * PREDECESSOR_SHARE / SHARE_TENTHS,
+            OtherProcess::Predecessor { notices_by } if Instant::now() < notices_by => {
+                shared * UNNOTICED_SUCCESSOR_SHARE / SHARE_TENTHS
+            }
+            OtherProcess::Predecessor { .. } => shared * SUCCESSOR_SHARE / SHARE_TENTHS,
+        };
+        limit.max(MIN_DESCRIPTORS)
+    }
+
+    /// Checks whether the other process still runs, and closes idle connections beyond the limit.
+    pub fn check(&self, pool: &ConnectionPool, idle_connections: &IdleConnections) {
+        let Some(handover) = &self.handover else { return };
+        self.other_process.set(self.find_other_process(&mut handover.borrow_mut()));
+        self.apply_limit();
+        for _ in 0..self.descriptors.excess() {
+            if !pool.evict_oldest() && !idle_connections.evict_longest_idle() {
+                break;
+            }
+        }
+    }
+
+    fn find_other_process(&self, handover: &mut HandoverDirectory) -> OtherProcess {
+        let other_process = self.other_process.get();
+        if matches!(other_process, OtherProcess::Predecessor { .. }) && !handover.is_alone() {
+            other_process
+        } else if handover.has_successor() {
+            OtherProcess::Successor
+        } else {
+            OtherProcess::None
+        }
+    }
+
+    /// Leaves the successor its share as this process shuts down.
+    pub fn hand_over(&self, pool: &ConnectionPool) {
+        self.other_process.set(OtherProcess::Successor);
+        self.apply_limit();
+        while pool.evict_oldest() {}
+    }
+}
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! Counts the sockets that are open, so that the process stays under its limit instead of finding it.
+//! Counts the sockets that are open, so that the process stays below its limit instead of failing at it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
     open: Cell<usize>,
 }
 
-/// One counted socket; dropping it counts it out.
+/// One counted socket, until it is dropped.
 #[derive(Debug)]
 pub struct Descriptor(Rc<Descriptors>);
 
 impl Descriptors {
-    /// Room for `limit` sockets.
+    /// Allows `limit` sockets.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Descriptors { limit: Cell::new(limit), open: Cell::new(0) })
     }
 
-    /// Another limit from now on; what is open beyond it stays.
+    /// Changes the limit; what is open beyond it stays open.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
@@ -35,12 +35,13 @@
         self.open.get().saturating_sub(self.limit.get())
     }
 
-    /// Counts one more in, if there is room.
+    /// Counts one more, unless the limit is reached.
     pub fn try_acquire(self: &Rc<Self>) -> Option<Descriptor> {
-        (self.open.get() < self.limit.get()).then(|| {
-            self.open.set(self.open.get() + 1);
-            Descriptor(Rc::clone(self))
-        })
+        if self.open.get() >= self.limit.get() {
+            return None;
+        }
+        self.open.set(self.open.get() + 1);
+        Some(Descriptor(Rc::clone(self)))
     }
 }
 
--- /dev/null
+++ b/crates/proxy/src/hot_restart/mod.rs
@@ -0,0 +1,13 @@
+//! Hot restart: the listener that the platform holds for two processes, and what one leaves for its successor.
+
+mod directory;
+mod handover;
+mod listener;
+mod lock;
+mod successor_marker;
+#[cfg(test)]
+mod tests;
+
+pub use handover::{newer_list, HandoverDirectory};
+pub use listener::{bind_when_free, inherited_listener, InheritedListenerError};
+pub use successor_marker::SuccessorMarker;
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,324 +1,243 @@
-//! One process of a client proxy: its parts, its signals, its end.
+//! One process of a client proxy: starts its parts, owns them and ends them.
 
 use crate::admin;
 use crate::body::MemoryLimit;
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::descriptor_budget::{
+    client_capacity, DescriptorBudget, CHECK_INTERVAL, RESERVED_CLIENT_DESCRIPTORS,
+};
 use crate::descriptors::Descriptors;
 use crate::discovery::EndpointWatcher;
 use crate::dispatcher::Dispatcher;
 use crate::downstream::{Downstream, IdleConnections, RequestHandler};
-use crate::hot_restart::{self, HandoverDirectory};
+use crate::hot_restart::{bind_when_free, newer_list, HandoverDirectory};
 use crate::membership::MembershipService;
 use crate::metrics::Metrics;
+use crate::reload::Reloader;
 use crate::upstream::pool::ConnectionPool;
 use oakport_core::ListUpdateKind;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
+use thiserror::Error;
+use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{watch, Notify};
-use tokio::task::JoinHandle;
-use tokio::time::Instant;
-use tracing::{error, info};
-
-/// Descriptors kept out of the count: standard streams, the runtime's own, the listeners, discovery, operators'
-/// callers, and a client's connection that is closed as soon as it is accepted.
-const RESERVE: usize = 48;
-/// ... of these for connections of clients beyond all count. What else is in use, at its most: 12 operators' callers, two
-/// calls and a watch of discovery, two listeners, peers' socket, and ten of the runtime and the standard streams.
-const RESERVE_REFUSED: usize = 16;
-/// Connections waiting to be accepted.
-const BACKLOG: u32 = 1_024;
-/// An address that another process holds is tried again after this, and given up after that: a process that is not ready
-/// within 30 s counts as crashed (FLEET, "The gate"), and its log should say why before.
-const HELD_PAUSE: Duration = Duration::from_millis(20);
-const HELD_MOST: Duration = Duration::from_secs(25);
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
-/// A process has noticed the next one by then, and made room for it.
-const NOTICED: Duration = SWEEP.saturating_mul(4);
-
-/// What this process may hold open, alone or beside another process of the same proxy.
-struct Room {
-    descriptors: Rc<Descriptors>,
-    sockets: usize,
-    shared: Option<Rc<RefCell<HandoverDirectory>>>,
-    beside: Cell<Beside>,
+use tokio::task::{JoinError, JoinHandle};
+use tracing::info;
+
+/// Why a process cannot start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A signal cannot be handled.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The listener cannot be had.
+    #[error("listen on {address}: {source}")]
+    Listen {
+        /// The address of the configuration.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
 }
 
-/// Another process of the same proxy.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Beside {
-    Nobody,
-    /// The next one is there.
-    Successor,
-    /// The one before is, and may not have noticed this one before that moment.
-    Predecessor(Instant),
-}
-
-impl Room {
-    fn new(sockets: usize, shared: Option<Rc<RefCell<HandoverDirectory>>>) -> Self {
-        let alone = shared.as_ref().is_none_or(|shared| shared.borrow_mut().is_alone());
-        let beside = if alone { Beside::Nobody } else { Beside::Predecessor(Instant::now() + NOTICED) };
-        let room = Room { descriptors: Descriptors::new(0), sockets, shared, beside: Cell::new(beside) };
-        room.descriptors.set_limit(room.part());
-        room
-    }
-
-    /// Descriptors for clients and hosts. The two share what is left after the reserve of each: the one before holds what
-    /// its last requests need, and nearly all clients are at the next one by then. Until it has been noticed that one
-    /// takes a part that the other is sure to leave.
-    fn part(&self) -> usize {
-        let both = self.sockets.saturating_sub(2 * RESERVE);
-        let part = match self.beside.get() {
-            Beside::Nobody => counted(self.sockets),
-            Beside::Successor => both * 2 / 5,
-            Beside::Predecessor(noticed) if Instant::now() < noticed => both / 10,
-            Beside::Predecessor(_) => both * 3 / 5,
-        };
-        part.max(8)
-    }
-
-    /// Sees whether the other process is there, and keeps to this one's part.
-    fn settle(&self, pool: &ConnectionPool, resting: &IdleConnections) {
-        let Some(shared) = &self.shared else { return };
-        let mut shared = shared.borrow_mut();
-        self.beside.set(match self.beside.get() {
-            Beside::Predecessor(noticed) if !shared.is_alone() => Beside::Predecessor(noticed),
-            _ if shared.has_successor() => Beside::Successor,
-            _ => Beside::Nobody,
-        });
-        self.descriptors.set_limit(self.part());
-        for _ in 0..self.descriptors.excess() {
-            if !pool.evict_oldest() && !resting.evict_longest_idle() {
-                break;
-            }
-        }
-    }
-
-    /// Leaves the next process its part.
-    fn hand_over(&self, pool: &ConnectionPool) {
-        self.beside.set(Beside::Successor);
-        self.descriptors.set_limit(self.part());
-        while pool.evict_oldest() {}
-    }
+/// Why a process has ended without being told to: a part without which calls would stay unanswered has ended.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// The task that fires the balancer's timers.
+    #[error("the timers ended: {0:?}")]
+    TimersEnded(Result<(), JoinError>),
+    /// The task that follows the endpoint list.
+    #[error("discovery ended: {0:?}")]
+    DiscoveryEnded(Result<(), JoinError>),
+    /// Nothing can request a reload any more.
+    #[error("no more signals")]
+    SignalsEnded,
 }
 
 /// A client proxy that is ready to serve.
 pub struct Process {
     config: Config,
     listener: TcpListener,
-    /// The platform holds the listener: another process follows on this one, or went before it.
-    successor: bool,
-    room: Rc<Room>,
+    /// The platform holds the listener: another process follows this one, or ran before it.
+    shares_listener: bool,
+    budget: Rc<DescriptorBudget>,
     pool: Rc<ConnectionPool>,
     memory: Rc<MemoryLimit>,
-    figures: Rc<Metrics>,
-    driver: Dispatcher,
-    peers: Option<Rc<MembershipService>>,
-    /// Version of the list that it starts from.
-    index: Option<u64>,
-    term: Signal,
+    metrics: Rc<Metrics>,
+    dispatcher: Dispatcher,
+    membership: Option<Rc<MembershipService>>,
+    /// Version of the endpoint list that the process starts from.
+    list_index: Option<u64>,
+    terminate: Signal,
     hangup: Signal,
 }
 
 impl Process {
-    /// Takes the listener, or opens it, and makes all parts. To be called within a runtime of one thread.
+    /// Takes the inherited listener, or binds one, and makes all parts. To be called within a runtime of one thread.
     ///
     /// # Errors
-    /// Says which socket or signal cannot be had, and why.
-    pub async fn open(mut config: Config, inherited: Option<std::net::TcpListener>) -> Result<Self, String> {
-        let term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-        let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-        let successor = inherited.is_some();
-        let listener = match inherited {
-            Some(listener) => TcpListener::from_std(listener),
-            None => listen(config.listen).await,
-        };
-        let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
+    /// A signal cannot be handled, or the listener cannot be had.
+    pub async fn open(
+        mut config: Config,
+        inherited: Option<std::net::TcpListener>,
+    ) -> Result<Self, StartError> {
+        let terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
+        let hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
+        let shares_listener = inherited.is_some();
+        let listener = open_listener(config.listen, inherited).await?;
         // Where the platform holds the listener, two processes serve for a while and share what is allowed.
-        let shared =
-            HandoverDirectory::open().filter(|_| successor).map(|shared| Rc::new(RefCell::new(shared)));
-        let room = Rc::new(Room::new(config.limits.sockets, shared));
-        let left =
-            room.shared.as_ref().and_then(|shared| shared.borrow().read_endpoint_list(config.discovery));
-        let known = hot_restart::newer_list(config.known.take(), left);
-
-        let (clock, figures) = (Clock::start(), Rc::<Metrics>::default());
+        let handover = if shares_listener { HandoverDirectory::open() } else { None };
+        let handover = handover.map(|handover| Rc::new(RefCell::new(handover)));
+        let budget = Rc::new(DescriptorBudget::new(config.limits.sockets, handover.clone()));
+        let left_list = handover.and_then(|handover| handover.borrow().read_endpoint_list(config.discovery));
+        let list = newer_list(config.known.take(), left_list);
+
+        let clock = Clock::start();
+        let metrics = Rc::<Metrics>::default();
         let memory = MemoryLimit::new(config.limits.memory_mb);
-        let facts = config.facts.clone();
+        let proxy_count = config.facts.settings.proxy_count;
         let pool = ConnectionPool::new(
-            facts.transport,
-            facts.settings.proxy_count,
-            Rc::clone(&room.descriptors),
+            config.facts.transport,
+            proxy_count,
+            Rc::clone(&budget.descriptors),
             clock,
-            Rc::clone(&figures),
+            Rc::clone(&metrics),
             Rc::clone(&memory),
         );
-        let driver = Dispatcher::new(config.seed, facts, clock, Rc::clone(&pool), Rc::clone(&figures));
-        driver.start();
-        let balancers = config.facts.settings.proxy_count;
+        let dispatcher =
+            Dispatcher::new(config.seed, config.facts.clone(), clock, Rc::clone(&pool), Rc::clone(&metrics));
+        dispatcher.start();
         let name = config.name.clone().unwrap_or_else(|| config.listen.to_string());
-        let peers = config
-            .peers
-            .clone()
-            .map(|peers| MembershipService::new(peers, name, config.seed, clock, balancers));
-        let index = known.as_ref().map(|k| k.index);
-        driver.update_endpoints(ListUpdateKind::Cached, known.as_ref().map_or(&[], |k| &k.endpoints));
+        let membership = config.peers.clone();
+        let membership = membership
+            .map(|parameters| MembershipService::new(parameters, name, config.seed, clock, proxy_count));
+        let endpoints = list.as_ref().map_or(&[][..], |list| &list.endpoints);
+        dispatcher.update_endpoints(ListUpdateKind::Cached, endpoints);
         Ok(Process {
             config,
             listener,
-            successor,
-            room,
+            shares_listener,
+            budget,
             pool,
             memory,
-            figures,
-            driver,
-            peers,
-            index,
-            term,
+            metrics,
+            dispatcher,
+            membership,
+            list_index: list.map(|list| list.index),
+            terminate,
             hangup,
         })
     }
 
-    /// Serves until SIGTERM, then finishes what is taken. To be called within a `LocalSet`.
+    /// Serves until SIGTERM, then finishes the open requests. To be called within a `LocalSet`.
     ///
     /// # Errors
     /// A part without which calls would stay unanswered has ended: better a crash that is seen.
-    pub async fn serve(self) -> Result<(), String> {
-        let Process { config, listener, successor, room, pool, memory, figures, driver, peers, .. } = self;
-        let (moved, address) = watch::channel(config.discovery);
-        let mut timers = {
-            let driver = driver.clone();
-            tokio::task::spawn_local(async move { driver.run_timers().await })
-        };
-        let mut watch: JoinHandle<()> = tokio::task::spawn_local(
-            EndpointWatcher::new(driver.clone(), address, self.index, room.shared.clone(), config.seed).run(),
-        );
-        if let Some(address) = config.operator {
-            tokio::task::spawn_local(admin::run(driver.clone(), peers.clone(), address));
-        }
-        if let Some(peers) = &peers {
-            tokio::task::spawn_local(Rc::clone(peers).run(driver.clone()));
-        }
-        if let Ok(address) = listener.local_addr() {
+    pub async fn serve(mut self) -> Result<(), ServeError> {
+        let (discovery_sender, discovery_address) = watch::channel(self.config.discovery);
+        let mut timers = self.spawn_timers();
+        let mut discovery = self.spawn_discovery(discovery_address);
+        self.spawn_admin_and_membership();
+        if let Ok(address) = self.listener.local_addr() {
             info!(%address, "listening");
         }
-        let resting = Rc::<IdleConnections>::default();
-        let front = Rc::new(Downstream {
-            handler: Rc::new(RequestHandler { dispatcher: driver.clone(), memory }),
-            pool: Rc::clone(&pool),
-            descriptors: Rc::clone(&room.descriptors),
-            reserved_descriptors: Descriptors::new(RESERVE_REFUSED),
-            max_client_connections: most_clients(counted(room.sockets)),
-            max_rejected_connections: beyond_clients(counted(room.sockets)),
-            idle_connections: Rc::clone(&resting),
-        });
-        let (mut term, stopped) = (self.term, Notify::new());
+        let idle_connections = Rc::<IdleConnections>::default();
+        let downstream = Rc::new(self.downstream(&idle_connections));
+        let Process { shares_listener, budget, pool, membership, .. } = self;
+        let reloader = Reloader {
+            hangup: self.hangup,
+            config: self.config,
+            dispatcher: self.dispatcher,
+            membership: membership.clone(),
+            metrics: self.metrics,
+            discovery_address: discovery_sender,
+        };
+        let stopped = Notify::new();
         let stop = async {
-            term.recv().await;
+            self.terminate.recv().await;
             stopped.notify_one();
-            if successor {
-                room.hand_over(&pool);
+            if shares_listener {
+                budget.hand_over(&pool);
             }
         };
-        // Peers are told beside that: clients do not wait for a word to them.
-        let leave = async {
+        // Beside serving the last requests: clients do not wait for the announcement to the members.
+        let leave_membership = async {
             stopped.notified().await;
-            if let Some(peers) = &peers {
-                peers.leave().await;
+            if let Some(membership) = &membership {
+                membership.leave().await;
             }
         };
+        let serve_clients =
+            async { tokio::join!(downstream.serve(self.listener, shares_listener, stop), leave_membership) };
         tokio::select! {
-            ((), ()) = async { tokio::join!(front.serve(listener, successor, stop), leave) } => Ok(()),
-            ended = &mut timers => Err(format!("the timers ended: {ended:?}")),
-            ended = &mut watch => Err(format!("discovery ended: {ended:?}")),
-            () = sweep(&room, &pool, &resting) => Ok(()),
-            () = reloads(self.hangup, config, (&driver, peers.as_deref()), &figures, &moved) => {
-                Err("no more signals".to_owned())
-            }
+            ((), ()) = serve_clients => Ok(()),
+            ended = &mut timers => Err(ServeError::TimersEnded(ended)),
+            ended = &mut discovery => Err(ServeError::DiscoveryEnded(ended)),
+            () = check_periodically(&budget, &pool, &idle_connections) => Ok(()),
+            () = reloader.run() => Err(ServeError::SignalsEnded),
         }
     }
-}
-
-/// Descriptors for clients and hosts among `sockets` in all.
-fn counted(sockets: usize) -> usize {
-    sockets.saturating_sub(RESERVE).max(8)
-}
 
-/// Connections of clients that are served: the way to the hosts must have as many.
-fn most_clients(counted: usize) -> usize {
-    counted / 2
-}
+    fn spawn_timers(&self) -> JoinHandle<()> {
+        let dispatcher = self.dispatcher.clone();
+        tokio::task::spawn_local(async move { dispatcher.run_timers().await })
+    }
 
-/// Further ones that are taken to be refused and closed.
-fn beyond_clients(counted: usize) -> usize {
-    counted / 8
-}
+    fn spawn_discovery(&self, address: watch::Receiver<SocketAddr>) -> JoinHandle<()> {
+        let dispatcher = self.dispatcher.clone();
+        let handover = self.budget.handover.clone();
+        let watcher = EndpointWatcher::new(dispatcher, address, self.list_index, handover, self.config.seed);
+        tokio::task::spawn_local(watcher.run())
+    }
 
-/// How many connections of clients are served at a time by a process that may hold so many descriptors, and how many
-/// more are taken to be refused.
-pub fn client_capacity(sockets: usize) -> (usize, usize) {
-    (most_clients(counted(sockets)), beyond_clients(counted(sockets)))
-}
+    fn spawn_admin_and_membership(&self) {
+        if let Some(address) = self.config.operator {
+            tokio::task::spawn_local(admin::run(self.dispatcher.clone(), self.membership.clone(), address));
+        }
+        if let Some(membership) = &self.membership {
+            tokio::task::spawn_local(Rc::clone(membership).run(self.dispatcher.clone()));
+        }
+    }
 
-/// Opens the listener. The process before this one may hold its address for as long as it takes clients.
-async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let (asked, mut told) = (Instant::now(), false);
-    loop {
-        let listener = TcpSocket::new_v4().and_then(|socket| {
-            socket.set_reuseaddr(true)?;
-            socket.bind(address)?;
-            socket.listen(BACKLOG)
-        });
-        match listener {
-            Err(fault) if fault.kind() == io::ErrorKind::AddrInUse && asked.elapsed() < HELD_MOST => {
-                if !std::mem::replace(&mut told, true) {
-                    info!(%address, "waiting for the address: another process listens there");
-                }
-                tokio::time::sleep(HELD_PAUSE).await;
-            }
-            done => return done,
+    fn downstream(&self, idle_connections: &Rc<IdleConnections>) -> Downstream {
+        let capacity = client_capacity(self.budget.max_sockets);
+        let handler = RequestHandler { dispatcher: self.dispatcher.clone(), memory: Rc::clone(&self.memory) };
+        Downstream {
+            handler: Rc::new(handler),
+            pool: Rc::clone(&self.pool),
+            descriptors: Rc::clone(&self.budget.descriptors),
+            reserved_descriptors: Descriptors::new(RESERVED_CLIENT_DESCRIPTORS),
+            max_client_connections: capacity.max_connections,
+            max_rejected_connections: capacity.max_rejected,
+            idle_connections: Rc::clone(idle_connections),
         }
     }
 }
 
-/// Closes what has been idle for too long, and sees when the other process has ended.
-async fn sweep(room: &Room, pool: &ConnectionPool, resting: &IdleConnections) {
-    loop {
-        tokio::time::sleep(SWEEP).await;
-        pool.close_expired();
-        room.settle(pool, resting);
-    }
+async fn open_listener(
+    address: SocketAddr,
+    inherited: Option<std::net::TcpListener>,
+) -> Result<TcpListener, StartError> {
+    let listener = match inherited {
+        Some(listener) => TcpListener::from_std(listener),
+        None => bind_when_free(address).await,
+    };
+    listener.map_err(|source| StartError::Listen { address, source })
 }
 
-/// Takes the configuration file again at each SIGHUP, whole or not at all.
-async fn reloads(
-    mut hangup: Signal,
-    mut config: Config,
-    (driver, peers): (&Dispatcher, Option<&MembershipService>),
-    figures: &Metrics,
-    moved: &watch::Sender<SocketAddr>,
+/// Closes what has been idle for too long, and notices when the other process has started or ended.
+async fn check_periodically(
+    budget: &DescriptorBudget,
+    pool: &ConnectionPool,
+    idle_connections: &IdleConnections,
 ) {
-    while hangup.recv().await.is_some() {
-        let next = config.again();
-        figures.count_reload(next.is_ok());
-        match next {
-            Ok(next) => {
-                config = next;
-                let (discovery, attempts) = (config.discovery, config.facts.settings.limits.max_attempts);
-                info!(%discovery, classes = %config.facts.class_names.join(" "), attempts, "reloaded");
-                driver.apply_settings(config.facts.clone());
-                if let Some(peers) = peers {
-                    peers.set_configured_count(config.facts.settings.proxy_count);
-                }
-                moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
-            }
-            Err(reason) => error!(%reason, "not reloaded, nothing changed"),
-        }
+    loop {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        pool.close_expired();
+        budget.check(pool, idle_connections);
     }
 }
