--- a/crates/proxy/src/body/response_stream.rs
+++ b/crates/proxy/src/body/response_stream.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// One chunk of a streamed response, or its end. A channel that closes without the end carried an incomplete one.
+/// One chunk of a streamed response, or its end. A channel that closes without the end carried an incomplete response.
 #[derive(Debug)]
 pub enum BodyChunk {
     Data(Bytes),
@@ -65,7 +65,7 @@
                 self.chunks = None;
                 Poll::Ready(None)
             }
-            Err(fault) => Poll::Ready(Some(Err(fault))),
+            Err(error) => Poll::Ready(Some(Err(error))),
         }
     }
 
--- a/crates/proxy/src/body/upload.rs
+++ b/crates/proxy/src/body/upload.rs
@@ -210,7 +210,7 @@
             // Nobody polls for more after the last byte.
             Some(Ok(_)) if self.length == Some(reader.received_bytes) => Ok(()),
             Some(Ok(_)) => return Poll::Ready(chunk),
-            Some(Err(fault)) => Err(fault),
+            Some(Err(error)) => Err(error),
             None => Ok(()),
         };
         self.state.set(UploadState::Ended(end));
--- a/crates/proxy/src/descriptor_budget.rs
+++ b/crates/proxy/src/descriptor_budget.rs
@@ -40,7 +40,7 @@
 }
 
 /// The client capacity of a process that may hold `max_sockets` descriptors in all. Each served connection needs a
-/// second descriptor for its way to an endpoint.
+/// second descriptor for its attempt at an endpoint.
 pub fn client_capacity(max_sockets: usize) -> ClientCapacity {
     let counted = counted_descriptors(max_sockets);
     ClientCapacity { max_connections: counted / 2, max_rejected: counted / 8 }
--- a/crates/proxy/src/downstream/close.rs
+++ b/crates/proxy/src/downstream/close.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 /// What a client sends as its connection closes is read and discarded for this long: a close over unread bytes is a
-/// reset, which takes what is still on its way to the client with it. Far longer than the way between the two takes, and
-/// short enough for a client to be disconnected within its 3 s (TERMS).
+/// reset, which discards what the client has not received yet. Far longer than a round trip between the two, which are on
+/// one machine, and short enough for an invalid client to be disconnected within its 3 s (TERMS).
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The same where the connection's capacity is needed for another.
 pub const EVICTION_LINGER_TIMEOUT: Duration = Duration::from_millis(50);
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -11,7 +11,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Most bytes that are read at a time to find a client's close behind them. Its system may hold much more than that.
+/// Most bytes that are read in one check for a client's close behind them, so that a client that sends without end does
+/// not stall the proxy.
 const MAX_CLOSE_SEARCH_BYTES: usize = 1 << 20;
 
 /// One client connection.
@@ -90,7 +91,7 @@
     pub(super) fn begin_request(&self) -> u64 {
         self.record_read();
         self.request_count.set(self.request_count.get() + 1);
-        // The notification also makes a close that the client left behind show at once.
+        // The notification also makes a close of the client be checked at once.
         self.enter(Phase::RequestOpen);
         self.request_count.get()
     }
--- a/crates/proxy/src/downstream/deadline.rs
+++ b/crates/proxy/src/downstream/deadline.rs
@@ -1,5 +1,8 @@
 //! The time limits of a client's connection: when it must close if nothing more arrives on it.
 
+#[cfg(test)]
+mod tests;
+
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -11,8 +14,8 @@
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// From accepting a connection to the end of its first request's body.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_850);
-/// What a body may lose in total beyond what its size explains. A first request has what its head has left of
-/// [`FIRST_REQUEST_TIMEOUT`], within these bounds.
+/// How long a body may stall in total, beyond what its size explains. A first request has what remains of
+/// [`FIRST_REQUEST_TIMEOUT`] after its head, within these bounds.
 const MAX_BODY_SLACK: Duration = Duration::from_secs(2);
 const MIN_BODY_SLACK: Duration = Duration::from_millis(300);
 /// From accepting a connection at capacity, whose request will be rejected, to the end of its head.
@@ -24,10 +27,10 @@
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// In a graceful shutdown an idle connection closes after this, in which all that has arrived is read.
 const SHUTDOWN_IDLE_TIMEOUT: Duration = Duration::from_millis(3);
-/// ... one that has carried no request yet is given longer, as its first is on the way.
+/// ... one that has carried no request yet is given longer, as its first may be in transit.
 const SHUTDOWN_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// ... and a head of which some has arrived must be complete by then. The process may be killed 0.7 s after it was told
-/// to end, and a request that arrives later than that would be lost (PROTOCOL).
+/// ... and a head of which some has arrived must be complete by then. The process may be killed 0.7 s after SIGTERM,
+/// and a request that arrives later than that would be lost (PROTOCOL).
 const SHUTDOWN_HEAD_TIMEOUT: Duration = Duration::from_millis(650);
 
 /// What happens on a connection, and since when.
@@ -50,7 +53,7 @@
 pub struct ConnectionTimes {
     pub phase: Phase,
     pub accepted_at: Instant,
-    /// No request has been complete in its head yet.
+    /// No head of a request has been complete yet.
     pub awaits_first_request: bool,
     /// Since when the client has taken nothing of what is to be written.
     pub write_stalled_since: Option<Instant>,
--- /dev/null
+++ b/crates/proxy/src/downstream/deadline/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+
+const MILLISECOND: Duration = Duration::from_millis(1);
+
+fn times(phase: Phase, accepted_at: Instant, awaits_first_request: bool) -> ConnectionTimes {
+    ConnectionTimes { phase, accepted_at, awaits_first_request, write_stalled_since: None }
+}
+
+#[test]
+fn a_connection_closes_when_its_idle_or_head_time_is_over() {
+    let accepted = Instant::now();
+    let later = accepted + 5_000 * MILLISECOND;
+    let idle_first = times(Phase::Idle { since: accepted }, accepted, true);
+    assert_eq!(idle_first.deadline(false, None), Some(accepted + 2_400 * MILLISECOND));
+    let idle = times(Phase::Idle { since: later }, accepted, false);
+    assert_eq!(idle.deadline(false, None), Some(later + 2_100 * MILLISECOND));
+    let first_head = times(Phase::ReadingHead { since: accepted + 1_000 * MILLISECOND }, accepted, true);
+    assert_eq!(first_head.deadline(false, None), Some(accepted + 2_400 * MILLISECOND));
+    let head = times(Phase::ReadingHead { since: later }, accepted, false);
+    assert_eq!(head.deadline(false, None), Some(later + 2_300 * MILLISECOND));
+}
+
+#[test]
+fn a_connection_at_capacity_has_less_time_for_its_head() {
+    let accepted = Instant::now();
+    let idle = times(Phase::Idle { since: accepted }, accepted, true);
+    assert_eq!(idle.deadline(true, None), Some(accepted + 250 * MILLISECOND));
+    let head = times(Phase::ReadingHead { since: accepted }, accepted, true);
+    assert_eq!(head.deadline(true, None), Some(accepted + 1_000 * MILLISECOND));
+}
+
+#[test]
+fn an_open_request_has_a_deadline_only_while_its_client_takes_nothing() {
+    let accepted = Instant::now();
+    for phase in [Phase::RequestOpen, Phase::AwaitingResponse, Phase::WritingResponse] {
+        let mut open = times(phase, accepted, false);
+        assert_eq!(open.deadline(true, Some(accepted)), None);
+        open.write_stalled_since = Some(accepted);
+        assert_eq!(open.deadline(true, Some(accepted)), Some(accepted + 30_000 * MILLISECOND));
+    }
+}
+
+#[test]
+fn graceful_shutdown_shortens_the_time_of_idle_connections_and_incomplete_heads() {
+    let accepted = Instant::now();
+    let began = accepted + 100 * MILLISECOND;
+    let idle = times(Phase::Idle { since: accepted }, accepted, false);
+    assert_eq!(idle.deadline(false, Some(began)), Some(began + 3 * MILLISECOND));
+    let idle_first = times(Phase::Idle { since: accepted }, accepted, true);
+    assert_eq!(idle_first.deadline(false, Some(began)), Some(began + 300 * MILLISECOND));
+    let head = times(Phase::ReadingHead { since: accepted }, accepted, false);
+    assert_eq!(head.deadline(false, Some(began)), Some(began + 650 * MILLISECOND));
+    // A connection that is first looked at after all that has time for what has arrived by then.
+    let late = began + 2_000 * MILLISECOND;
+    let late_first = times(Phase::Idle { since: late }, late, true);
+    assert_eq!(late_first.deadline(false, Some(began)), Some(late + 3 * MILLISECOND));
+    let late_head = times(Phase::ReadingHead { since: late }, late, true);
+    assert_eq!(late_head.deadline(false, Some(began)), Some(late + 3 * MILLISECOND));
+}
--- a/crates/proxy/src/downstream/http_connection.rs
+++ b/crates/proxy/src/downstream/http_connection.rs
@@ -58,7 +58,6 @@
                 .serve_connection(TokioIo::new(ObservedStream::new(&self.connection)), service);
             self.run_until_end(serving).await
         };
-        // All that was written arrives, and nothing that still arrives is taken for a request.
         match end {
             ConnectionEnd::Finished => close_gracefully(&self.connection.socket, LINGER_TIMEOUT).await,
             ConnectionEnd::Evicted => {
@@ -94,13 +93,13 @@
             tokio::select! {
                 // What has arrived is read before the time is looked at.
                 biased;
-                // How a client's connection ends concerns nobody: its calls are dropped with it.
+                // The result does not matter: the connection's calls are dropped with it.
                 _ = serving.as_mut() => return ConnectionEnd::Finished,
                 () = peer_closed.as_mut(), if !close_seen => {
                     close_seen = true;
                     connection.record_client_close();
                 }
-                // Else a close stays behind bytes for which the system has no room until some are read.
+                // Unread bytes beyond the system's buffer would keep a close behind them from arriving.
                 () = connection.read_ahead(), if connection.awaits_response() => {}
                 () = sleep_until(deadline) => {
                     let deadline = connection.deadline(self.at_capacity, shutdown_began);
--- a/crates/proxy/src/downstream/idle.rs
+++ b/crates/proxy/src/downstream/idle.rs
@@ -7,9 +7,9 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection that has been idle for less is not evicted: a new one's request may be on its way. Client and proxy
-/// share a machine, so a request takes a small part of this; a short time also lets a crowd of idle connections turn
-/// over fast.
+/// A connection that has been idle for less is not evicted: the request of a new one may be in transit. Client and
+/// proxy share a machine, so that takes a small part of this; a short time also lets a crowd of idle connections turn over
+/// fast.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
 
 /// Identifies one idle period of a connection; ascending in the order in which they began.
@@ -21,8 +21,8 @@
     evicted: Rc<Notify>,
 }
 
-/// The idle connections, the one that has been idle longest first. Evicting them at capacity keeps clients that hold
-/// connections without using them from locking others out.
+/// The idle connections, the one that has been idle longest first. Evicting them at capacity lets others connect although
+/// some clients keep connections without using them.
 #[derive(Default)]
 pub struct IdleConnections {
     by_age: RefCell<BTreeMap<IdleKey, IdleConnection>>,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -125,7 +125,7 @@
                 self.report_capacity(at_capacity);
                 self.spawn_connection(stream, at_capacity, slot);
             }
-            Err(fault) => self.recover(&fault).await,
+            Err(error) => self.recover(&error).await,
         }
     }
 
@@ -158,9 +158,9 @@
     }
 
     /// Running out of descriptors must not end the program: idle upstream connections close first.
-    async fn recover(&self, fault: &io::Error) {
+    async fn recover(&self, error: &io::Error) {
         let is_aborted =
-            matches!(fault.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::ConnectionReset);
+            matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::ConnectionReset);
         if !is_aborted && !self.downstream.pool.evict_oldest() {
             tokio::time::sleep(NO_DESCRIPTOR_PAUSE).await;
         }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,5 +1,8 @@
 //! Reads and validates a client's request, starts its call and waits for the final response.
 
+#[cfg(test)]
+mod tests;
+
 use super::connection::ClientPresence;
 use super::open_request::OpenRequest;
 use super::response::{final_response, rejected, text_response, RequestError, CAPACITY_RETRY_AFTER_US};
@@ -80,7 +83,7 @@
         }
         match self.forward(parts, body, open, client).await {
             Ok(response) => final_response(response),
-            Err(fault) => fault.into_response(),
+            Err(error) => error.into_response(),
         }
     }
 
@@ -161,7 +164,7 @@
                 discard(Upload::new(reader, MemoryReservation::default(), length), open);
                 return Err(RequestError::AtCapacity);
             }
-            Err(fault) => return Err(RequestError::Body(fault)),
+            Err(error) => return Err(RequestError::Body(error)),
         };
         if beginning.is_complete {
             open.complete();
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -39,14 +39,14 @@
             RequestError::InvalidTimeout | RequestError::MissingRequestId => StatusCode::BAD_REQUEST,
             RequestError::UnknownClass => StatusCode::NOT_FOUND,
             RequestError::AtCapacity => return rejected(CAPACITY_RETRY_AFTER_US),
-            RequestError::Body(fault) => return body_error(fault),
+            RequestError::Body(error) => return body_error(error),
         };
         closing_response(status, self.to_string())
     }
 }
 
-fn body_error(fault: BodyError) -> Response<ResponseStream> {
-    match fault {
+fn body_error(error: BodyError) -> Response<ResponseStream> {
+    match error {
         BodyError::Aborted => closing_response(StatusCode::BAD_REQUEST, "broken body"),
         BodyError::TooLarge => closing_response(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB"),
         BodyError::OutOfMemory => rejected(CAPACITY_RETRY_AFTER_US),
--- a/crates/proxy/src/hot_restart/handover.rs
+++ b/crates/proxy/src/hot_restart/handover.rs
@@ -14,7 +14,7 @@
 /// A larger file is ignored.
 const MAX_LIST_FILE_BYTES: u64 = 4 << 20;
 
-/// What the file holds.
+/// The content of the file.
 #[derive(Serialize, Deserialize)]
 struct HandoverFile {
     discovery: SocketAddr,
@@ -51,8 +51,8 @@
     /// Leaves the list for the process that starts next. A reader finds the old file or the new one, never a part.
     /// A failure is logged: the successor then starts from its configured list.
     pub fn write_endpoint_list(&self, discovery: SocketAddr, list: EndpointList) {
-        if let Err(fault) = self.try_write(&HandoverFile { discovery, list }) {
-            warn!(directory = %self.path.display(), reason = %fault, "endpoint list not left for the successor");
+        if let Err(error) = self.try_write(&HandoverFile { discovery, list }) {
+            warn!(directory = %self.path.display(), reason = %error, "endpoint list not left for the successor");
         }
     }
 
--- a/crates/proxy/src/hot_restart/listener.rs
+++ b/crates/proxy/src/hot_restart/listener.rs
@@ -81,7 +81,7 @@
     let mut is_reported = false;
     loop {
         match bind(address) {
-            Err(fault) if fault.kind() == io::ErrorKind::AddrInUse && began.elapsed() < BIND_TIMEOUT => {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && began.elapsed() < BIND_TIMEOUT => {
                 if !is_reported {
                     info!(%address, "waiting for the address: another process listens there");
                     is_reported = true;
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -32,8 +32,8 @@
                     buf.advance(count);
                     return Poll::Ready(Ok(count));
                 }
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-                Err(fault) => return Poll::Ready(Err(fault)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
@@ -43,7 +43,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(buf) {
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -59,7 +59,7 @@
         let mut buffer = [0; READ_BUFFER_BYTES];
         match self.0.try_read(&mut buffer) {
             Ok(count) => Some(take(&buffer[..count])),
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => None,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
             Err(_) => Some(take(&[])),
         }
     }
