--- a/crates/cli/tests/client_capacity.rs
+++ b/crates/cli/tests/client_capacity.rs
@@ -20,7 +20,7 @@
 const MAX_ADMIN_LATENCY: Duration = Duration::from_secs(2);
 /// Longest time for which an invalid client may stay connected.
 const MAX_INVALID_CLIENT_TIME: Duration = Duration::from_secs(3);
-/// Most connections that a crowd of idle clients opens, for each client of it.
+/// Most connections that each idle client opens.
 const MAX_CONNECTIONS_PER_IDLE_CLIENT: usize = 20;
 
 fn named_entry(endpoint: &Noting, status: &str) -> (String, String) {
@@ -44,17 +44,17 @@
 }
 
 /// Idle clients: a thread keeps their connections open, which are never used, and opens each anew when it is closed.
-struct IdleCrowd {
+struct IdleClients {
     stop: Arc<AtomicBool>,
     thread: thread::JoinHandle<usize>,
 }
 
-impl IdleCrowd {
-    fn start(address: SocketAddr, client_count: usize) -> IdleCrowd {
+impl IdleClients {
+    fn start(address: SocketAddr, client_count: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
         let thread = thread::spawn(move || keep_idle_connections(address, client_count, &stopped));
-        IdleCrowd { stop, thread }
+        IdleClients { stop, thread }
     }
 
     /// Closes all connections and returns how many were opened.
@@ -89,7 +89,7 @@
 fn wait_until_filled(proxy: &Proxy, descriptor_count: usize) {
     let began = Instant::now();
     while open_descriptors(proxy) < descriptor_count {
-        assert!(began.elapsed() < LONG, "the crowd connects: {}", open_descriptors(proxy));
+        assert!(began.elapsed() < LONG, "the idle clients connect: {}", open_descriptors(proxy));
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -172,9 +172,9 @@
         agent.down(true);
         agent.hush();
         let descriptors_before = open_descriptors(&proxy);
-        let crowd = IdleCrowd::start(proxy.address, sockets * 3 / 2);
+        let idle_clients = IdleClients::start(proxy.address, sockets * 3 / 2);
         wait_until_filled(&proxy, sockets / 2);
-        // Longer than a connection may be idle: the crowd has reconnected by then.
+        // Longer than a connection may be idle: the idle clients have reconnected by then.
         let before = RequestSeries::run(
             Duration::from_secs(4),
             || is_served(&proxy, "before"),
@@ -195,11 +195,13 @@
         let latest = old.of("after").into_iter().map(|at| at - notified).max().unwrap_or_default();
         assert!(latest <= NOTIFICATION_WINDOW + NOTIFICATION_SLACK, "{latest:?}");
         assert!(!new.of("after").is_empty(), "the new endpoint serves");
-        let opened = crowd.stop();
+        let opened = idle_clients.stop();
         wait_until_released(&proxy, descriptors_before);
         let most = before.max_descriptors.max(after.max_descriptors);
-        let (served, moved) = (before.served, after.served);
-        println!("{sockets}: {opened} idle connections, {served} and {moved} served, {most} descriptors, last {latest:?}");
+        let served = [before.served, after.served];
+        println!(
+            "{sockets}: {opened} idle connections, {served:?} served, {most} descriptors, last {latest:?}"
+        );
         assert!(most <= sockets, "{most} descriptors");
         assert!(proxy.child.try_wait().expect("a child").is_none(), "it still runs");
     }
@@ -217,7 +219,7 @@
     agent.watched();
     agent.down(true);
     agent.hush();
-    let crowd = IdleCrowd::start(predecessor.address, SOCKETS * 3 / 2);
+    let idle_clients = IdleClients::start(predecessor.address, SOCKETS * 3 / 2);
     wait_until_filled(&predecessor, SOCKETS / 2);
     let successor = platform.start(&text);
     let is_served = || {
@@ -233,7 +235,7 @@
     assert!(max_descriptors <= SOCKETS, "{max_descriptors} descriptors together");
     predecessor.terminate();
     assert!(predecessor.ended());
-    crowd.stop();
+    idle_clients.stop();
     let ended = Instant::now();
     while !is_served() {
         assert!(ended.elapsed() < LONG);
@@ -261,12 +263,12 @@
                  Content-Length: {}\r\n\r\n",
                 HALF_BODY_BYTES * 2
             ));
-            client.stream.get_mut().write_all(&half).expect("room for what it writes");
+            client.stream.get_mut().write_all(&half).expect("the sockets buffer what it writes");
             client
         })
         .collect();
     for client in &mut clients {
-        client.stream.get_mut().write_all(&half).expect("room for what it writes");
+        client.stream.get_mut().write_all(&half).expect("the sockets buffer what it writes");
     }
     let began = Instant::now();
     let mut served = 0;
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -7,7 +7,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -43,6 +43,39 @@
     }
 }
 
+/// An endpoint whose first request waits until the test releases it.
+struct GatedEndpoint {
+    host: Host,
+    /// Reports the arrival of the first request.
+    arrivals: Receiver<()>,
+    release: Sender<()>,
+}
+
+impl GatedEndpoint {
+    /// It answers every request with `reply`, the first one once it is released.
+    fn start(reply: Reply) -> GatedEndpoint {
+        let (arrival_sender, arrivals) = channel();
+        let (release, gate) = channel::<()>();
+        let gate = Mutex::new(gate);
+        let host = Host::start(move |number| {
+            if number == 0 {
+                let _ = arrival_sender.send(());
+                let _ = gate.lock().expect("one call").recv();
+            }
+            reply.clone()
+        });
+        GatedEndpoint { host, arrivals, release }
+    }
+
+    fn await_first_request(&self) {
+        self.arrivals.recv_timeout(LONG).expect("the call at the endpoint");
+    }
+
+    fn release(&self) {
+        self.release.send(()).expect("the endpoint waits");
+    }
+}
+
 fn head(class: &str, time: &str, length: usize) -> String {
     format!(
         "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Request-ID: 9b1f03aa\r\nX-Timeout: {time}\r\n\
@@ -87,8 +120,8 @@
 /// Calls are queued, as no endpoint is known, when their clients disconnect; then one comes up.
 #[test]
 fn disconnected_clients_get_no_first_attempt() {
-    const CLIENTS_PER_WAY: usize = 14;
-    let client_count = disconnects().len() * CLIENTS_PER_WAY;
+    const CLIENTS_PER_DISCONNECT: usize = 14;
+    let client_count = disconnects().len() * CLIENTS_PER_DISCONNECT;
     for starved in [false, true] {
         let discovery = Discovery::start();
         let endpoint = Host::serving("ok");
@@ -96,10 +129,10 @@
         let admin = proxy.operator();
         discovery.asked();
         let mut clients = Vec::new();
-        for way in disconnects().into_iter().cycle().take(client_count) {
+        for kind in disconnects().into_iter().cycle().take(client_count) {
             let mut client = proxy.client();
-            client.stream.get_mut().write_all(&way.bytes).expect("room for what it writes");
-            clients.push((client.stream.into_inner(), way.is_reset));
+            client.stream.get_mut().write_all(&kind.bytes).expect("the sockets buffer what it writes");
+            clients.push((client.stream.into_inner(), kind.is_reset));
         }
         wait_for_metric(admin, "/inflight", client_count as u64);
         if starved {
@@ -144,7 +177,7 @@
     discovery.asked();
     let mut client = proxy.client();
     client.write(&head("safe", "3000m", 4 << 20));
-    client.stream.get_mut().write_all(&vec![b'x'; 1 << 20]).expect("room for what it writes");
+    client.stream.get_mut().write_all(&vec![b'x'; 1 << 20]).expect("the sockets buffer what it writes");
     wait_for_metric(admin, "/inflight", 1);
     drop(client);
     discovery.tell(&list(42, true, &[up("s-1", &endpoint)]));
@@ -178,7 +211,7 @@
             Proxy::with(&configuration(&discovery, &[up("s-1", &endpoints[0]), up("s-2", &endpoints[1])]));
         let admin = proxy.operator();
         let mut client = proxy.client();
-        client.stream.get_mut().write_all(&bytes).expect("room for what it writes");
+        client.stream.get_mut().write_all(&bytes).expect("the sockets buffer what it writes");
         arrivals.recv_timeout(LONG).expect("the first attempt");
         disconnect(client.stream.into_inner(), is_reset);
         wait_for_metric(admin, "/inflight", 0);
@@ -260,28 +293,21 @@
 #[test]
 fn unread_bytes_do_not_lose_the_last_response() {
     for shuts_down in [true, false] {
-        let (arrival_sender, arrivals) = channel();
-        let (release, gate) = channel::<()>();
-        let gate = Mutex::new(gate);
-        let endpoint = Host::start(move |_| {
-            let _ = arrival_sender.send(());
-            let _ = gate.lock().expect("one call").recv();
-            Reply::Write(answer("200 OK", "", "last"))
-        });
+        let endpoint = GatedEndpoint::start(Reply::Write(answer("200 OK", "", "last")));
         let discovery = Discovery::start();
-        let proxy = Proxy::with(&configuration(&discovery, &[up("s-1", &endpoint)]));
+        let proxy = Proxy::with(&configuration(&discovery, &[up("s-1", &endpoint.host)]));
         let mut client = proxy.client();
         client.write(
             &head("unsafe", "9000m", 0)
                 .replace("Host", if shuts_down { "Host" } else { "Connection: close\r\nHost" }),
         );
-        arrivals.recv_timeout(LONG).expect("the call at the endpoint");
+        endpoint.await_first_request();
         if shuts_down {
             proxy.terminate();
             wait_for_shutdown(&proxy);
         }
-        client.stream.get_mut().write_all(&vec![b'x'; 150 << 10]).expect("room for what it writes");
-        release.send(()).expect("the endpoint waits");
+        client.stream.get_mut().write_all(&vec![b'x'; 150 << 10]).expect("the sockets buffer what it writes");
+        endpoint.release();
         let last = client.answer().expect("the response");
         assert_eq!((last.status(), last.body.as_slice()), (200, &b"last"[..]));
         assert_eq!(
@@ -333,18 +359,11 @@
 /// A deduplicated call is retried on a connection that comes up only when servers no longer recognise the duplicate.
 #[test]
 fn no_retry_begins_after_its_deduplication_window() {
-    let (arrival_sender, arrivals) = channel();
-    let (release, gate) = channel::<()>();
-    let gate = Mutex::new(gate);
-    let first = Host::start(move |_| {
-        let _ = arrival_sender.send(());
-        let _ = gate.lock().expect("one call").recv();
-        Reply::WriteAndClose(String::new())
-    });
+    let first = GatedEndpoint::start(Reply::WriteAndClose(String::new()));
     let discovery = Discovery::start();
     let unresponsive = Deaf::start();
     let deduplicated = r#""idempotency":"guarded","dedup_scope":"all","repeat_window_us":600000"#;
-    let text = configuration(&discovery, &[up("s-1", &first)])
+    let text = configuration(&discovery, &[up("s-1", &first.host)])
         .replace(r#""idempotency":"free""#, deduplicated)
         .replace(
             r#""objective_us":1500000,"deadline_us":3000000"#,
@@ -355,11 +374,11 @@
     discovery.asked();
     let mut client = proxy.client();
     client.send("safe", "9000m");
-    arrivals.recv_timeout(LONG).expect("the first attempt");
+    first.await_first_request();
     // The only other endpoint is one to which a connect takes 1 s at the least.
     discovery.tell(&list(42, true, &[entry("s-2", unresponsive.address, "up", 0)]));
     assert!(discovery.asked().contains("index=42&"));
-    release.send(()).expect("the endpoint waits");
+    first.release();
     // Only now can the connect succeed.
     thread::sleep(Duration::from_millis(700));
     assert_eq!(unresponsive.take_all(), 0, "bytes of a retry after its window");
@@ -453,18 +472,9 @@
 /// hold.
 #[test]
 fn reloads_race_with_shutdown_and_each_other() {
-    let (arrival_sender, arrivals) = channel();
-    let (release, gate) = channel::<()>();
-    let gate = Mutex::new(gate);
-    let endpoint = Host::start(move |n| {
-        if n == 0 {
-            let _ = arrival_sender.send(());
-            let _ = gate.lock().expect("one call").recv();
-        }
-        Reply::Write(answer("200 OK", "", "ok"))
-    });
+    let endpoint = GatedEndpoint::start(Reply::Write(answer("200 OK", "", "ok")));
     let discovery = Discovery::start();
-    let known = [up("s-1", &endpoint)];
+    let known = [up("s-1", &endpoint.host)];
     let mut proxy = Proxy::with(&configuration(&discovery, &known));
     let without = |class: &str| {
         configuration(&discovery, &known).replace(&format!(r#""name":"{class}""#), r#""name":"other""#)
@@ -474,7 +484,7 @@
     incomplete.write(&head("unsafe", "5000m", 4));
     let mut slow = proxy.client();
     slow.send("safe", "9000m");
-    arrivals.recv_timeout(LONG).expect("the call at the endpoint");
+    endpoint.await_first_request();
     proxy.reload(&without("safe"));
     proxy.reload(&without("unsafe"));
     let began = Instant::now();
@@ -490,7 +500,7 @@
     proxy.terminate();
     proxy.reload(&without("safe"));
     proxy.terminate();
-    release.send(()).expect("the endpoint waits");
+    endpoint.release();
     assert_eq!(slow.answer().expect("a response").status(), 200);
     assert!(proxy.ended(), "it exits 0");
 }
@@ -518,19 +528,10 @@
 #[test]
 fn a_retry_follows_the_settings_in_force_when_its_call_arrived() {
     for (class, expected_attempts) in [("unsafe", 1), ("safe", 2)] {
-        let (arrival_sender, arrivals) = channel();
-        let (release, gate) = channel::<()>();
-        let gate = Mutex::new(gate);
-        let first = Host::start(move |n| {
-            if n == 0 {
-                let _ = arrival_sender.send(());
-                let _ = gate.lock().expect("one call").recv();
-            }
-            Reply::WriteAndClose(String::new())
-        });
+        let first = GatedEndpoint::start(Reply::WriteAndClose(String::new()));
         let discovery = Discovery::start();
         let second = Host::serving("ok");
-        let before = configuration(&discovery, &[up("s-1", &first)]);
+        let before = configuration(&discovery, &[up("s-1", &first.host)]);
         let idempotent = r#""idempotency":"free""#;
         let non_idempotent = r#""idempotency":"single_shot""#;
         let after = before
@@ -542,14 +543,14 @@
         discovery.asked();
         let mut client = proxy.client();
         client.send(class, "2900m");
-        arrivals.recv_timeout(LONG).expect("the first attempt");
+        first.await_first_request();
         proxy.reload(&after);
         wait_for_metric(admin, "/reconfig_ok", 1);
         discovery.tell(&list(42, false, &[up("s-2", &second)]));
         assert!(discovery.asked().contains("index=42&"));
-        release.send(()).expect("the endpoint waits");
+        first.release();
         let status = client.answer().expect("a final response").status();
-        let attempts = 1 + first.further_requests().saturating_sub(1) + second.further_requests();
+        let attempts = 1 + first.host.further_requests().saturating_sub(1) + second.further_requests();
         assert_eq!(
             (attempts, status == 200),
             (expected_attempts, expected_attempts == 2),
