--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -364,11 +364,11 @@
         (good.replace(r#""index":42,"#, ""), "missing field `index`"),
         (good.replace(r#""name":"s-2","#, ""), "missing field `name`"),
         (good.replace("\"index\":42", "\"index\":-1"), "invalid value"),
-        (list(42, true, &[up("s-2", &other), up("s-2", &host)]), "s-2 twice"),
+        (list(42, true, &[up("s-2", &other), up("s-2", &host)]), "s-2 listed twice"),
         (format!("{good}{}", " ".repeat(5 << 20)), "length limit exceeded"),
         (list(40, true, &[up("s-2", &other)]), "version 40 after 41"),
         // Asked for the whole list.
-        (list(42, false, &[up("s-2", &other)]), "changes where the whole list was asked for"),
+        (list(42, false, &[up("s-2", &other)]), "a delta where a snapshot was requested"),
     ];
     let mut whole = false;
     for (text, reason) in odd {
--- a/crates/proxy/src/discovery/deadlines.rs
+++ b/crates/proxy/src/discovery/deadlines.rs
@@ -1,106 +1,90 @@
-//! The time that a change of the list may take (`docs/discovery.md`). Each figure follows from when a change counts as told,
-//! or from the settings.
+//! How long the watcher may take for each step, so that it learns of a change before its notification deadline
+//! (`docs/discovery.md`). Each duration follows from the protocol or from the settings.
 
 use oakport_core::Rules;
 use std::time::Duration;
 
-/// What a watch that fell silent misses counts as told so long after that (PROTOCOL, FLEET), and after a call that failed,
-/// was refused or given up, so long after the service had it and could be reached ...
-const SILENCE: Duration = Duration::from_secs(6);
-/// ... but not before this long after the wait of its call is over.
-const AFTER_WAIT: Duration = Duration::from_secs(2);
-/// After SIGHUP, what discovery has to tell counts as told so much later (TERMS).
-pub const MOVE: Duration = Duration::from_secs(4);
-/// Longest wait that a call may name.
-const WAIT_MOST: Duration = Duration::from_secs(60);
-/// An answer that may wait is silence so long after its wait: the rest of `AFTER_WAIT` is for opening anew.
-pub const LATE: Duration = Duration::from_millis(500);
-/// Calls that fit into the drain window: one that was swallowed, the one after it, and as much again for its answer.
-const TRIES: u32 = 4;
-/// Bounds of the pace, for windows that would have an agent asked without end, or hardly ever.
-const PACE: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
+/// A change that a silent watch misses counts as notified this long after the watch fell silent (PROTOCOL, FLEET). After
+/// a poll that failed, was rejected or timed out: this long after the service had the change and was reachable.
+const NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// The notification deadline of a silent watch is never earlier than this after the end of its wait.
+const NOTIFICATION_DELAY_AFTER_WAIT: Duration = Duration::from_secs(2);
+/// After SIGHUP with another discovery address, its changes count as notified this much later (TERMS).
+pub const ADDRESS_CHANGE_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
+/// Longest wait that a poll may name.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// A watch without an answer this long after its wait is taken for silent. What is left of
+/// `NOTIFICATION_DELAY_AFTER_WAIT` is for reopening it.
+pub const SILENCE_DETECTION_DELAY: Duration = Duration::from_millis(500);
+/// Agent polls that fit into the drain window: one that was lost, the next one, and as much again for its answer.
+const AGENT_POLLS_PER_DRAIN_WINDOW: u32 = 4;
+/// Bounds of the interval between agent polls, for drain windows that are very short or very long.
+const MIN_AGENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_AGENT_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How lists come, by the settings.
+/// How endpoint lists arrive and how long each step may take, by the settings in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadlines {
-    /// By an agent of one's own, which answers at once and free of charge; else by a service that all share.
+    /// True: lists come from an agent on this machine, which answers at once and free of charge. False: from a service
+    /// that all client proxies share.
     pub pushed: bool,
+    /// Window in which a proxy may still send to an endpoint that has started to drain.
     pub drain_grace: Duration,
-    pub ask_every: Duration,
+    /// Longest time between two polls of a shared service.
+    pub max_poll_interval: Duration,
 }
 
 impl Deadlines {
-    pub fn new(asked: bool, rules: &Rules) -> Self {
-        let [drain_grace, ask_every] =
-            [rules.drain_grace, rules.max_poll_interval].map(Duration::from_micros);
-        Deadlines { pushed: !asked, drain_grace, ask_every }
+    /// `polled`: lists come from a shared service.
+    pub fn new(polled: bool, rules: &Rules) -> Self {
+        Deadlines {
+            pushed: !polled,
+            drain_grace: Duration::from_micros(rules.drain_grace),
+            max_poll_interval: Duration::from_micros(rules.max_poll_interval),
+        }
     }
 
-    /// How long a watch waits for news.
-    pub fn wait(&self) -> Duration {
+    /// How long a watch waits for an update.
+    pub fn watch_wait(&self) -> Duration {
+        // The longest wait for which `NOTIFICATION_DELAY` is the later of the two bounds.
+        let shortest = NOTIFICATION_DELAY - NOTIFICATION_DELAY_AFTER_WAIT;
         if self.pushed {
-            SILENCE - AFTER_WAIT
+            shortest
         } else {
-            self.ask_every.clamp(SILENCE - AFTER_WAIT, WAIT_MOST)
+            self.max_poll_interval.clamp(shortest, MAX_WATCH_WAIT)
         }
     }
 
-    /// How long a call for what is there already is given.
-    pub fn patience(&self) -> Duration {
-        AFTER_WAIT
+    /// Timeout of a catch-up poll, which asks for what is there already.
+    pub fn catch_up_timeout(&self) -> Duration {
+        NOTIFICATION_DELAY_AFTER_WAIT
     }
 
-    /// From one call to the next while an agent does not answer. `unit` is a random number from 0 to 1.
-    pub fn pace(&self, unit: f64) -> Duration {
-        (self.drain_grace / TRIES).clamp(PACE.0, PACE.1).mul_f64(0.75 + unit / 2.0)
+    /// Interval between polls while an agent does not answer. `unit` is a random number from 0 to 1.
+    pub fn agent_poll_interval(&self, unit: f64) -> Duration {
+        let interval = self.drain_grace / AGENT_POLLS_PER_DRAIN_WINDOW;
+        interval.clamp(MIN_AGENT_POLL_INTERVAL, MAX_AGENT_POLL_INTERVAL).mul_f64(0.75 + unit / 2.0)
     }
 
-    /// Before a watch of a shared service that broke is opened anew, so that not all do so as one.
-    pub fn spread(&self, unit: f64) -> Duration {
-        (AFTER_WAIT / 2).mul_f64(0.25 + unit * 0.75)
+    /// Delay before a broken watch of a shared service is reopened, so that client proxies don't do so all at once.
+    /// `unit` is a random number from 0 to 1.
+    pub fn reopen_delay(&self, unit: f64) -> Duration {
+        (NOTIFICATION_DELAY_AFTER_WAIT / 2).mul_f64(0.25 + unit * 0.75)
     }
 
-    /// From the beginning of a call of a shared service that failed to that of the next one, whatever the module says:
-    /// after it there is time for an answer within `SILENCE` of the moment from which the service can be reached, be that
-    /// right after the first was swallowed or refused.
-    pub fn again(&self, unit: f64) -> Duration {
-        self.patience() + (SILENCE - self.patience() - self.patience() - LATE).mul_f64(unit)
+    /// From the start of a failed poll of a shared service to the start of the next one, at the latest. It leaves time
+    /// for an answer within `NOTIFICATION_DELAY` of the moment at which the service became reachable, even if that was
+    /// right after the failed poll. `unit` is a random number from 0 to 1.
+    pub fn failed_poll_interval(&self, unit: f64) -> Duration {
+        let timeout = self.catch_up_timeout();
+        timeout + (NOTIFICATION_DELAY - timeout - timeout - SILENCE_DETECTION_DELAY).mul_f64(unit)
     }
 
-    /// A list not confirmed for longer than this may lack what counts as told.
-    pub fn age_most(&self) -> Duration {
-        SILENCE.max(self.wait() + AFTER_WAIT)
+    /// A list that has not been confirmed for longer than this may lack a change that counts as notified.
+    pub fn max_list_age(&self) -> Duration {
+        NOTIFICATION_DELAY.max(self.watch_wait() + NOTIFICATION_DELAY_AFTER_WAIT)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// For windows of each size, and both ways: the latest step ends before what is missed counts as told and the window
-    /// is over.
-    #[test]
-    fn the_steps_fit_into_what_the_terms_allow() {
-        for grace in [20, 80, 500, 1_000, 5_000, 60_000].map(Duration::from_millis) {
-            for ask_every in [0, 1_600, 10_000, 600_000].map(Duration::from_millis) {
-                for unit in [0.0, 0.5, 1.0] {
-                    let at = |pushed| Deadlines { pushed, drain_grace: grace, ask_every };
-                    let pushed = at(true);
-                    // Silent from its first moment on.
-                    let told = SILENCE.max(pushed.wait() + AFTER_WAIT);
-                    assert!(pushed.wait() + LATE + pushed.pace(unit) < told, "before any window");
-                    // At a return of the agent: a call that it swallowed, and the one after it.
-                    assert!(grace < PACE.0 * TRIES || pushed.pace(unit) * 2 < grace, "{grace:?}");
-
-                    let asked = at(false);
-                    let told = SILENCE.max(asked.wait() + AFTER_WAIT);
-                    assert!(asked.wait() + LATE + asked.spread(unit) < told);
-                    assert!(asked.spread(unit) * 2 < MOVE);
-                    // The call that failed may have been given up only after its time.
-                    assert!(asked.again(unit) >= asked.patience());
-                    assert!(asked.again(unit) + asked.patience() < SILENCE, "time for an answer is left");
-                }
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,7 +1,10 @@
 //! Keeps the endpoint list up to date with discovery (`docs/discovery.md`).
 
 mod deadlines;
+mod list_update;
 mod poll;
+mod poll_schedule;
+mod staleness;
 mod watcher;
 
 pub use watcher::EndpointWatcher;
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,16 +1,16 @@
-//! Keeps the list of hosts up to date (`docs/discovery.md`). A watch follows on the last answer at once; one that breaks is
-//! opened anew when a catch-up call has been answered. Requests never wait for any of this.
+//! Keeps the endpoint list up to date (`docs/discovery.md`). Each answered watch is followed by the next one at once; a
+//! watch that breaks is reopened when a catch-up poll has been answered. Requests never wait for any of this.
 
-use super::deadlines::{self, Deadlines};
+use super::deadlines::{Deadlines, SILENCE_DETECTION_DELAY};
+use super::list_update::{self, InvalidEndpointList};
 use super::poll::{PollConnection, PollError};
+use super::poll_schedule::PollSchedule;
+use super::staleness::Staleness;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::hot_restart::HandoverDirectory;
 use oakport_core::ListUpdateKind;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg32;
 use std::cell::RefCell;
-use std::collections::HashSet;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -19,308 +19,262 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout, Instant};
-use tracing::{debug, info, warn};
+use tracing::info;
 
-/// A pause after an answer that came at once and told nothing new: it stays within the 200 ms in which the
-/// next call continues the watch, and keeps a confused service from being asked without end.
-const CALM: Duration = Duration::from_millis(50);
-/// The wait of a call for what is there already: the shortest there is.
-const NO_WAIT: Duration = Duration::from_millis(1);
+/// Pause after an answer that came at once without a new version: within the 200 ms in which the next poll continues
+/// the watch, and long enough that a faulty service is not polled in a busy loop.
+const UNCHANGED_ANSWER_PAUSE: Duration = Duration::from_millis(50);
+/// Wait of a catch-up poll, which asks for what is there already: the shortest that the protocol has.
+const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
 
-/// An answer with the connection it came on.
-type Caught = (PollConnection, EndpointList);
-type Call = Pin<Box<dyn Future<Output = Result<Caught, PollError>>>>;
+/// A list with the connection it came on, which serves the watch that follows.
+struct PolledList {
+    connection: PollConnection,
+    list: EndpointList,
+}
+
+type PollResult = Result<PolledList, PollError>;
+type PendingPoll = Pin<Box<dyn Future<Output = PollResult>>>;
 
 /// The discovery client of one process.
 pub struct EndpointWatcher {
-    driver: Dispatcher,
+    dispatcher: Dispatcher,
     address: watch::Receiver<SocketAddr>,
-    /// Version of the list in force, as the service at `address` counts.
-    index: Option<u64>,
-    /// What is learned is left here for the next process.
-    shared: Option<Rc<RefCell<HandoverDirectory>>>,
-    random: Pcg32,
-    /// When a shared service is asked again at the latest, whatever the module says.
-    due: Option<Instant>,
-    /// Until then a shared service that fails is asked again by `due`.
-    keen_until: Instant,
-    /// The last call failed: one that may wait would not tell silence from no news.
-    failing: bool,
-    /// When an agent was last begun to be asked.
-    begun: Option<Instant>,
-    /// When the list was last confirmed, and from what age on the next line tells that it may be old.
-    confirmed: Instant,
-    tell_at: Option<Duration>,
-    /// What was last told to have failed, since the list was confirmed.
-    fault: Option<String>,
+    /// Version of the list in force, as the service at `address` counts it.
+    version: Option<u64>,
+    /// Where the list is left for the successor process.
+    handover: Option<Rc<RefCell<HandoverDirectory>>>,
+    schedule: PollSchedule,
+    staleness: Staleness,
 }
 
 impl EndpointWatcher {
+    /// `version` is that of the list in force, if the service at `address` has sent it.
     pub fn new(
-        driver: Dispatcher,
+        dispatcher: Dispatcher,
         address: watch::Receiver<SocketAddr>,
-        index: Option<u64>,
-        shared: Option<Rc<RefCell<HandoverDirectory>>>,
+        version: Option<u64>,
+        handover: Option<Rc<RefCell<HandoverDirectory>>>,
         seed: u64,
     ) -> Self {
         let now = Instant::now();
         EndpointWatcher {
-            driver,
+            dispatcher,
             address,
-            index,
-            shared,
-            random: Pcg32::seed_from_u64(seed),
-            due: Some(now),
-            keen_until: now,
-            failing: false,
-            begun: None,
-            confirmed: now,
-            tell_at: None,
-            fault: None,
+            version,
+            handover,
+            schedule: PollSchedule::new(seed, now),
+            staleness: Staleness::new(now),
         }
     }
 
     /// Keeps the list up to date for as long as the program runs, also when discovery moves to another address.
     pub async fn run(mut self) {
-        let terms = self.terms();
-        info!(pushed = terms.pushed, drain_ms = terms.drain_grace.as_millis() as u64, "watching the list");
+        let deadlines = self.deadlines();
+        info!(
+            pushed = deadlines.pushed,
+            drain_ms = deadlines.drain_grace.as_millis() as u64,
+            "watching endpoint list"
+        );
         loop {
-            let terms = self.terms();
-            let caught = if terms.pushed { self.ask_agent().await } else { self.ask_service(terms).await };
-            if let Some((link, list)) = caught {
-                match self.take(list) {
-                    Ok(_) => self.watch(link).await,
-                    Err(fault) => self.broke(&fault.into(), terms, true),
-                }
+            let deadlines = self.deadlines();
+            let polled =
+                if deadlines.pushed { self.poll_agent().await } else { self.poll_service(deadlines).await };
+            let Some(PolledList { connection, list }) = polled else { continue };
+            match self.apply_update(list) {
+                Ok(_) => self.watch(connection).await,
+                Err(error) => self.watch_broke(&error.into(), deadlines, true),
             }
         }
     }
 
-    /// Follows the list until the watch breaks or discovery moves.
-    async fn watch(&mut self, mut link: PollConnection) {
-        let opened = Instant::now();
+    /// Watches the list until the watch breaks or discovery moves.
+    async fn watch(&mut self, mut connection: PollConnection) {
+        let opened_at = Instant::now();
         loop {
-            let (asked, terms) = (Instant::now(), self.terms());
-            let (wait, index) = (terms.wait(), self.index);
-            let call = async {
-                link.renew().await?;
-                link.ask(index, wait).await
+            let polled_at = Instant::now();
+            let deadlines = self.deadlines();
+            let wait = deadlines.watch_wait();
+            let version = self.version;
+            let poll = async {
+                connection.reconnect_if_closed().await?;
+                connection.poll(version, wait).await
             };
             let answer = tokio::select! {
-                answer = timeout(wait + deadlines::LATE, call) => answer,
-                () = moved(&mut self.address) => return self.follow(terms),
+                answer = timeout(wait + SILENCE_DETECTION_DELAY, poll) => answer,
+                () = address_changed(&mut self.address) => return self.follow_address(deadlines),
             };
-            let fault = match answer {
-                Ok(Ok(list)) => match self.take(list) {
-                    Ok(news) => {
-                        if !news && asked.elapsed() < CALM {
-                            tokio::time::sleep(CALM).await;
-                        }
-                        continue;
+            let answer = answer.unwrap_or(Err(PollError::TimedOut));
+            let error = match answer.and_then(|list| Ok(self.apply_update(list)?)) {
+                Ok(new_version) => {
+                    if !new_version && polled_at.elapsed() < UNCHANGED_ANSWER_PAUSE {
+                        tokio::time::sleep(UNCHANGED_ANSWER_PAUSE).await;
                     }
-                    Err(fault) => fault.into(),
-                },
-                Ok(Err(fault)) => fault,
-                Err(_) => PollError::Silent,
+                    continue;
+                }
+                Err(error) => error,
             };
-            return self.broke(&fault, terms, opened.elapsed() < terms.patience());
+            let broke_at_once = opened_at.elapsed() < deadlines.catch_up_timeout();
+            return self.watch_broke(&error, deadlines, broke_at_once);
         }
     }
 
-    /// A watch broke. A shared service that refuses, or whose watches break as soon as they are open, is one that fails.
-    fn broke(&mut self, fault: &PollError, terms: Deadlines, at_once: bool) {
-        self.failed(&fault.to_string());
-        let fails = at_once || matches!(fault, PollError::Refused(_));
-        self.due = Some(if fails { Instant::now() + self.again(terms) } else { self.spread(terms) });
-        self.failing = true;
-        if fails && !terms.pushed {
-            self.driver.fail_endpoint_poll();
+    /// A watch broke. A shared service that rejects, or whose watches break as soon as they are open, counts as failed.
+    fn watch_broke(&mut self, error: &PollError, deadlines: Deadlines, broke_at_once: bool) {
+        self.log_failure(error);
+        let service_failed = broke_at_once || matches!(error, PollError::Rejected(_));
+        self.schedule.watch_broke(service_failed, &deadlines);
+        if service_failed && !deadlines.pushed {
+            self.dispatcher.fail_endpoint_poll();
         }
     }
 
-    /// Asks an agent for what it has until it answers. None: discovery has moved, or is a shared service now.
-    async fn ask_agent(&mut self) -> Option<Caught> {
-        // One call is given time, for an agent or a processor that is slow; the other is made anew, for an agent that
-        // has swallowed the first and come back since.
-        let mut calls: [Option<Call>; 2] = [None, None];
-        let mut next = Instant::now();
-        if let Some(begun) = self.begun {
-            next = next.max(begun + self.terms().pace(self.random.gen()));
-        }
+    /// Polls an agent until it answers. None: discovery has moved, or is a shared service now.
+    async fn poll_agent(&mut self) -> Option<PolledList> {
+        // One poll is given time, for an agent or a processor that is slow; the other is started anew each interval, for
+        // an agent that has lost the first and is back since.
+        let mut polls: [Option<PendingPoll>; 2] = [None, None];
+        let mut next_poll_at = self.schedule.first_agent_poll_at(&self.deadlines());
         loop {
             tokio::select! {
-                () = moved(&mut self.address) => {
-                    self.follow(self.terms());
+                () = address_changed(&mut self.address) => {
+                    self.follow_address(self.deadlines());
                     return None;
                 }
-                answer = either(&mut calls) => match answer {
-                    Ok(caught) => return Some(caught),
-                    Err(fault) => self.failed(&fault.to_string()),
+                answer = first_answer(&mut polls) => match answer {
+                    Ok(polled) => return Some(polled),
+                    Err(error) => self.log_failure(&error),
                 },
-                () = sleep_until(next) => {
-                    let terms = self.terms();
-                    if !terms.pushed {
-                        self.due = Some(next);
+                () = sleep_until(next_poll_at) => {
+                    let deadlines = self.deadlines();
+                    if !deadlines.pushed {
+                        self.schedule.switch_to_service(next_poll_at);
                         return None;
                     }
-                    self.begun = Some(next);
-                    self.tell_age(terms);
-                    next = Instant::now() + terms.pace(self.random.gen());
-                    calls[usize::from(calls[0].is_some())] = Some(Box::pin(self.catch_up(NO_WAIT, terms)));
+                    self.warn_if_stale(deadlines);
+                    next_poll_at = self.schedule.agent_poll_started(next_poll_at, &deadlines);
+                    let slot = if polls[0].is_some() { 1 } else { 0 };
+                    polls[slot] = Some(Box::pin(self.catch_up(CATCH_UP_WAIT, deadlines)));
                 }
             }
         }
     }
 
-    /// Asks a shared service once, when it is time to. None: it failed, or discovery has moved.
-    async fn ask_service(&mut self, terms: Deadlines) -> Option<Caught> {
-        let due = self.due;
+    /// Polls a shared service once, when that is due. None: it failed, or discovery has moved.
+    async fn poll_service(&mut self, deadlines: Deadlines) -> Option<PolledList> {
+        let due = self.schedule.service_poll_at();
         tokio::select! {
-            () = self.driver.endpoint_poll_requested() => {}
+            () = self.dispatcher.endpoint_poll_requested() => {}
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
-            () = moved(&mut self.address) => {
-                self.follow(terms);
+            () = address_changed(&mut self.address) => {
+                self.follow_address(deadlines);
                 return None;
             }
         }
-        let begun = Instant::now();
-        self.due = None;
-        // Each call costs a shared service: only after a failure is what it has asked for ahead of the next watch.
-        let wait = if self.failing { NO_WAIT } else { terms.wait() };
-        let call = self.catch_up(wait, terms);
+        let started_at = Instant::now();
+        self.schedule.service_poll_started();
+        // Each poll costs a shared service: only after a failure does a catch-up poll go ahead of the next watch.
+        let failed_before = self.schedule.last_poll_failed();
+        let wait = if failed_before { CATCH_UP_WAIT } else { deadlines.watch_wait() };
+        let poll = self.catch_up(wait, deadlines);
         let answer = tokio::select! {
-            answer = call => answer,
-            () = moved(&mut self.address) => {
-                self.follow(terms);
+            answer = poll => answer,
+            () = address_changed(&mut self.address) => {
+                self.follow_address(deadlines);
                 return None;
             }
         };
-        let fault = match answer {
-            Ok(caught) => {
-                self.failing = false;
-                return Some(caught);
+        let error = match answer {
+            Ok(polled) => {
+                self.schedule.service_poll_answered();
+                return Some(polled);
             }
-            Err(fault) => fault,
+            Err(error) => error,
         };
-        self.tell_age(terms);
-        if !self.failing && begun.elapsed() >= wait {
-            self.broke(&fault, terms, false);
+        self.warn_if_stale(deadlines);
+        if !failed_before && started_at.elapsed() >= wait {
+            // It waited as a watch does, and broke as one.
+            self.watch_broke(&error, deadlines, false);
             return None;
         }
-        self.failed(&fault.to_string());
-        self.failing = true;
-        self.due = Some(if begun < self.keen_until { self.spread(terms) } else { begun + self.again(terms) });
-        // Where few ask, the module has it asked sooner.
-        self.driver.fail_endpoint_poll();
+        self.log_failure(&error);
+        self.schedule.service_poll_failed(started_at, &deadlines);
+        // In a small fleet the balancer requests the next poll sooner.
+        self.dispatcher.fail_endpoint_poll();
         None
     }
 
-    /// A call for what is new, on a connection of its own; with the shortest wait it catches up.
-    fn catch_up(
-        &self,
-        wait: Duration,
-        terms: Deadlines,
-    ) -> impl Future<Output = Result<Caught, PollError>> + 'static {
-        let (address, index) = (*self.address.borrow(), self.index);
-        let patience = match index {
-            Some(_) if wait > NO_WAIT => wait + deadlines::LATE,
-            _ => terms.patience(),
+    /// A poll for updates on a connection of its own; with `CATCH_UP_WAIT` it brings what is there already.
+    fn catch_up(&self, wait: Duration, deadlines: Deadlines) -> impl Future<Output = PollResult> + 'static {
+        let address = self.discovery_address();
+        let version = self.version;
+        let poll_timeout = match version {
+            Some(_) if wait > CATCH_UP_WAIT => wait + SILENCE_DETECTION_DELAY,
+            _ => deadlines.catch_up_timeout(),
         };
-        let call = async move {
-            let mut link = PollConnection::open(address).await?;
-            let list = link.ask(index, wait).await?;
-            Ok((link, list))
+        let poll = async move {
+            let mut connection = PollConnection::open(address).await?;
+            let list = connection.poll(version, wait).await?;
+            Ok(PolledList { connection, list })
         };
-        async move { timeout(patience, call).await.unwrap_or(Err(PollError::Silent)) }
-    }
-
-    fn terms(&self) -> Deadlines {
-        let (asked, rules) = self.driver.list_rules();
-        Deadlines::new(asked, &rules)
+        async move { timeout(poll_timeout, poll).await.unwrap_or(Err(PollError::TimedOut)) }
     }
 
-    /// Takes a list that follows on the one in force, and tells whether its version is new.
-    fn take(&mut self, list: EndpointList) -> Result<bool, String> {
-        match self.index {
-            Some(index) if list.index < index => {
-                // The service has begun anew: it is asked for the whole list, whatever its version.
-                self.index = None;
-                return Err(format!("odd list: version {} after {index}", list.index));
-            }
-            None if !list.snapshot => {
-                return Err("odd list: changes where the whole list was asked for".to_owned())
-            }
-            _ => {}
-        }
-        // Of changes the last one holds; a whole list has each host once.
-        let mut names = HashSet::with_capacity(list.endpoints.len());
-        if let Some(entry) = list.endpoints.iter().find(|e| list.snapshot && !names.insert(e.name.as_str())) {
-            return Err(format!("odd list: {} twice", entry.name));
+    /// Applies a list that follows on the one in force. Returns whether its version is new.
+    fn apply_update(&mut self, list: EndpointList) -> Result<bool, InvalidEndpointList> {
+        let valid = list_update::validate(&list, self.version);
+        if matches!(valid, Err(InvalidEndpointList::VersionWentBack { .. })) {
+            // The service has started anew: the next poll asks for a snapshot, whatever its version.
+            self.version = None;
         }
+        valid?;
         let kind = if list.snapshot { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
-        self.driver.update_endpoints(kind, &list.endpoints);
-        let news = self.index != Some(list.index);
-        if let Some(shared) = self.shared.as_ref().filter(|_| news) {
-            shared
-                .borrow()
-                .write_endpoint_list(*self.address.borrow(), self.driver.endpoint_list(list.index));
-        }
-        self.index = Some(list.index);
-        if self.tell_at.take().is_some() {
-            info!(age_s = self.confirmed.elapsed().as_secs(), "list confirmed again");
+        self.dispatcher.update_endpoints(kind, &list.endpoints);
+        let new_version = self.version != Some(list.index);
+        if new_version {
+            if let Some(handover) = &self.handover {
+                let known = self.dispatcher.endpoint_list(list.index);
+                handover.borrow().write_endpoint_list(self.discovery_address(), known);
+            }
         }
-        self.confirmed = Instant::now();
-        self.fault = None;
-        Ok(news)
+        self.version = Some(list.index);
+        self.staleness.confirm();
+        Ok(new_version)
     }
 
     /// Discovery has another address.
-    fn follow(&mut self, terms: Deadlines) {
-        // What another service calls the version may be anything: it is asked for the whole list.
-        self.index = None;
-        self.begun = None;
-        self.due = Some(self.spread(terms));
-        self.keen_until = Instant::now() + deadlines::MOVE;
+    fn follow_address(&mut self, deadlines: Deadlines) {
+        // Versions of two services cannot be compared: the new one is asked for a snapshot.
+        self.version = None;
+        self.schedule.address_changed(&deadlines);
     }
 
-    fn again(&mut self, terms: Deadlines) -> Duration {
-        terms.again(self.random.gen())
+    fn deadlines(&self) -> Deadlines {
+        let (polled, rules) = self.dispatcher.list_rules();
+        Deadlines::new(polled, &rules)
     }
 
-    fn spread(&mut self, terms: Deadlines) -> Instant {
-        Instant::now() + terms.spread(self.random.gen())
+    fn discovery_address(&self) -> SocketAddr {
+        *self.address.borrow()
     }
 
-    /// A call or a watch has failed. The same again and again is told once.
-    fn failed(&mut self, fault: &str) {
-        let address = *self.address.borrow();
-        if self.tell_at.is_none() {
-            self.tell_at = Some(self.terms().age_most());
-        }
-        if self.fault.as_deref() == Some(fault) {
-            debug!(%address, reason = fault, "discovery failed");
-        } else {
-            warn!(%address, reason = fault, "discovery failed");
-            self.fault = Some(fault.to_owned());
-        }
+    fn log_failure(&mut self, error: &PollError) {
+        let max_list_age = self.deadlines().max_list_age();
+        self.staleness.log_failure(self.discovery_address(), &error.to_string(), max_list_age);
     }
 
-    /// Says that the list may be old, when its age passes the bound and each time it has doubled since.
-    fn tell_age(&mut self, terms: Deadlines) {
-        let age = self.confirmed.elapsed();
-        if let Some(at) = self.tell_at.filter(|&at| age >= at) {
-            warn!(address = %*self.address.borrow(), age_s = age.as_secs(), "the list may be old");
-            self.tell_at = Some(at.max(terms.age_most()) * 2);
-        }
+    fn warn_if_stale(&mut self, deadlines: Deadlines) {
+        self.staleness.warn_if_stale(self.discovery_address(), deadlines.max_list_age());
     }
 }
 
-/// The answer of whichever call ends first; its place is free then.
-async fn either(calls: &mut [Option<Call>; 2]) -> Result<Caught, PollError> {
+/// The answer of whichever poll ends first; its slot is free then.
+async fn first_answer(polls: &mut [Option<PendingPoll>; 2]) -> PollResult {
     poll_fn(|cx| {
-        for place in calls.iter_mut() {
-            if let Some(Poll::Ready(answer)) = place.as_mut().map(|call| call.as_mut().poll(cx)) {
-                *place = None;
+        for slot in polls.iter_mut() {
+            let Some(poll) = slot else { continue };
+            if let Poll::Ready(answer) = poll.as_mut().poll(cx) {
+                *slot = None;
                 return Poll::Ready(answer);
             }
         }
@@ -330,9 +284,9 @@
 }
 
 /// Waits until discovery has another address.
-async fn moved(address: &mut watch::Receiver<SocketAddr>) {
+async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
-        // Nobody is left to name another.
+        // The sender is gone: the address stays for as long as the process runs.
         std::future::pending::<()>().await;
     }
 }
