--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,7 +2,7 @@
 
 use comfy_table::{presets, Table};
 use oakport_core::{DeduplicationScope, Idempotency, Micros};
-use oakport_proxy::{client_capacity, Checked, Config};
+use oakport_proxy::{client_capacity, Checked, Config, DiagnosticCounts};
 use serde_json::Value;
 use std::fmt::Write;
 use std::io::IsTerminal;
@@ -13,16 +13,16 @@
 pub fn run(files: &[PathBuf]) -> bool {
     let mut good = true;
     for file in files {
-        let Checked { config, faults } = Config::check(file);
-        let (bad, harmless) = faults.count();
+        let Checked { config, diagnostics: faults } = Config::check(file);
+        let DiagnosticCounts { errors: bad, warnings: harmless } = faults.count();
         if let Some(config) = &config {
             print!("{}", describe(file, config));
             if harmless > 0 {
-                let keys: Vec<String> = faults.without_effect().collect();
+                let keys: Vec<String> = faults.keys_without_effect().collect();
                 println!("  without effect    {}", keys.join(", "));
             }
         } else {
-            eprint!("{}", faults.picture(std::io::stderr().is_terminal()));
+            eprint!("{}", faults.render(std::io::stderr().is_terminal()));
             eprintln!("{}: {bad} fault{}", file.display(), if bad == 1 { "" } else { "s" });
             good = false;
         }
@@ -32,8 +32,8 @@
 
 /// What a proxy does by a configuration.
 fn describe(file: &Path, config: &Config) -> String {
-    let (limits, transport) = (&config.limits, &config.facts.transport);
-    let settings = &config.facts.settings;
+    let (limits, transport) = (&config.limits, &config.settings.transport);
+    let settings = &config.settings.settings;
     let (served, refused) = client_capacity(limits.sockets);
     let mut text = format!("{}: good\n", file.display());
     let mut line = |name: &str, what: String| {
@@ -45,10 +45,10 @@
         format!("at {}, {served} connections at a time, {refused} more are refused", config.listen),
     );
     line("discovery", format!("at {}", config.discovery));
-    line("operators", config.operator.map_or("no address is opened".to_owned(), |a| format!("at {a}")));
+    line("operators", config.admin_address.map_or("no address is opened".to_owned(), |a| format!("at {a}")));
     line(
         "peers",
-        config.peers.as_ref().map_or("no address is opened".to_owned(), |peers| {
+        config.membership.as_ref().map_or("no address is opened".to_owned(), |peers| {
             let seeds = peers.seeds.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
             format!("at {}, of the fleet {}, asking {seeds} first", peers.address, peers.fleet)
         }),
@@ -99,7 +99,7 @@
         "worth",
         "may run again",
     ]);
-    for (name, class) in config.facts.class_names.iter().zip(&settings.classes) {
+    for (name, class) in config.settings.class_names.iter().zip(&settings.classes) {
         let repeat = match class.idempotency {
             Idempotency::Idempotent => "yes".to_owned(),
             Idempotency::NonIdempotent => "never".to_owned(),
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,5 +1,7 @@
-//! The configuration file as its keys stand (DEPLOY, "What a client proxy is told"). These types are its one
-//! description: the schema and the faults that `oakport check` finds are drawn from them.
+//! The configuration file with its keys (DEPLOY, "What a client proxy is told"). These types are its only description:
+//! the schema and the diagnostics of `oakport check` follow from them.
+//!
+//! Their doc comments are the descriptions of the keys in the schema.
 
 use crate::endpoint_list::EndpointList;
 use oakport_core::settings_wire::SettingsFile;
@@ -17,13 +19,13 @@
     #[schemars(range(min = 1))]
     pub sockets: usize,
     /// Its memory, in MiB.
-    #[serde(default = "memory_least")]
+    #[serde(default = "default_memory_mb")]
     #[schemars(range(min = 1))]
     pub memory_mb: usize,
 }
 
-/// What a proxy has at the least.
-fn memory_least() -> usize {
+/// The smallest memory that a proxy is given.
+fn default_memory_mb() -> usize {
     32
 }
 
--- /dev/null
+++ b/crates/proxy/src/config/schema.rs
@@ -0,0 +1,179 @@
+//! The JSON schema of the configuration, and what it finds in a file.
+
+use super::diagnostics::Diagnostic;
+use super::document::Document;
+use super::source_spans::child_pointer;
+use jsonschema::error::ValidationErrorKind as Kind;
+use jsonschema::{ValidationError, Validator};
+use schemars::generate::SchemaSettings;
+use schemars::transform::RecursiveTransform;
+use schemars::Schema;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// Up to this edit distance a known key is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE_EDITS: usize = 3;
+
+/// The JSON schema of the configuration. `strict`: unknown keys are errors.
+pub fn schema(strict: bool) -> Schema {
+    let mut settings = SchemaSettings::draft2020_12();
+    settings.inline_subschemas = true;
+    if strict {
+        settings.transforms.push(Box::new(RecursiveTransform(|schema: &mut Schema| {
+            if schema.get("properties").is_some() {
+                schema.insert("additionalProperties".to_owned(), false.into());
+            }
+        })));
+    }
+    settings.into_generator().into_root_schema_for::<Document>()
+}
+
+/// Validates a document against the schema. An unknown key has no effect in JSON, which is a warning; in the
+/// human-readable form it is an error, as it may be mistyped.
+pub fn validate(document: &Value, human_readable: bool) -> Vec<Diagnostic> {
+    let schema = schema(true).to_value();
+    let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
+    let options = jsonschema::options().should_validate_formats(true);
+    let validator: Result<Validator, _> = options.with_format("socket-address", is_address).build(&schema);
+    match validator {
+        Ok(validator) => {
+            let check = SchemaCheck { schema: &schema, human_readable };
+            validator.iter_errors(document).flat_map(|error| check.diagnostics(&error)).collect()
+        }
+        Err(error) => vec![Diagnostic::error("", format!("the schema itself is odd: {error}"))],
+    }
+}
+
+/// Adds what the schema says of the key, for a diagnostic that was not found by the schema.
+pub fn with_remedy(diagnostic: Diagnostic) -> Diagnostic {
+    let remedy = description(&schema(true).to_value(), &diagnostic.pointer).map(str::to_owned);
+    Diagnostic { remedy, ..diagnostic }
+}
+
+/// Turns validation errors into diagnostics.
+struct SchemaCheck<'a> {
+    schema: &'a Value,
+    human_readable: bool,
+}
+
+impl SchemaCheck<'_> {
+    fn diagnostics(&self, error: &ValidationError<'_>) -> Vec<Diagnostic> {
+        let pointer = error.instance_path().as_str();
+        match error.kind() {
+            Kind::Required { property } => {
+                vec![self.missing_key(pointer, property.as_str().unwrap_or_default())]
+            }
+            Kind::AdditionalProperties { unexpected } => {
+                unexpected.iter().map(|key| self.unknown_key(pointer, key)).collect()
+            }
+            Kind::Enum { options } => vec![self.unknown_word(error, options)],
+            _ => {
+                let problem = problem_of_value(error);
+                vec![Diagnostic { remedy: self.remedy(pointer), ..Diagnostic::error(pointer, problem) }]
+            }
+        }
+    }
+
+    /// What the schema says of a key.
+    fn remedy(&self, pointer: &str) -> Option<String> {
+        description(self.schema, pointer).map(str::to_owned)
+    }
+
+    fn missing_key(&self, pointer: &str, key: &str) -> Diagnostic {
+        let remedy = self.remedy(&child_pointer(pointer, key)).map(|is| format!("add {key}: {is}"));
+        Diagnostic { remedy, ..Diagnostic::error(pointer, format!("{key} is missing")) }
+    }
+
+    fn unknown_key(&self, pointer: &str, key: &str) -> Diagnostic {
+        let diagnostic = Diagnostic::error(child_pointer(pointer, key), "no such key is known");
+        if !self.human_readable {
+            return Diagnostic { is_warning: true, ..diagnostic };
+        }
+        let remedy = match self.similar_key(pointer, key) {
+            Some(similar) => format!("did you mean {similar}?"),
+            None => "take it out".to_owned(),
+        };
+        Diagnostic { remedy: Some(remedy), ..diagnostic }
+    }
+
+    /// The known key of this table that is most like `key`, if any is like it.
+    fn similar_key(&self, pointer: &str, key: &str) -> Option<&String> {
+        let known = subschema(self.schema, pointer)?.get("properties")?.as_object()?;
+        let by_distance = known.keys().map(|known| (strsim::osa_distance(known, key), known));
+        let similar = by_distance.filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE_EDITS);
+        similar.min().map(|(_, known)| known)
+    }
+
+    fn unknown_word(&self, error: &ValidationError<'_>, options: &Value) -> Diagnostic {
+        let words = options.as_array().into_iter().flatten().filter_map(Value::as_str);
+        let quoted = words.filter(|word| !word.is_empty()).map(|word| format!("\"{word}\""));
+        let expected = format!("one of {}", quoted.collect::<Vec<_>>().join(", "));
+        let pointer = error.instance_path().as_str();
+        Diagnostic {
+            remedy: self.remedy(pointer),
+            // In JSON an unknown word stands for the one that allows least.
+            is_warning: !self.human_readable,
+            ..Diagnostic::error(pointer, expected_found(&expected, error.instance()))
+        }
+    }
+}
+
+/// What is wrong with a value that is of the wrong type or out of range.
+fn problem_of_value(error: &ValidationError<'_>) -> String {
+    let expected = match error.kind() {
+        Kind::Type { kind } => type_name(&format!("{kind:?}").to_lowercase()).to_owned(),
+        Kind::Minimum { limit } => format!("at least {limit}"),
+        Kind::Maximum { limit } => format!("at most {limit}"),
+        Kind::MinItems { limit } => format!("at least {limit} entry"),
+        Kind::MinLength { limit } => format!("at least {limit} character"),
+        Kind::MaxLength { limit } => format!("at most {limit} characters"),
+        Kind::Format { .. } => "an address such as 127.0.0.1:5000".to_owned(),
+        Kind::Pattern { .. } => "hexadecimal digits".to_owned(),
+        _ => return error.to_string(),
+    };
+    expected_found(&expected, error.instance())
+}
+
+fn expected_found(expected: &str, found: &Value) -> String {
+    format!("expected {expected}, found {}", abbreviated(found))
+}
+
+/// The name of a JSON type in messages. `kinds` names one or several types in lower case.
+fn type_name(kinds: &str) -> &'static str {
+    const NAMES: [(&str, &str); 6] = [
+        ("integer", "a whole number"),
+        ("number", "a number"),
+        ("boolean", "true or false"),
+        ("object", "a table"),
+        ("array", "a list"),
+        ("string", "a text in quotes"),
+    ];
+    let found = NAMES.iter().find(|(json, _)| kinds.contains(json));
+    found.map_or("another kind of value", |(_, name)| name)
+}
+
+/// A value as messages show it.
+fn abbreviated(value: &Value) -> String {
+    match value {
+        Value::Array(items) => format!("a list of {}", items.len()),
+        Value::Object(_) => "a table".to_owned(),
+        scalar => scalar.to_string(),
+    }
+}
+
+/// The schema of the value that a pointer leads to.
+fn subschema<'a>(schema: &'a Value, pointer: &str) -> Option<&'a Value> {
+    pointer.split('/').skip(1).try_fold(schema, |schema, key| {
+        let branches = schema.get("anyOf").and_then(Value::as_array).into_iter().flatten();
+        let mut candidates = std::iter::once(schema).chain(branches);
+        candidates.find_map(|candidate| {
+            let property = candidate.get("properties").and_then(|properties| properties.get(key));
+            property.or_else(|| candidate.get("items"))
+        })
+    })
+}
+
+/// What the schema says of a key.
+fn description<'a>(schema: &'a Value, pointer: &str) -> Option<&'a str> {
+    subschema(schema, pointer)?.get("description")?.as_str()
+}
--- a/crates/proxy/src/config/source_spans.rs
+++ b/crates/proxy/src/config/source_spans.rs
@@ -1,4 +1,4 @@
-//! Where in a file each value stands, by its JSON pointer.
+//! The byte range of each value of a file, by its JSON pointer.
 
 use jsonc_parser::ast;
 use std::collections::HashMap;
@@ -8,34 +8,34 @@
 
 /// Byte ranges of the values of one file.
 #[derive(Debug, Default)]
-pub struct Places(HashMap<String, Range<usize>>);
+pub struct SourceSpans(HashMap<String, Range<usize>>);
 
-impl Places {
-    /// Those of a JSON text; none where it is no JSON.
+impl SourceSpans {
+    /// The spans of a JSON text; none if it is not JSON.
     pub fn json(text: &str) -> Self {
-        let mut places = Places::default();
+        let mut spans = SourceSpans::default();
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default());
         if let Some(value) = parsed.ok().and_then(|parsed| parsed.value) {
-            places.json_value(String::new(), &value);
+            spans.json_value(String::new(), &value);
         }
-        places
+        spans
     }
 
-    /// Those of a TOML text.
+    /// The spans of a TOML text.
     pub fn toml(table: &Spanned<DeTable<'_>>) -> Self {
-        let mut places = Places::default();
-        places.0.insert(String::new(), table.span());
-        places.toml_table("", table.get_ref());
-        places
+        let mut spans = SourceSpans::default();
+        spans.0.insert(String::new(), table.span());
+        spans.toml_table("", table.get_ref());
+        spans
     }
 
-    /// Where the value of this pointer stands, or the nearest that holds it.
+    /// The range of the value that a pointer leads to, or of the nearest value that contains it.
     pub fn find(&self, pointer: &str) -> Range<usize> {
-        let mut part = pointer;
+        let mut prefix = pointer;
         loop {
-            match (self.0.get(part), part.rfind('/')) {
+            match (self.0.get(prefix), prefix.rfind('/')) {
                 (Some(range), _) => return range.clone(),
-                (None, Some(end)) => part = &part[..end],
+                (None, Some(end)) => prefix = &prefix[..end],
                 (None, None) => return 0..0,
             }
         }
@@ -49,13 +49,13 @@
             ast::Value::NullKeyword(v) => v.range,
             ast::Value::Object(v) => {
                 for property in &v.properties {
-                    self.json_value(under(&pointer, property.name.as_str()), &property.value);
+                    self.json_value(child_pointer(&pointer, property.name.as_str()), &property.value);
                 }
                 v.range
             }
             ast::Value::Array(v) => {
                 for (index, element) in v.elements.iter().enumerate() {
-                    self.json_value(under(&pointer, &index.to_string()), element);
+                    self.json_value(child_pointer(&pointer, &index.to_string()), element);
                 }
                 v.range
             }
@@ -65,7 +65,7 @@
 
     fn toml_table(&mut self, pointer: &str, table: &DeTable<'_>) {
         for (key, value) in table {
-            self.toml_value(under(pointer, key.get_ref()), value);
+            self.toml_value(child_pointer(pointer, key.get_ref()), value);
         }
     }
 
@@ -74,7 +74,7 @@
             DeValue::Table(table) => self.toml_table(&pointer, table),
             DeValue::Array(array) => {
                 for (index, element) in array.iter().enumerate() {
-                    self.toml_value(under(&pointer, &index.to_string()), element);
+                    self.toml_value(child_pointer(&pointer, &index.to_string()), element);
                 }
             }
             _ => {}
@@ -83,13 +83,13 @@
     }
 }
 
-/// The pointer of a key under another (RFC 6901).
-pub fn under(pointer: &str, key: &str) -> String {
+/// The pointer of a key of the value at `pointer` (RFC 6901).
+pub fn child_pointer(pointer: &str, key: &str) -> String {
     format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"))
 }
 
-/// A pointer as people write it: `settings.classes[0].name`.
-pub fn dotted(pointer: &str) -> String {
+/// A pointer in dotted notation: `settings.classes[0].name`.
+pub fn dotted_path(pointer: &str) -> String {
     let mut text = String::new();
     for part in pointer.split('/').skip(1) {
         if part.bytes().all(|b| b.is_ascii_digit()) && !part.is_empty() {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,7 +24,7 @@
 mod socket;
 mod upstream;
 
-pub use config::{Checked, Config, Diagnostics, Limits, MembershipConfig};
+pub use config::{Checked, Config, DiagnosticCounts, Diagnostics, Limits, MembershipConfig};
 pub use hot_restart::inherited_listener;
 pub use membership::{MemberReport, MembershipReport, ScopeReport};
 pub use metrics::{ConnectionCounts, MetricsReport, OutcomeCounts};
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -150,7 +150,7 @@
 
         let (clock, figures) = (Clock::start(), Rc::<Metrics>::default());
         let memory = MemoryLimit::new(config.limits.memory_mb);
-        let facts = config.facts.clone();
+        let facts = config.settings.clone();
         let pool = ConnectionPool::new(
             facts.transport,
             facts.settings.proxy_count,
@@ -161,10 +161,10 @@
         );
         let driver = Dispatcher::new(config.seed, facts, clock, Rc::clone(&pool), Rc::clone(&figures));
         driver.start();
-        let balancers = config.facts.settings.proxy_count;
+        let balancers = config.settings.settings.proxy_count;
         let name = config.name.clone().unwrap_or_else(|| config.listen.to_string());
         let peers = config
-            .peers
+            .membership
             .clone()
             .map(|peers| MembershipService::new(peers, name, config.seed, clock, balancers));
         let index = known.as_ref().map(|k| k.index);
@@ -199,7 +199,7 @@
         let mut watch: JoinHandle<()> = tokio::task::spawn_local(
             EndpointWatcher::new(driver.clone(), address, self.index, room.shared.clone(), config.seed).run(),
         );
-        if let Some(address) = config.operator {
+        if let Some(address) = config.admin_address {
             tokio::task::spawn_local(admin::run(driver.clone(), peers.clone(), address));
         }
         if let Some(peers) = &peers {
@@ -306,16 +306,16 @@
     moved: &watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
-        let next = config.again();
+        let next = config.reload();
         figures.count_reload(next.is_ok());
         match next {
             Ok(next) => {
                 config = next;
-                let (discovery, attempts) = (config.discovery, config.facts.settings.limits.max_attempts);
-                info!(%discovery, classes = %config.facts.class_names.join(" "), attempts, "reloaded");
-                driver.apply_settings(config.facts.clone());
+                let (discovery, attempts) = (config.discovery, config.settings.settings.limits.max_attempts);
+                info!(%discovery, classes = %config.settings.class_names.join(" "), attempts, "reloaded");
+                driver.apply_settings(config.settings.clone());
                 if let Some(peers) = peers {
-                    peers.set_configured_count(config.facts.settings.proxy_count);
+                    peers.set_configured_count(config.settings.settings.proxy_count);
                 }
                 moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
             }
