--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,10 +1,14 @@
-//! The command line.
+//! The command line. Its doc comments are the help texts.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
+
+/// Shortest interval of `oakport ctl ADDRESS watch`.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 const EXAMPLES: &str = "\
 Examples:
@@ -26,7 +30,7 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve clients until SIGTERM
-    Serve(Serve),
+    Serve(ServeArguments),
     /// Read configuration files as serve would, and tell what they would do or all that is wrong with them
     #[command(after_help = "Exit status: 0 all are good, 1 some are not, 2 the command line is wrong.")]
     Check {
@@ -35,7 +39,7 @@
         files: Vec<PathBuf>,
     },
     /// Ask a process that serves, at its operators' address
-    Ctl(Ctl),
+    Ctl(CtlArguments),
     /// Print the JSON schema of the configuration
     Schema,
     /// Print the completions for a shell
@@ -46,20 +50,20 @@
 }
 
 #[derive(Debug, Args)]
-pub struct Serve {
+pub struct ServeArguments {
     /// The configuration: TOML if its name ends in .toml, else JSON [default: the file that $RELAY_CONFIG names]
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
     /// How log lines are written to standard error
-    #[arg(long, value_name = "FORMAT", value_enum, default_value_t = Format::Text)]
-    pub log_format: Format,
+    #[arg(long, value_name = "FORMAT", value_enum, default_value_t = LogFormat::Text)]
+    pub log_format: LogFormat,
     /// The least level that is logged; goes before $OAKPORT_LOG
     #[arg(long, value_name = "LEVEL", value_enum)]
-    pub log_level: Option<Level>,
+    pub log_level: Option<LogLevel>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Format {
+pub enum LogFormat {
     /// For people
     Text,
     /// One JSON object a line
@@ -67,7 +71,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Level {
+pub enum LogLevel {
     Error,
     Warn,
     Info,
@@ -76,15 +80,15 @@
 }
 
 #[derive(Debug, Args)]
-pub struct Ctl {
+pub struct CtlArguments {
     /// The operators' address of the process: `operator` of its configuration
     pub address: SocketAddr,
     #[command(subcommand)]
-    pub question: Question,
+    pub command: CtlCommand,
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Question {
+pub enum CtlCommand {
     /// Does it take clients? Exit status 0: yes, 1: no, or no answer
     Health,
     /// Its figures, once
@@ -110,10 +114,19 @@
     },
 }
 
-fn interval(text: &str) -> Result<Duration, String> {
-    let time = humantime::parse_duration(text).map_err(|e| e.to_string())?;
-    if time < Duration::from_millis(50) {
-        return Err("at least 50ms, so that asking costs little".to_owned());
+/// Why the interval of `watch` is not accepted.
+#[derive(Debug, Error)]
+enum InvalidInterval {
+    #[error(transparent)]
+    NotADuration(#[from] humantime::DurationError),
+    #[error("at least 50ms, so that asking costs little")]
+    TooShort,
+}
+
+fn interval(text: &str) -> Result<Duration, InvalidInterval> {
+    let interval = humantime::parse_duration(text)?;
+    if interval < MIN_WATCH_INTERVAL {
+        return Err(InvalidInterval::TooShort);
     }
-    Ok(time)
+    Ok(interval)
 }
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,186 +1,90 @@
-//! `oakport ctl`: asks a process that serves, by the operators' line protocol.
+//! `oakport ctl`: queries a running process at its admin endpoint.
 
-use crate::args::{Ctl, Question};
-use comfy_table::{presets, CellAlignment, Table};
-use oakport_proxy::{MembershipReport, MetricsReport, OutcomeCounts};
-use std::io::{self, IsTerminal, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+mod client;
+mod tables;
+
+use crate::args::{CtlArguments, CtlCommand};
+pub use client::CtlError;
+use oakport_proxy::MetricsReport;
+use std::io::{self, IsTerminal, Write};
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use tables::{membership_table, metrics_table, Earlier};
 
-/// An answer is owed within 1 s; twice that is a process in trouble.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Most bytes of an answer that are read.
-const ANSWER_MOST: u64 = 16 << 20;
-const CLEAR: &str = "\x1b[H\x1b[2J";
+/// Clears a terminal and moves its cursor to the top.
+const CLEAR_SCREEN: &str = "\x1b[H\x1b[2J";
 
-/// Asks, and prints the answer. The error is for people.
-pub fn run(ctl: &Ctl) -> Result<(), String> {
-    let address = ctl.address;
-    match ctl.question {
-        Question::Health => {
-            let answer = ask(address, "HEALTH")?;
-            print!("{answer}");
-            match answer.starts_with("YES") {
-                true => Ok(()),
-                false => Err(format!("{address} takes no clients")),
-            }
-        }
-        Question::Dump { json: true } => {
-            println!("{}", figures(address)?);
-            Ok(())
-        }
-        Question::Dump { json: false } => {
-            print!("{}", table(&report(address)?, None));
-            Ok(())
-        }
-        Question::Peers { json } => {
-            let peers = report(address)?.peers.ok_or_else(|| {
-                format!("{address} knows no peers: set `peers` in its configuration, or wait until it has its address")
-            })?;
-            if json {
-                println!("{}", serde_json::to_string(&peers).map_err(|e| e.to_string())?);
-            } else {
-                print!("{}", members(&peers));
-            }
-            Ok(())
-        }
-        Question::Watch { every, count } => watch(address, every, count),
-    }
+/// A report with the time at which it was received.
+struct TimedReport {
+    report: MetricsReport,
+    received_at: Instant,
 }
 
-fn watch(address: SocketAddr, every: Duration, count: Option<u64>) -> Result<(), String> {
-    let clear = if io::stdout().is_terminal() { CLEAR } else { "" };
-    let mut last: Option<(MetricsReport, Instant)> = None;
-    let mut looks = 0;
-    while count.is_none_or(|count| looks < count) {
-        if looks > 0 {
-            std::thread::sleep(every);
+/// Queries the process and prints its answer.
+///
+/// # Errors
+/// There is no usable answer, or it says that the process does not accept clients.
+pub fn run(arguments: &CtlArguments) -> Result<(), CtlError> {
+    let address = arguments.address;
+    match arguments.command {
+        CtlCommand::Health => health(address),
+        CtlCommand::Dump { json: true } => {
+            println!("{}", client::metrics_json(address)?);
+            Ok(())
         }
-        looks += 1;
-        let (next, now) = (report(address)?, Instant::now());
-        let before = last.as_ref().map(|(report, at)| (report, now.duration_since(*at)));
-        let text = format!(
-            "{clear}{address}, every {}\n{}",
-            humantime::format_duration(every),
-            table(&next, before)
-        );
-        let mut out = io::stdout().lock();
-        if writeln!(out, "{text}").and_then(|()| out.flush()).is_err() {
-            // Whoever read it has gone.
-            return Ok(());
+        CtlCommand::Dump { json: false } => {
+            print!("{}", metrics_table(&client::metrics(address)?, None));
+            Ok(())
         }
-        last = Some((next, now));
+        CtlCommand::Peers { json } => peers(address, json),
+        CtlCommand::Watch { every, count } => watch(address, every, count),
     }
-    Ok(())
 }
 
-/// One line to a connection, and what it answers.
-fn ask(address: SocketAddr, call: &str) -> Result<String, String> {
-    let in_vain = |e: io::Error| match e.kind() {
-        io::ErrorKind::ConnectionRefused => {
-            format!("nobody answers at {address}: is `operator` set in the configuration, and the process running?")
-        }
-        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => {
-            format!("no answer from {address} within {}", humantime::format_duration(PATIENCE))
-        }
-        _ => format!("asking {address}: {e}"),
-    };
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(in_vain)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(in_vain)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(in_vain)?;
-    stream.write_all(format!("{call}\n").as_bytes()).map_err(in_vain)?;
-    let mut answer = Vec::new();
-    stream.take(ANSWER_MOST).read_to_end(&mut answer).map_err(in_vain)?;
-    let answer = String::from_utf8_lossy(&answer).into_owned();
-    if answer.is_empty() {
-        return Err(format!(
-            "{address} closed the connection with no answer: too many callers, or no oakport"
-        ));
+fn health(address: SocketAddr) -> Result<(), CtlError> {
+    let answer = client::query(address, "HEALTH")?;
+    print!("{answer}");
+    if answer.starts_with("YES") {
+        Ok(())
+    } else {
+        Err(CtlError::NotAccepting(address))
     }
-    Ok(answer)
-}
-
-/// The figures as the process tells them.
-fn figures(address: SocketAddr) -> Result<String, String> {
-    let answer = ask(address, "DUMP")?;
-    let figures = answer.strip_suffix("\nEND\n");
-    let odd = || format!("{address} gave no figures but: {}", answer.lines().next().unwrap_or_default());
-    figures.map(str::to_owned).ok_or_else(odd)
 }
 
-fn report(address: SocketAddr) -> Result<MetricsReport, String> {
-    let text = figures(address)?;
-    serde_json::from_str(&text).map_err(|e| format!("{address} gave figures that cannot be read: {e}"))
-}
-
-/// The peers for people.
-fn members(peers: &MembershipReport) -> String {
-    let span = |ms| humantime::format_duration(Duration::from_secs(ms / 1_000)).to_string();
-    let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(["member", "address", "zone", "release", "is", "for"]);
-    for member in &peers.members {
-        table.add_row([
-            member.name.clone(),
-            member.address.clone(),
-            member.zone.clone(),
-            member.release.clone(),
-            member.standing.clone(),
-            span(member.for_ms),
-        ]);
+fn peers(address: SocketAddr, json: bool) -> Result<(), CtlError> {
+    let membership = client::metrics(address)?.membership.ok_or(CtlError::NoMembership(address))?;
+    if json {
+        println!("{}", serde_json::to_string(&membership)?);
+    } else {
+        print!("{}", membership_table(&membership));
     }
-    let cut = if peers.cut { ", so many are silent that it is taken for a cut" } else { "" };
-    let head = format!(
-        "{} at {} sees {} present, itself included, for {}; {:.0}% of them agree; counts {}{cut}",
-        peers.name,
-        peers.address,
-        peers.size,
-        span(peers.age_ms),
-        100.0 * peers.agreement,
-        peers.count
-    );
-    let mut scopes = Table::new();
-    scopes.load_preset(presets::NOTHING).set_header(["scope", "present", "counted", "heard", "ago"]);
-    for scope in &peers.scopes {
-        let [present, counted] = [scope.present, scope.counted].map(|number| number.to_string());
-        scopes.add_row([scope.name.clone(), present, counted, scope.hearing.clone(), span(scope.age_ms)]);
-    }
-    let lines = [head, String::new()].into_iter().chain(table.lines());
-    let others = (!peers.scopes.is_empty()).then(|| [String::new()].into_iter().chain(scopes.lines()));
-    lines.chain(others.into_iter().flatten()).map(|line| format!("{}\n", line.trim_end())).collect()
+    Ok(())
 }
 
-/// The figures for people; with those of some time ago, what came each second since.
-fn table(now: &MetricsReport, before: Option<(&MetricsReport, Duration)>) -> String {
-    let rate = |now: u64, of: &dyn Fn(&MetricsReport) -> u64| match before {
-        Some((before, span)) => {
-            let rate = now.saturating_sub(of(before)) as f64 / span.as_secs_f64().max(f64::MIN_POSITIVE);
-            format!("{now} ({rate:.1}/s)")
+/// Prints the metrics with their rates, `count` times or until the program is ended.
+fn watch(address: SocketAddr, every: Duration, count: Option<u64>) -> Result<(), CtlError> {
+    let clear = if io::stdout().is_terminal() { CLEAR_SCREEN } else { "" };
+    let interval = humantime::format_duration(every);
+    let mut last: Option<TimedReport> = None;
+    let mut printed = 0;
+    while count.is_none_or(|count| printed < count) {
+        if printed > 0 {
+            std::thread::sleep(every);
         }
-        None => now.to_string(),
-    };
-    let mut calls = Table::new();
-    calls.load_preset(presets::NOTHING).set_header(["class", "served", "refused", "failed"]);
-    for (class, ends) in &now.calls {
-        let of = |part: fn(&OutcomeCounts) -> u64| {
-            rate(part(ends), &|r: &MetricsReport| r.calls.get(class).map(part).unwrap_or_default())
-        };
-        calls.add_row([class.clone(), of(|e| e.success), of(|e| e.busy), of(|e| e.failure)]);
-    }
-    let mut rest = Table::new();
-    rest.load_preset(presets::NOTHING);
-    for (name, value) in [
-        ("in flight", now.inflight.to_string()),
-        ("attempts", rate(now.backend_calls, &|r| r.backend_calls)),
-        ("servers listed", now.hosts_listed.to_string()),
-        ("servers down", now.hosts_down.to_string()),
-        ("files taken", now.reconfig_ok.to_string()),
-        ("files turned down", now.reconfig_failed.to_string()),
-    ] {
-        rest.add_row([name.to_owned(), value]);
-    }
-    for table in [&mut calls, &mut rest] {
-        table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
+        printed += 1;
+        let report = client::metrics(address)?;
+        let received_at = Instant::now();
+        let earlier = last.as_ref().map(|last| Earlier {
+            report: &last.report,
+            elapsed: received_at.duration_since(last.received_at),
+        });
+        let table = metrics_table(&report, earlier);
+        let mut out = io::stdout().lock();
+        if writeln!(out, "{clear}{address}, every {interval}\n{table}").and_then(|()| out.flush()).is_err() {
+            // The reader has closed its end.
+            return Ok(());
+        }
+        last = Some(TimedReport { report, received_at });
     }
-    let lines = calls.lines().chain([String::new()]).chain(rest.lines());
-    lines.map(|line| format!("{}\n", line.trim_end())).collect()
+    Ok(())
 }
--- /dev/null
+++ b/crates/cli/src/ctl/client.rs
@@ -0,0 +1,100 @@
+//! Client of the admin endpoint's line protocol.
+
+use oakport_proxy::MetricsReport;
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+use thiserror::Error;
+
+/// Timeout of each step. A process answers within 1 s; after twice that something is wrong with it.
+const TIMEOUT: Duration = Duration::from_secs(2);
+/// Most bytes of an answer that are read.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
+
+/// Why a query failed.
+#[derive(Debug, Error)]
+pub enum CtlError {
+    /// The process answers that it accepts no clients.
+    #[error("{0} takes no clients")]
+    NotAccepting(SocketAddr),
+    /// The process has no membership, or has not found its address yet.
+    #[error("{0} knows no peers: set `peers` in its configuration, or wait until it has its address")]
+    NoMembership(SocketAddr),
+    /// Nothing listens at the address.
+    #[error("nobody answers at {0}: is `operator` set in the configuration, and the process running?")]
+    ConnectionRefused(SocketAddr),
+    /// No answer within the timeout.
+    #[error("no answer from {0} within {timeout}", timeout = humantime::format_duration(TIMEOUT))]
+    TimedOut(SocketAddr),
+    /// The connection failed in another way.
+    #[error("asking {address}: {source}")]
+    Connection {
+        /// The address queried.
+        address: SocketAddr,
+        /// What failed.
+        source: io::Error,
+    },
+    /// The connection was closed without an answer.
+    #[error("{0} closed the connection with no answer: too many callers, or no oakport")]
+    NoAnswer(SocketAddr),
+    /// The answer to `DUMP` is something else.
+    #[error("{address} gave no figures but: {first_line}")]
+    UnexpectedAnswer {
+        /// The address queried.
+        address: SocketAddr,
+        /// First line of the answer.
+        first_line: String,
+    },
+    /// The answer to `DUMP` cannot be parsed.
+    #[error("{address} gave figures that cannot be read: {source}")]
+    InvalidMetrics {
+        /// The address queried.
+        address: SocketAddr,
+        /// What is wrong with the JSON.
+        source: serde_json::Error,
+    },
+    /// The answer could not be converted to JSON again.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Sends one request line and reads the answer until the process closes the connection.
+pub fn query(address: SocketAddr, request: &str) -> Result<String, CtlError> {
+    let answer = exchange(address, request).map_err(|error| match error.kind() {
+        io::ErrorKind::ConnectionRefused => CtlError::ConnectionRefused(address),
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => CtlError::TimedOut(address),
+        _ => CtlError::Connection { address, source: error },
+    })?;
+    if answer.is_empty() {
+        return Err(CtlError::NoAnswer(address));
+    }
+    Ok(String::from_utf8_lossy(&answer).into_owned())
+}
+
+fn exchange(address: SocketAddr, request: &str) -> io::Result<Vec<u8>> {
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
+    stream.write_all(format!("{request}\n").as_bytes())?;
+    let mut answer = Vec::new();
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer)?;
+    Ok(answer)
+}
+
+/// The metrics as the JSON that the process sent.
+pub fn metrics_json(address: SocketAddr) -> Result<String, CtlError> {
+    let answer = query(address, "DUMP")?;
+    match answer.strip_suffix("\nEND\n") {
+        Some(json) => Ok(json.to_owned()),
+        None => {
+            let first_line = answer.lines().next().unwrap_or_default().to_owned();
+            Err(CtlError::UnexpectedAnswer { address, first_line })
+        }
+    }
+}
+
+/// The metrics of the process.
+pub fn metrics(address: SocketAddr) -> Result<MetricsReport, CtlError> {
+    let json = metrics_json(address)?;
+    serde_json::from_str(&json).map_err(|source| CtlError::InvalidMetrics { address, source })
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,58 +3,67 @@
 mod args;
 mod check;
 mod ctl;
+mod error;
 mod logs;
 
-use args::{Arguments, Command, Serve};
+use args::{Arguments, Command, ServeArguments};
 use clap::{CommandFactory, Parser};
+use clap_complete::Shell;
+use error::CommandError;
 use oakport_proxy::{inherited_listener, Config, Process};
-use std::io::Write;
+use std::io::{self, Write};
 use std::net::TcpListener;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // First of all: a descriptor that was not inherited must not come to bear its number.
+    // First of all: a descriptor opened later could get the number of the inherited one.
     let listener = inherited_listener();
-    let done = match Arguments::parse().command {
-        Command::Serve(arguments) => listener.and_then(|listener| serve(&arguments, listener)),
+    let result = match Arguments::parse().command {
+        Command::Serve(arguments) => {
+            let listener = listener.map_err(|error| CommandError::Process(error.to_string()));
+            listener.and_then(|listener| serve(&arguments, listener))
+        }
         Command::Check { files } => {
             return if check::run(&files) { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
-        Command::Ctl(ctl) => ctl::run(&ctl),
+        Command::Ctl(arguments) => ctl::run(&arguments).map_err(CommandError::from),
         Command::Schema => print(&format!("{:#}\n", Config::schema())),
-        Command::Completions { shell } => {
-            let mut text = Vec::new();
-            clap_complete::generate(shell, &mut Arguments::command(), "oakport", &mut text);
-            print(&String::from_utf8_lossy(&text))
-        }
+        Command::Completions { shell } => print(&completions(shell)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("oakport: {fault}");
+        Err(error) => {
+            eprintln!("oakport: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(arguments: &Serve, listener: Option<TcpListener>) -> Result<(), String> {
-    let config = Config::read(arguments.config.as_deref()).map_err(|faults| faults.to_string())?;
-    let bounds = logs::start(arguments.log_format, arguments.log_level)?;
+fn serve(arguments: &ServeArguments, listener: Option<TcpListener>) -> Result<(), CommandError> {
+    let config = Config::read(arguments.config.as_deref())?;
+    let rate_limit = logs::start(arguments.log_format, arguments.log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let server = Process::open(config, listener).await?;
+    let runtime = runtime.map_err(CommandError::Runtime)?;
+    let served = tokio::task::LocalSet::new().block_on(&runtime, async {
+        let process = Process::open(config, listener).await?;
         tokio::select! {
-            done = server.serve() => done,
-            () = bounds.tell() => Ok(()),
+            ended = process.serve() => ended,
+            () = rate_limit.report_suppressed() => Ok(()),
         }
-    })
+    });
+    served.map_err(|error| CommandError::Process(error.to_string()))
+}
+
+fn completions(shell: Shell) -> String {
+    let mut script = Vec::new();
+    clap_complete::generate(shell, &mut Arguments::command(), "oakport", &mut script);
+    String::from_utf8_lossy(&script).into_owned()
 }
 
-/// Prints to a reader that may have gone, such as `head`.
-fn print(text: &str) -> Result<(), String> {
-    match std::io::stdout().write_all(text.as_bytes()) {
-        Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => Err(format!("writing: {e}")),
+/// Prints to standard output, whose reader may have closed it, as `head` does.
+fn print(text: &str) -> Result<(), CommandError> {
+    match io::stdout().write_all(text.as_bytes()) {
+        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(CommandError::Output(error)),
         _ => Ok(()),
     }
 }
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -427,12 +427,12 @@
         }
     }
 
-    /// Where operators call, from the line that tells it.
+    /// The address of the admin endpoint, from its log line.
     pub fn operator(&mut self) -> SocketAddr {
         loop {
             let mut line = String::new();
             assert!(self.log.read_line(&mut line).expect("text") > 0, "it ended before it told");
-            if let Some((_, address)) = line.split_once("operators may call address=") {
+            if let Some((_, address)) = line.split_once("admin endpoint listening address=") {
                 return address.trim().parse().expect("an address");
             }
         }
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,101 +1,113 @@
-//! The operators' address: one line to a connection, answered from the figures. It changes nothing.
+//! The admin endpoint: answers one request line per connection from the metrics. It changes nothing.
 
 use crate::dispatcher::Dispatcher;
 use crate::membership::MembershipService;
 use crate::metrics::MetricsReport;
 use std::collections::VecDeque;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Callers at a time. When one more comes, the one that has been there longest goes: who holds a connection
-/// without a call must not keep others from theirs.
-pub const CALLERS: usize = 12;
+/// Most connections at a time. One more closes the oldest, so that idle connections cannot lock others out.
+pub const MAX_CONNECTIONS: usize = 12;
 /// Connections waiting to be accepted.
-const BACKLOG: u32 = 64;
-/// Most bytes of a line.
-const LINE_MOST: usize = 64;
-/// How long a caller may take for its line, and for reading the answer.
-const LINE_TIME: Duration = Duration::from_secs(5);
-const ANSWER_TIME: Duration = Duration::from_secs(2);
-/// Most bytes that are read and thrown away after the answer: a close with unread bytes could destroy it.
-const REST_MOST: usize = 64 * 1024;
-/// Pause before the address is tried again, or the next caller is.
-const PAUSE: Duration = Duration::from_millis(50);
+const LISTEN_BACKLOG_CONNECTIONS: u32 = 64;
+/// Most bytes of a request line, without its end.
+const MAX_REQUEST_LINE_BYTES: usize = 64;
+/// How long a client may take to send its request line.
+const REQUEST_LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client may take to read the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Most bytes read and discarded after the response: closing with unread bytes could destroy the response.
+const MAX_DISCARDED_BYTES: u64 = 64 * 1024;
+/// Pause before listening or accepting is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers callers at `address` for as long as the program runs.
-pub async fn run(driver: Dispatcher, peers: Option<Rc<MembershipService>>, address: SocketAddr) {
+/// Serves the admin endpoint at `address` for as long as the program runs.
+pub async fn run(dispatcher: Dispatcher, membership: Option<Rc<MembershipService>>, address: SocketAddr) {
     let listener = listen(address).await;
     if let Ok(address) = listener.local_addr() {
-        info!(%address, "operators may call");
+        info!(%address, "admin endpoint listening");
     }
-    let mut callers = JoinSet::new();
-    let mut longest: VecDeque<AbortHandle> = VecDeque::new();
+    let mut connections = JoinSet::new();
+    let mut oldest_first: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    longest.retain(|caller| !caller.is_finished());
-                    if longest.len() >= CALLERS {
-                        longest.pop_front().iter().for_each(AbortHandle::abort);
+                    oldest_first.retain(|connection| !connection.is_finished());
+                    if oldest_first.len() >= MAX_CONNECTIONS {
+                        if let Some(oldest) = oldest_first.pop_front() {
+                            oldest.abort();
+                        }
                     }
-                    longest.push_back(callers.spawn_local(call(driver.clone(), peers.clone(), stream)));
+                    let connection = serve(dispatcher.clone(), membership.clone(), stream);
+                    oldest_first.push_back(connections.spawn_local(connection));
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => sleep(RETRY_PAUSE).await,
             },
-            // How a call ends concerns the caller alone.
-            Some(_) = callers.join_next() => {}
+            // How a connection ends concerns its client alone.
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// An address that cannot be had yet must not keep clients from being served.
+/// Listens at `address`, retrying until that succeeds: clients are served meanwhile.
 async fn listen(address: SocketAddr) -> TcpListener {
-    let mut told = false;
+    let mut warned = false;
     loop {
-        let listener = TcpSocket::new_v4().and_then(|socket| {
-            socket.set_reuseaddr(true)?;
-            socket.bind(address)?;
-            socket.listen(BACKLOG)
-        });
-        match listener {
+        match try_listen(address) {
             Ok(listener) => return listener,
-            Err(fault) if !std::mem::replace(&mut told, true) => {
-                warn!(%address, reason = %fault, "operators' address not to be had, trying on");
+            Err(error) if !warned => {
+                warn!(%address, reason = %error, "admin endpoint cannot listen, retrying");
+                warned = true;
             }
             Err(_) => {}
         }
-        tokio::time::sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-async fn call(driver: Dispatcher, peers: Option<Rc<MembershipService>>, mut stream: TcpStream) {
-    let answer = match tokio::time::timeout(LINE_TIME, line(&mut stream)).await {
-        Ok(Some(line)) => answer(&driver, peers.as_deref(), &line),
+fn try_listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG_CONNECTIONS)
+}
+
+/// Serves one connection: reads a line, writes the response and closes.
+async fn serve(dispatcher: Dispatcher, membership: Option<Rc<MembershipService>>, mut stream: TcpStream) {
+    let response = match timeout(REQUEST_LINE_TIMEOUT, read_request_line(&mut stream)).await {
+        Ok(Some(line)) => respond(&dispatcher, membership.as_deref(), &line),
         Ok(None) => return,
         Err(_) => "NO not a whole line in time\n".to_owned(),
     };
-    let tell = async {
-        stream.write_all(answer.as_bytes()).await?;
-        stream.shutdown().await?;
-        let mut rest = stream.take(REST_MOST as u64);
-        tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
-    };
-    // A caller that does not take its answer has none.
-    let _ = tokio::time::timeout(ANSWER_TIME, tell).await;
+    // A client that does not read its response has none.
+    let _ = timeout(RESPONSE_TIMEOUT, send_response(stream, &response)).await;
+}
+
+async fn send_response(mut stream: TcpStream, response: &str) -> io::Result<()> {
+    stream.write_all(response.as_bytes()).await?;
+    stream.shutdown().await?;
+    let mut unread = stream.take(MAX_DISCARDED_BYTES);
+    tokio::io::copy(&mut unread, &mut tokio::io::sink()).await?;
+    Ok(())
 }
 
-/// The line without its end, or what came of one that is too long. None: nothing came.
-async fn line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let (mut line, mut part) = (Vec::new(), [0; LINE_MOST + 1]);
-    while line.len() <= LINE_MOST {
-        let count = stream.read(&mut part).await.ok()?;
-        line.extend_from_slice(&part[..count]);
-        if let Some(end) = line.iter().position(|&b| b == b'\n') {
+/// The request line without its end, or what was read of one that is too long. None: nothing was sent.
+async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut line = Vec::new();
+    let mut chunk = [0; MAX_REQUEST_LINE_BYTES + 1];
+    while line.len() <= MAX_REQUEST_LINE_BYTES {
+        let count = stream.read(&mut chunk).await.ok()?;
+        line.extend_from_slice(&chunk[..count]);
+        if let Some(end) = line.iter().position(|&byte| byte == b'\n') {
             line.truncate(end);
             line.pop_if(|last| *last == b'\r');
             return Some(line);
@@ -107,16 +119,16 @@
     Some(line)
 }
 
-fn answer(driver: &Dispatcher, peers: Option<&MembershipService>, line: &[u8]) -> String {
+fn respond(dispatcher: &Dispatcher, membership: Option<&MembershipService>, line: &[u8]) -> String {
     match line {
-        b"HEALTH" if driver.is_accepting() => "YES\n".to_owned(),
+        b"HEALTH" if dispatcher.is_accepting() => "YES\n".to_owned(),
         b"HEALTH" => "NO clients are not taken any more\n".to_owned(),
         b"DUMP" => {
-            let report =
-                MetricsReport { peers: peers.and_then(MembershipService::report), ..driver.report() };
+            let membership = membership.and_then(MembershipService::report);
+            let report = MetricsReport { membership, ..dispatcher.report() };
             match serde_json::to_string(&report) {
-                Ok(figures) => format!("{figures}\nEND\n"),
-                Err(fault) => format!("NO {fault}\n"),
+                Ok(json) => format!("{json}\nEND\n"),
+                Err(error) => format!("NO {error}\n"),
             }
         }
         _ => "NO only HEALTH and DUMP are known\n".to_owned(),
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,60 +1,66 @@
-//! The names that clients use for classes and tenants, and their numbers.
+//! The names that clients use for classes and tenants, and their ids.
 
 use oakport_core::settings_wire::ParsedSettings;
 use oakport_core::{Class, ClassId, Settings, TenantId};
 
-/// All classes ever named, by their numbers: one that has vanished keeps its own.
+/// All classes that the settings have ever named, by their ids: a class that was removed keeps its id.
 #[derive(Debug)]
 pub struct Classes {
     names: Vec<String>,
-    specs: Vec<Class>,
+    classes: Vec<Class>,
     tenants: Vec<String>,
 }
 
 impl Classes {
-    /// As the first settings name them, with those settings for the module.
-    pub fn new(facts: ParsedSettings) -> (Self, Settings) {
-        let settings = facts.settings;
-        let specs = settings.classes.clone();
-        (Classes { names: facts.class_names, specs, tenants: facts.tenant_names }, settings)
+    /// The classes of the first settings, with these settings for the balancer.
+    pub fn new(parsed: ParsedSettings) -> (Self, Settings) {
+        let classes = Classes {
+            names: parsed.class_names,
+            classes: parsed.settings.classes.clone(),
+            tenants: parsed.tenant_names,
+        };
+        (classes, parsed.settings)
     }
 
-    /// Takes new settings in; what the module is told has all classes under their old numbers.
-    pub fn apply_settings(&mut self, facts: ParsedSettings) -> Settings {
-        self.specs.iter_mut().for_each(|class| class.active = false);
-        for (name, class) in facts.class_names.into_iter().zip(&facts.settings.classes) {
-            match place(&self.names, &name) {
-                Some(number) => self.specs[number] = *class,
+    /// Applies new settings. Returns them for the balancer, with all classes under their old ids.
+    pub fn apply_settings(&mut self, parsed: ParsedSettings) -> Settings {
+        for class in &mut self.classes {
+            class.active = false;
+        }
+        for (name, class) in parsed.class_names.into_iter().zip(&parsed.settings.classes) {
+            match position(&self.names, &name) {
+                Some(index) => self.classes[index] = *class,
                 None => {
                     self.names.push(name);
-                    self.specs.push(*class);
+                    self.classes.push(*class);
                 }
             }
         }
-        self.tenants = facts.tenant_names;
-        Settings { classes: self.specs.clone(), ..facts.settings }
+        self.tenants = parsed.tenant_names;
+        Settings { classes: self.classes.clone(), ..parsed.settings }
     }
 
     /// The class of this name, if the settings in force have one.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
-        place(&self.names, name).filter(|&number| self.specs[number].active).map(ClassId)
+        position(&self.names, name).filter(|&index| self.classes[index].active).map(ClassId)
     }
 
+    /// The tenant of this name, if the settings in force have one.
     pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
-        place(&self.tenants, name).map(TenantId)
+        position(&self.tenants, name).map(TenantId)
     }
 
-    /// Names in the order of their numbers.
+    /// Class names in the order of their ids.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The name of a number, as far as there is one.
+    /// The name of a class; `?` for an id that no class has.
     pub fn name(&self, class: ClassId) -> &str {
         self.names.get(class.0).map_or("?", String::as_str)
     }
 }
 
-fn place(all: &[String], name: &str) -> Option<usize> {
-    all.iter().position(|n| n == name)
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|candidate| candidate == name)
 }
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 use crate::endpoints::{Endpoints, OutdatedConnections};
-use crate::metrics::{Metrics, MetricsReport, RequestOutcome};
+use crate::metrics::{Gauges, Metrics, MetricsReport, RequestOutcome};
 use crate::request::{CallAttributes, Request};
 use crate::response::{AttemptResult, FinalResponse, StreamingResponse};
 use crate::upstream::attempt::attempt;
@@ -143,9 +143,12 @@
     /// The operators' figures as they are now.
     pub fn report(&self) -> MetricsReport {
         let core = self.core.borrow();
-        let (listed, down) =
-            (core.hosts.listed().count(), core.balancer.unavailable_endpoints(self.clock.now()));
-        core.figures.report(core.classes.names(), core.calls.open(), (listed, down))
+        let gauges = Gauges {
+            in_flight_calls: core.calls.open(),
+            endpoints_listed: core.hosts.listed().count(),
+            endpoints_unavailable: core.balancer.unavailable_endpoints(self.clock.now()),
+        };
+        core.figures.report(core.classes.names(), gauges)
     }
 
     /// Calls without their final answer.
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts in discovery's form (PROTOCOL, "Discovery").
+//! The endpoint list as discovery sends it (PROTOCOL, "Discovery"). Its doc comments are part of the configuration schema.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The client proxy round the decisions of `oakport-core`: sockets, clock and timers. It decides nothing.
+//! The client proxy around the decisions of `oakport-core`: sockets, clock and timers. It decides nothing.
 //!
 //! [`Config`] is the configuration file, [`Process`] the process that serves by it. `docs/architecture.md` shows the
-//! parts and the way of one request through them.
+//! parts and the path of one request through them.
 
 mod admin;
 mod body;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures that operators read. Each fact is counted once, where it becomes final.
+//! Counts requests, attempts, connections and reloads for the admin endpoint. Each is counted once, when it is final.
 
 use crate::membership::report::MembershipReport;
 use oakport_core::ClassId;
@@ -14,113 +14,143 @@
     Failed,
 }
 
-/// Requests of one class by their ends.
+/// Requests of one class by their outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OutcomeCounts {
-    /// Served.
-    pub success: u64,
-    /// Refused: trying again is harmless.
-    pub busy: u64,
-    /// Failed.
-    pub failure: u64,
+    /// Requests served.
+    #[serde(rename = "success")]
+    pub served: u64,
+    /// Requests rejected, which may be retried without harm.
+    #[serde(rename = "busy")]
+    pub rejected: u64,
+    /// Requests failed.
+    #[serde(rename = "failure")]
+    pub failed: u64,
 }
 
-/// What the connections to hosts have cost.
+/// What the connections to endpoints have cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ConnectionCounts {
-    /// Connections that came up.
+    /// Connections established.
     pub opened: u64,
-    /// Attempts that waited for one to rest.
-    pub waits: u64,
+    /// Attempts that waited for the reuse cooldown of a connection.
+    #[serde(rename = "waits")]
+    pub cooldown_waits: u64,
 }
 
-/// What is counted from the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    calls: RefCell<Vec<OutcomeCounts>>,
+    outcomes_by_class: RefCell<Vec<OutcomeCounts>>,
     attempts: Cell<u64>,
-    connections: Cell<ConnectionCounts>,
-    reloads: Cell<(u64, u64)>,
+    connections_opened: Cell<u64>,
+    cooldown_waits: Cell<u64>,
+    reloads_succeeded: Cell<u64>,
+    reloads_failed: Cell<u64>,
 }
 
-/// All figures as they are now, in the form that is told.
+/// The current state that the counters do not hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Gauges {
+    /// Calls admitted and not yet answered completely.
+    pub in_flight_calls: usize,
+    /// Endpoints in the list.
+    pub endpoints_listed: usize,
+    /// Listed endpoints that are sent nothing now.
+    pub endpoints_unavailable: usize,
+}
+
+/// All metrics at one moment, as the admin endpoint reports them.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct MetricsReport {
     /// Requests answered, by class.
-    pub calls: BTreeMap<String, OutcomeCounts>,
-    /// Requests taken whole and not yet answered whole.
-    pub inflight: usize,
-    /// Attempts whose last byte was written to a host.
-    pub backend_calls: u64,
+    #[serde(rename = "calls")]
+    pub outcomes: BTreeMap<String, OutcomeCounts>,
+    /// Requests received completely and not yet answered completely.
+    #[serde(rename = "inflight")]
+    pub in_flight_calls: usize,
+    /// Attempts whose last byte was written to an endpoint.
+    #[serde(rename = "backend_calls")]
+    pub attempts: u64,
     /// What their connections have cost.
     #[serde(default)]
     pub connections: ConnectionCounts,
-    /// Hosts in the list.
-    pub hosts_listed: usize,
-    /// Listed hosts that are sent nothing now.
-    pub hosts_down: usize,
-    /// Files taken at SIGHUP.
-    pub reconfig_ok: u64,
-    /// Files turned down at SIGHUP.
-    pub reconfig_failed: u64,
+    /// Endpoints in the list.
+    #[serde(rename = "hosts_listed")]
+    pub endpoints_listed: usize,
+    /// Listed endpoints that are sent nothing now.
+    #[serde(rename = "hosts_down")]
+    pub endpoints_unavailable: usize,
+    /// Configuration files applied at SIGHUP.
+    #[serde(rename = "reconfig_ok")]
+    pub reloads_succeeded: u64,
+    /// Configuration files rejected at SIGHUP.
+    #[serde(rename = "reconfig_failed")]
+    pub reloads_failed: u64,
     /// The other client proxies, where they are known.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub peers: Option<MembershipReport>,
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "peers")]
+    pub membership: Option<MembershipReport>,
 }
 
 impl Metrics {
-    /// The final answer of a request.
-    pub fn count_request(&self, class: ClassId, end: RequestOutcome) {
-        let mut calls = self.calls.borrow_mut();
-        if calls.len() <= class.0 {
-            calls.resize(class.0 + 1, OutcomeCounts::default());
+    /// Counts the final answer of a request.
+    pub fn count_request(&self, class: ClassId, outcome: RequestOutcome) {
+        let mut outcomes_by_class = self.outcomes_by_class.borrow_mut();
+        if outcomes_by_class.len() <= class.0 {
+            outcomes_by_class.resize(class.0 + 1, OutcomeCounts::default());
         }
-        let ends = &mut calls[class.0];
-        match end {
-            RequestOutcome::Served => ends.success += 1,
-            RequestOutcome::Rejected => ends.busy += 1,
-            RequestOutcome::Failed => ends.failure += 1,
+        let counts = &mut outcomes_by_class[class.0];
+        match outcome {
+            RequestOutcome::Served => counts.served += 1,
+            RequestOutcome::Rejected => counts.rejected += 1,
+            RequestOutcome::Failed => counts.failed += 1,
         }
     }
 
-    /// An attempt has been written whole.
+    /// Counts an attempt whose request has been written completely.
     pub fn count_attempt(&self) {
-        self.attempts.set(self.attempts.get() + 1);
+        increment(&self.attempts);
     }
 
-    /// A connection to a host has come up.
+    /// Counts a connection established to an endpoint.
     pub fn count_connection(&self) {
-        let now = self.connections.get();
-        self.connections.set(ConnectionCounts { opened: now.opened + 1, ..now });
+        increment(&self.connections_opened);
     }
 
-    /// An attempt has to wait for a connection to rest.
+    /// Counts an attempt that has to wait for the reuse cooldown of a connection.
     pub fn count_cooldown_wait(&self) {
-        let now = self.connections.get();
-        self.connections.set(ConnectionCounts { waits: now.waits + 1, ..now });
+        increment(&self.cooldown_waits);
     }
 
-    /// A file was taken, or turned down.
-    pub fn count_reload(&self, taken: bool) {
-        let (ok, failed) = self.reloads.get();
-        self.reloads.set(if taken { (ok + 1, failed) } else { (ok, failed + 1) });
+    /// Counts a configuration file that was applied or rejected at SIGHUP.
+    pub fn count_reload(&self, succeeded: bool) {
+        increment(if succeeded { &self.reloads_succeeded } else { &self.reloads_failed });
     }
 
-    /// The report, with what only its callers know. Classes are numbered as `names` has them.
-    pub fn report(&self, names: &[String], inflight: usize, (listed, down): (usize, usize)) -> MetricsReport {
-        let calls = self.calls.borrow();
-        let ends = |number: usize| calls.get(number).copied().unwrap_or_default();
-        let (reconfig_ok, reconfig_failed) = self.reloads.get();
+    /// The report at this moment. `class_names` are in the order of their [`ClassId`].
+    pub fn report(&self, class_names: &[String], gauges: Gauges) -> MetricsReport {
+        let outcomes_by_class = self.outcomes_by_class.borrow();
+        let outcomes = class_names.iter().enumerate().map(|(class, name)| {
+            let counts = outcomes_by_class.get(class).copied().unwrap_or_default();
+            (name.clone(), counts)
+        });
         MetricsReport {
-            calls: names.iter().cloned().zip((0..).map(ends)).collect(),
-            inflight,
-            backend_calls: self.attempts.get(),
-            connections: self.connections.get(),
-            hosts_listed: listed,
-            hosts_down: down,
-            reconfig_ok,
-            reconfig_failed,
-            peers: None,
+            outcomes: outcomes.collect(),
+            in_flight_calls: gauges.in_flight_calls,
+            attempts: self.attempts.get(),
+            connections: ConnectionCounts {
+                opened: self.connections_opened.get(),
+                cooldown_waits: self.cooldown_waits.get(),
+            },
+            endpoints_listed: gauges.endpoints_listed,
+            endpoints_unavailable: gauges.endpoints_unavailable,
+            reloads_succeeded: self.reloads_succeeded.get(),
+            reloads_failed: self.reloads_failed.get(),
+            membership: None,
         }
     }
 }
+
+fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
+}
