--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,10 +1,14 @@
-//! Messages of the wire, as they are read and written.
+//! The messages of the wire, with its names mapped to those of the balancer.
 
+use crate::error::AdapterError;
 use oakport_core::settings_wire;
-use oakport_core::{CellId, DecisionEvent, EndpointId, EndpointInfo, EndpointState, LoadReport, Outcome};
+use oakport_core::{
+    CellId, DecisionEvent, EndpointId, EndpointInfo, EndpointState, ListUpdateKind, LoadReport, Outcome,
+};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// A line of input.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     pub clock_us: u64,
@@ -12,91 +16,130 @@
     pub input: Vec<Input<'a>>,
 }
 
-/// Any event; which fields it has depends on its verb.
+/// One input of a batch. Which fields it has depends on its verb.
 #[derive(Deserialize)]
 pub struct Input<'a> {
     #[serde(borrow)]
     pub verb: Cow<'a, str>,
     pub proxy: Option<i64>,
     pub seed: Option<u64>,
-    pub facts: Option<serde_json::Value>,
-    pub roster_id: Option<i64>,
-    pub elements: Option<Vec<Element>>,
-    pub scope: Option<i64>,
+    #[serde(rename = "facts")]
+    pub settings: Option<serde_json::Value>,
+    #[serde(rename = "roster_id")]
+    pub list_id: Option<i64>,
+    #[serde(rename = "elements")]
+    pub endpoints: Option<Vec<WireEndpoint>>,
+    #[serde(rename = "scope")]
+    pub list_kind: Option<i64>,
     #[serde(borrow)]
     pub call: Option<Cow<'a, str>>,
-    #[serde(borrow)]
-    pub user_group: Option<Cow<'a, str>>,
-    #[serde(borrow)]
-    pub tier_class: Option<Cow<'a, str>>,
-    pub time_budget_us: Option<u64>,
-    #[serde(default)]
-    pub resent: bool,
-    pub seq_no: Option<u32>,
-    pub host: Option<u32>,
-    #[serde(borrow)]
-    pub result: Option<Cow<'a, str>>,
+    #[serde(borrow, rename = "user_group")]
+    pub tenant: Option<Cow<'a, str>>,
+    #[serde(borrow, rename = "tier_class")]
+    pub class: Option<Cow<'a, str>>,
+    #[serde(rename = "time_budget_us")]
+    pub remaining_time_us: Option<u64>,
+    #[serde(default, rename = "resent")]
+    pub is_retry: bool,
+    #[serde(rename = "seq_no")]
+    pub attempt: Option<u32>,
+    #[serde(rename = "host")]
+    pub endpoint: Option<u32>,
+    #[serde(borrow, rename = "result")]
+    pub outcome: Option<Cow<'a, str>>,
     pub elapsed_us: Option<u64>,
-    #[serde(default)]
-    pub terminal: bool,
-    pub stats: Option<Stats>,
+    #[serde(default, rename = "terminal")]
+    pub call_closed: bool,
+    #[serde(rename = "stats")]
+    load: Option<WireLoad>,
+}
+
+impl Input<'_> {
+    /// The value of a field that the verb needs; `field` is its name on the wire.
+    pub fn require<T>(&self, value: Option<T>, field: &'static str) -> Result<T, AdapterError> {
+        value.ok_or_else(|| AdapterError::MissingField { verb: self.verb.to_string(), field })
+    }
+
+    /// The load that the endpoint reported; empty if it reported none.
+    pub fn load_report(&self) -> LoadReport {
+        self.load.as_ref().map(WireLoad::to_report).unwrap_or_default()
+    }
 }
 
 #[derive(Deserialize)]
-pub struct Stats {
-    active: Option<f64>,
-    waiting: Option<f64>,
-    cpu: Option<f64>,
-    err_rps: Option<f64>,
+struct WireLoad {
+    #[serde(rename = "active")]
+    in_flight: Option<f64>,
+    #[serde(rename = "waiting")]
+    queued: Option<f64>,
+    #[serde(rename = "cpu")]
+    utilisation: Option<f64>,
+    #[serde(rename = "err_rps")]
+    error_rate: Option<f64>,
 }
 
-impl Stats {
-    pub fn load(&self) -> LoadReport {
+impl WireLoad {
+    fn to_report(&self) -> LoadReport {
         LoadReport {
-            in_flight: self.active,
-            queued: self.waiting,
-            utilisation: self.cpu,
-            error_rate: self.err_rps,
+            in_flight: self.in_flight,
+            queued: self.queued,
+            utilisation: self.utilisation,
+            error_rate: self.error_rate,
         }
     }
 }
 
+/// An endpoint of a list.
 #[derive(Deserialize)]
-pub struct Element {
-    #[serde(default)]
-    last_start_us: u64,
-    #[serde(default)]
-    az: String,
-    #[serde(default)]
-    shape: String,
+pub struct WireEndpoint {
+    #[serde(default, rename = "last_start_us")]
+    started_at_us: u64,
+    #[serde(default, rename = "az")]
+    zone: String,
+    #[serde(default, rename = "shape")]
+    machine_type: String,
     #[serde(default)]
     weight: f64,
-    #[serde(default)]
-    cohort: u32,
-    host: u32,
+    #[serde(default, rename = "cohort")]
+    cell: u32,
+    #[serde(rename = "host")]
+    id: u32,
     state: u32,
 }
 
-impl Element {
-    pub fn entry(&self) -> Result<EndpointInfo, String> {
+impl WireEndpoint {
+    /// The endpoint as the balancer is told of it.
+    pub fn to_info(&self) -> Result<EndpointInfo, AdapterError> {
         let state = match self.state {
             0 => EndpointState::Draining,
             1 => EndpointState::Ready,
             2 => EndpointState::Removed,
-            other => return Err(format!("host {} in unknown state {other}", self.host)),
+            state => return Err(AdapterError::UnknownEndpointState { endpoint: self.id, state }),
         };
         Ok(EndpointInfo {
-            id: EndpointId(self.host),
+            id: EndpointId(self.id),
             state,
-            zone: settings_wire::zone_id(&self.az),
-            cell: CellId(self.cohort),
-            machine_type: settings_wire::machine_type_id(&self.shape),
+            zone: settings_wire::zone_id(&self.zone),
+            cell: CellId(self.cell),
+            machine_type: settings_wire::machine_type_id(&self.machine_type),
             weight: self.weight,
-            started_at: self.last_start_us,
+            started_at: self.started_at_us,
         })
     }
 }
 
+/// The kind of a list update, by its number on the wire.
+pub fn list_update_kind(code: i64) -> Result<ListUpdateKind, AdapterError> {
+    match code {
+        0 => Ok(ListUpdateKind::Failed),
+        1 => Ok(ListUpdateKind::Cached),
+        2 => Ok(ListUpdateKind::Delta),
+        3 => Ok(ListUpdateKind::Snapshot),
+        unknown => Err(AdapterError::UnknownListKind(unknown)),
+    }
+}
+
+/// The outcome of an attempt or load poll, by its word on the wire.
 pub fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
@@ -111,51 +154,62 @@
     }
 }
 
+/// A line of output.
 #[derive(Serialize)]
 pub struct Reply {
-    pub cmds: Vec<Command>,
+    #[serde(rename = "cmds")]
+    pub commands: Vec<Command>,
 }
 
+/// What an instance has to do.
 #[derive(Serialize)]
-#[serde(tag = "verb", rename_all = "SCREAMING_SNAKE_CASE")]
+#[serde(tag = "verb")]
 pub enum Command {
-    Route {
+    #[serde(rename = "ROUTE")]
+    Send {
         proxy: i64,
         call: String,
-        host: u32,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        stop_at_us: Option<u64>,
+        #[serde(rename = "host")]
+        endpoint: u32,
+        #[serde(rename = "stop_at_us", skip_serializing_if = "Option::is_none")]
+        timeout_at_us: Option<u64>,
     },
-    DropAttempt {
+    #[serde(rename = "DROP_ATTEMPT")]
+    Cancel {
         proxy: i64,
         call: String,
-        seq_no: u32,
+        #[serde(rename = "seq_no")]
+        attempt: u32,
     },
-    Test {
+    #[serde(rename = "TEST")]
+    PollLoad {
         proxy: i64,
-        host: u32,
+        #[serde(rename = "host")]
+        endpoint: u32,
     },
-    SetAlarm {
+    #[serde(rename = "SET_ALARM")]
+    SetTimer {
         proxy: i64,
-        offset_us: u64,
+        #[serde(rename = "offset_us")]
+        after_us: u64,
         tag: u64,
     },
-    DropRequest {
+    #[serde(rename = "DROP_REQUEST")]
+    Fail { proxy: i64, call: String },
+    #[serde(rename = "BOUNCE")]
+    Reject {
         proxy: i64,
         call: String,
+        #[serde(rename = "hold_off_us")]
+        retry_after_us: u64,
     },
-    Bounce {
-        proxy: i64,
-        call: String,
-        hold_off_us: u64,
-    },
-    Listen {
-        proxy: i64,
-        enable: bool,
-    },
-    Trace {
+    #[serde(rename = "LISTEN")]
+    PollEndpointList { proxy: i64, enable: bool },
+    #[serde(rename = "TRACE")]
+    Log {
         proxy: i64,
-        note_text: String,
+        #[serde(rename = "note_text")]
+        text: String,
     },
 }
 
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn malformed_lines_end_it_with_a_plain_message() {
+fn a_malformed_line_ends_the_adapter_with_a_one_line_message() {
     let faults = [
         ("not json", "line 1"),
         (r#"{"clock_us":1}"#, "input"),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_message_names_line_verb_and_field_and_the_exit_code_is_one() {
+fn an_invalid_input_ends_with_exit_code_one_and_a_message_naming_line_verb_and_field() {
     let unknown_list =
         r#"{"clock_us":6,"input":[{"verb":"MEMBERS","proxy":3,"scope":3,"version":1,"roster_id":9}]}"#;
     let no_list = r#"{"clock_us":6,"input":[{"verb":"MEMBERS","proxy":3,"scope":3,"version":1}]}"#;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn unknown_outcomes_may_have_run_and_unknown_classes_are_never_repeated() {
+fn an_unknown_outcome_of_an_unknown_class_is_not_retried() {
     let job = JOB.replace(r#""tier_class":"a""#, r#""tier_class":"never heard of""#);
     let done = r#"{"clock_us":20,"input":[{"verb":"DONE","proxy":3,"call":"r-x","seq_no":0,"host":77,"result":"melted","elapsed_us":9}]}"#;
     let replies = replies(&[START, LIST, &job, done]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn late_unknown_and_doubled_ids_change_nothing() {
+fn late_unknown_and_duplicate_call_ids_are_ignored() {
     let late = r#"{"clock_us":20,"input":[{"verb":"DONE","proxy":3,"call":"r-y","seq_no":4,"host":77,"result":"served","elapsed_us":9,"terminal":true},{"verb":"CANCELLED_BY_CLIENT","proxy":3,"call":"r-z"},{"verb":"DONE","proxy":3,"call":"r-x","seq_no":4,"host":77,"result":"server_error","elapsed_us":9}]}"#;
     let replies = replies(&[START, LIST, JOB, JOB, late]);
     assert!(replies[2].contains("ROUTE"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_empty_batches_and_overwritten_lists_work() {
+fn an_instance_recreated_within_a_batch_uses_the_last_list_of_a_number() {
     let start = START.replace('\n', " ");
     let create = start.trim_start_matches(r#"{"clock_us":5,"input":["#).trim_end_matches("]}");
     let list = |host: u32| {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn every_setting_reaches_the_module_by_what_it_decides() {
+fn settings_of_reports_charges_and_limits_make_the_balancer_poll_load() {
     // Many balancers and probes that tell: the settings of reports, charges and limits make it ask first.
     let start = START
         .replace(r#""balancers":2"#, r#""balancers":200,"locality":"z","weight_source":"nominal","charges":{"probe":0.005},"report":{"how":"on_probe","columns":["active"]}"#)
