--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -15,7 +15,7 @@
 use tracing::{info, warn};
 
 /// Most connections at a time. One more closes the oldest, so that idle connections cannot lock others out.
-pub const MAX_CONNECTIONS: usize = 12;
+const MAX_CONNECTIONS: usize = 12;
 /// Connections waiting to be accepted.
 const LISTEN_BACKLOG_CONNECTIONS: u32 = 64;
 /// Most bytes of a request line, without its end.
--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -45,3 +45,6 @@
         None => Ok(()),
     }
 }
+
+#[cfg(test)]
+mod tests;
