--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The client proxy round the decisions of `oakport-core`: sockets, clock and timers. It decides nothing.
+//! The client proxy around the decisions of `oakport-core`: sockets, clock and timers. It decides nothing.
 //!
 //! [`Config`] is the configuration file, [`Process`] the process that serves by it. `docs/architecture.md` shows the
-//! parts and the way of one request through them.
+//! parts and the path of one request through them.
 
 mod admin;
 mod body;
@@ -26,7 +26,7 @@
 mod socket;
 mod upstream;
 
-pub use config::{Checked, Config, Diagnostics, Limits, MembershipConfig};
+pub use config::{Checked, Config, DiagnosticCounts, Diagnostics, Limits, MembershipConfig};
 pub use descriptor_budget::{client_capacity, ClientCapacity};
 pub use hot_restart::{inherited_listener, InheritedListenerError};
 pub use membership::{MemberReport, MembershipReport, ScopeReport};
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -99,20 +99,25 @@
         let clock = Clock::start();
         let metrics = Rc::<Metrics>::default();
         let memory = MemoryLimit::new(config.limits.memory_mb);
-        let proxy_count = config.facts.settings.proxy_count;
+        let proxy_count = config.settings.settings.proxy_count;
         let pool = ConnectionPool::new(
-            config.facts.transport,
+            config.settings.transport,
             proxy_count,
             Rc::clone(&budget.descriptors),
             clock,
             Rc::clone(&metrics),
             Rc::clone(&memory),
         );
-        let dispatcher =
-            Dispatcher::new(config.seed, config.facts.clone(), clock, Rc::clone(&pool), Rc::clone(&metrics));
+        let dispatcher = Dispatcher::new(
+            config.seed,
+            config.settings.clone(),
+            clock,
+            Rc::clone(&pool),
+            Rc::clone(&metrics),
+        );
         dispatcher.start();
         let name = config.name.clone().unwrap_or_else(|| config.listen.to_string());
-        let membership = config.peers.clone();
+        let membership = config.membership.clone();
         let membership = membership
             .map(|parameters| MembershipService::new(parameters, name, config.seed, clock, proxy_count));
         let endpoints = list.as_ref().map_or(&[][..], |list| &list.endpoints);
@@ -195,7 +200,7 @@
     }
 
     fn spawn_admin_and_membership(&self) {
-        if let Some(address) = self.config.operator {
+        if let Some(address) = self.config.admin_address {
             tokio::task::spawn_local(admin::run(self.dispatcher.clone(), self.membership.clone(), address));
         }
         if let Some(membership) = &self.membership {
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -25,7 +25,7 @@
     /// Reloads at each signal. Ends when no more signals can arrive.
     pub async fn run(mut self) {
         while self.hangup.recv().await.is_some() {
-            let reloaded = self.config.again();
+            let reloaded = self.config.reload();
             self.metrics.count_reload(reloaded.is_ok());
             match reloaded {
                 Ok(config) => self.apply(config),
@@ -36,7 +36,7 @@
 
     fn apply(&mut self, config: Config) {
         self.config = config;
-        let settings = &self.config.facts;
+        let settings = &self.config.settings;
         let discovery = self.config.discovery;
         let classes = settings.class_names.join(" ");
         let attempts = settings.settings.limits.max_attempts;
