--- /dev/null
+++ b/crates/core/src/balance/load_polling.rs
@@ -0,0 +1,182 @@
+//! Load polls: in low-traffic mode a call may ask some endpoints for their load before it is sent.
+
+use super::balancer::Balancer;
+use super::parameters::{
+    FEEDBACK_WEIGHT, MAX_BACKOFF_DOUBLINGS, MAX_POLLED_ENDPOINTS, START_CONCURRENCY_CALLS,
+};
+use crate::action::Action;
+use crate::call_table::{Call, QueuePosition};
+use crate::event::{LoadReport, Outcome};
+use crate::ids::{CallId, EndpointId, Micros};
+use crate::settings::ReportDelivery;
+use crate::weighted_set::sample_slots;
+use rand_pcg::Pcg32;
+
+/// Share of a call's priority weight that its load polls may cost.
+const MAX_POLL_COST_RATIO: f64 = 0.02;
+/// Share of its latency objective that a call waits for the reports.
+const POLL_TIMEOUT_OBJECTIVE_RATIO: f64 = 0.05;
+/// Share of its latency objective that a call may be expected to take; an endpoint with more load is at
+/// capacity.
+const MAX_EXPECTED_OBJECTIVE_RATIO: f64 = 0.3;
+/// Polled utilisation from which all calls poll, as the factor that brings it to 1; below, a share of them
+/// do.
+const POLLED_UTILISATION_FACTOR: f64 = 2.0;
+
+impl Balancer {
+    /// The endpoints of `subset` to poll before this call is sent; empty: wait until the next poll is
+    /// allowed; `None`: send without a poll.
+    pub(super) fn endpoints_to_poll(
+        &self,
+        id: CallId,
+        subset: &[usize],
+        random: &mut Pcg32,
+    ) -> Option<Vec<usize>> {
+        let call = &self.calls[id];
+        let max_polls = self.max_polls_per_call();
+        if !self.reports_are_polled()
+            || !self.is_low_traffic()
+            || max_polls < 2
+            || !self.is_poll_in_time(call)
+        {
+            // A call that has found all polled endpoints at capacity is not sent without a poll.
+            return (call.at_capacity_count > 0).then(Vec::new);
+        }
+        // An idle fleet needs few polls, but some, to notice when that ends.
+        let poll_ratio = (self.polled_utilisation * POLLED_UTILISATION_FACTOR).powi(2).max(FEEDBACK_WEIGHT);
+        if call.at_capacity_count == 0 && call.sample > poll_ratio {
+            return None;
+        }
+        let max_polls = if call.next_poll_at > self.now { 0 } else { max_polls.min(MAX_POLLED_ENDPOINTS) };
+        Some(sample_slots(random, subset, max_polls, |slot| self.endpoints[slot].size))
+    }
+
+    fn reports_are_polled(&self) -> bool {
+        let reporting = self.settings.load_reporting;
+        self.settings.limits.load_polling
+            && reporting.delivery == ReportDelivery::OnPoll
+            && reporting.includes_in_flight
+    }
+
+    fn max_polls_per_call(&self) -> usize {
+        (MAX_POLL_COST_RATIO / self.settings.charges.load_poll.max(f64::MIN_POSITIVE)) as usize
+    }
+
+    fn is_poll_in_time(&self, call: &Call) -> bool {
+        let typical_us = self.classes.typical_latency_us(call.class_id, call.class.latency_objective);
+        let polled_by = self.now + self.load_poll_timeout(call);
+        polled_by as f64 + typical_us < call.weight_deadline() as f64
+    }
+
+    /// Polls endpoints for a call.
+    pub(super) fn start_load_polls(&mut self, id: CallId, slots: &[usize]) {
+        let timeout_at = self.now + self.load_poll_timeout(&self.calls[id]);
+        let polled: Vec<EndpointId> = slots.iter().map(|&slot| self.endpoints[slot].id).collect();
+        let Some(call) = self.calls.get_mut(id) else { return };
+        self.actions.extend(polled.iter().map(|&endpoint| Action::PollLoad { endpoint }));
+        call.polled_endpoints = polled;
+        call.poll_started_at = self.now;
+        self.polling_calls.push(id);
+        self.calls.timers.set(id, Some(timeout_at));
+    }
+
+    /// Takes in the end of a load poll. An endpoint that did not report counts as the most loaded.
+    pub(crate) fn on_load_polled(&mut self, id: EndpointId, outcome: Outcome, load: LoadReport) {
+        let Some(slot) = self.endpoints.slot(id) else { return };
+        let reported = load.in_flight.filter(|calls| outcome == Outcome::Served && calls.is_finite());
+        let endpoint = &mut self.endpoints[slot];
+        endpoint.polled_in_flight = reported.map_or(f64::MAX, |calls| calls.max(0.0));
+        endpoint.polled_at = self.now;
+        for call_id in std::mem::take(&mut self.polling_calls) {
+            let Some(call) = self.calls.get(call_id) else { continue };
+            if call.polled_endpoints.is_empty() {
+                continue;
+            }
+            if self.awaits_load_poll(call) {
+                self.polling_calls.push(call_id);
+            } else {
+                self.finish_load_polls(call_id);
+            }
+        }
+    }
+
+    /// Whether a load poll of this call is still in progress.
+    fn awaits_load_poll(&self, call: &Call) -> bool {
+        let mut slots = call.polled_endpoints.iter().filter_map(|&id| self.endpoints.slot(id));
+        slots.any(|slot| self.endpoints[slot].polled_at < call.poll_started_at)
+    }
+
+    /// Sends a call to the least loaded of the polled endpoints; all have reported, or time is up.
+    pub(super) fn finish_load_polls(&mut self, id: CallId) {
+        let Some(call) = self.calls.get_mut(id) else { return };
+        let polled = std::mem::take(&mut call.polled_endpoints);
+        let poll_started_at = call.poll_started_at;
+        let max_load = self.max_polled_load(id);
+        let mut candidates = Vec::new();
+        for endpoint_id in polled {
+            let Some(slot) = self.endpoints.slot(endpoint_id) else { continue };
+            if self.take_polled_load(slot, poll_started_at, max_load) && self.may_send_after_poll(id, slot) {
+                candidates.push(slot);
+            }
+        }
+        if let Some(slot) = self.least_loaded(candidates) {
+            self.send(id, slot, false);
+        } else if self.calls[id].attempts_in_flight() == 0 {
+            self.queue_for_next_poll(id);
+        }
+    }
+
+    /// Learns from an endpoint's polled load and returns whether it has capacity. The calls of all client
+    /// proxies there count, since each of them would add one call.
+    fn take_polled_load(&mut self, slot: usize, poll_started_at: Micros, max_load: f64) -> bool {
+        let rules = &self.settings.rules;
+        let endpoint = &mut self.endpoints[slot];
+        if endpoint.polled_at < poll_started_at {
+            endpoint.polled_in_flight = f64::MAX;
+            endpoint.polled_at = self.now;
+        }
+        let load = endpoint.polled_load(self.now, rules);
+        let busy_ratio = endpoint.polled_in_flight / (endpoint.polled_in_flight + 1.0);
+        let utilisation = (busy_ratio * load / max_load).min(1.0);
+        self.polled_utilisation += (utilisation - self.polled_utilisation) * FEEDBACK_WEIGHT;
+        let is_idle = endpoint.polled_in_flight < 1.0;
+        !endpoint.at_capacity(self.now, rules) && (load <= max_load || is_idle)
+    }
+
+    fn may_send_after_poll(&self, id: CallId, slot: usize) -> bool {
+        let endpoint = &self.endpoints[slot];
+        endpoint.accepts_calls(self.now)
+            && self.calls[id].may_attempt(self.now, endpoint, self.settings.clock_tick)
+    }
+
+    /// Queues a call whose polled endpoints were all at capacity; the pause to its next poll doubles each
+    /// time.
+    fn queue_for_next_poll(&mut self, id: CallId) {
+        let pause = self.load_poll_timeout(&self.calls[id]);
+        if let Some(call) = self.calls.get_mut(id) {
+            call.next_poll_at = self.now + (pause << call.at_capacity_count.min(MAX_BACKOFF_DOUBLINGS));
+            call.at_capacity_count += 1;
+        }
+        self.enqueue(id, QueuePosition::Front);
+    }
+
+    /// Calls in flight per size of an endpoint from which on this call would take too long, learned from the
+    /// responses of all endpoints. The sums start with samples at the initial budget, so that calls are sent
+    /// before it is learned.
+    fn max_polled_load(&self, id: CallId) -> f64 {
+        let listed = &self.index.listed;
+        let total_size = listed.total().max(f64::MIN_POSITIVE);
+        let initial_load = START_CONCURRENCY_CALLS * listed.len() as f64 / total_size;
+        let objective_us = self.calls[id].class.latency_objective as f64;
+        let max_latency_us = objective_us * MAX_EXPECTED_OBJECTIVE_RATIO;
+        let elapsed_us = self.load_per_latency.elapsed_us + max_latency_us / FEEDBACK_WEIGHT;
+        let polled_load = self.load_per_latency.polled_load + initial_load / FEEDBACK_WEIGHT;
+        max_latency_us * polled_load / elapsed_us.max(1.0)
+    }
+
+    /// How long a call waits for load reports, and how long a report counts as recent, in microseconds.
+    pub(super) fn load_poll_timeout(&self, call: &Call) -> Micros {
+        let timeout_us = call.class.latency_objective as f64 * POLL_TIMEOUT_OBJECTIVE_RATIO;
+        (timeout_us as Micros).max(self.settings.clock_tick)
+    }
+}
--- a/crates/core/src/balance/mod.rs
+++ b/crates/core/src/balance/mod.rs
@@ -1,32 +1,26 @@
-//! All decisions of the balancer, one file a concern; `src/api.rs` is the interface.
+//! All decisions of the balancer, one module per concern.
 //!
-//! `retry` has a call from arrival to end, `hold` its waiting, `route` the pick, `budget` who has room.
+//! `call_lifecycle` has a call from arrival to end; `admission` and `request_queue` decide whether and how
+//! long it waits; `endpoint_selection`, `slow_start`, `low_traffic` and `load_polling` choose its endpoint;
+//! `retry` and `hedging` decide on further attempts; `attempt_feedback` learns from their outcomes.
 
-mod ask;
-mod budget;
-mod hold;
-mod learn;
-mod members;
-mod overload;
+mod admission;
+mod attempt_feedback;
+mod balancer;
+mod call_lifecycle;
+mod concurrency_limit;
+mod endpoint_selection;
+mod endpoint_status;
+mod endpoint_updates;
+mod hedging;
+mod in_flight_budget;
+mod load_polling;
+mod low_traffic;
+mod outlier_ejection;
+mod parameters;
+mod request_queue;
 mod retry;
-mod route;
-mod state;
+mod slow_start;
 
-pub use state::Balancer;
-use state::*;
-
-impl Balancer {
-    /// Listed servers that are sent nothing now: set aside, or resting after a refusal as full.
-    pub fn unavailable_endpoints(&self, now: Micros) -> usize {
-        self.servers.iter().filter(|s| s.listed && !s.usable(now)).count()
-    }
-
-    /// What is learned stays, and calls under way keep their class. Classes keep their numbers.
-    pub(crate) fn retune(&mut self, mut settings: Settings) {
-        self.classes.retune(std::mem::take(&mut settings.classes));
-        self.settings = settings;
-        self.sets.order(self.sparse());
-        let listed: Vec<usize> = self.sets.listed.iter().collect();
-        listed.into_iter().for_each(|place| self.refile(place));
-    }
-}
+pub use balancer::Balancer;
+pub(crate) use call_lifecycle::NewCall;
--- /dev/null
+++ b/crates/core/src/balance/request_queue.rs
@@ -0,0 +1,101 @@
+//! The request queue: how long calls stay in it, and in which order they leave it.
+
+use super::balancer::Balancer;
+use super::endpoint_selection::Route;
+use super::parameters::FEEDBACK_WEIGHT;
+use crate::action::{Action, DecisionEvent};
+use crate::call_table::{Call, QueuePosition};
+use crate::ids::{CallId, Micros};
+use crate::settings::{Class, Idempotency};
+
+/// Queued calls examined behind the first one per event; it bounds the CPU time that a long queue costs.
+const MAX_QUEUED_CALLS_SCANNED: usize = 16;
+/// Share of the calls that may be trial attempts in low-traffic mode, where trials at many ejected endpoints
+/// would otherwise take most calls.
+const LOW_TRAFFIC_TRIAL_RATIO: f64 = FEEDBACK_WEIGHT;
+
+impl Balancer {
+    /// Queues a call; a retry is older than the queued calls and goes to the front.
+    pub(super) fn enqueue(&mut self, id: CallId, position: QueuePosition) {
+        let call = &self.calls[id];
+        let typical_us = self.classes.typical_latency_us(call.class_id, call.class.latency_objective);
+        // It leaves when a typical response would be too late, and always before the client times out.
+        let useful_until = call.weight_deadline().saturating_sub(typical_us as Micros);
+        let mut deadline = useful_until.max(self.now + 1);
+        if self.is_low_traffic() && call.at_capacity_count == 0 {
+            deadline = deadline.min(self.now + self.max_queue_wait(id));
+        }
+        let client_deadline = call.deadline.saturating_sub(self.settings.clock_tick).max(self.now);
+        self.calls.enqueue(id, position, deadline.min(client_deadline));
+    }
+
+    /// Sends as many queued calls as have an endpoint, in the order of the queue.
+    pub(crate) fn drain_queue(&mut self) {
+        self.send_readmission_trials();
+        let mut position = 0;
+        while let Some(&id) = self.calls.queue().get(position) {
+            match self.route(id) {
+                Route::Send { slot, is_trial } => {
+                    self.calls.dequeue(position);
+                    self.send(id, slot, is_trial);
+                    self.rejecting_all = false;
+                }
+                Route::PollLoad { slots } => {
+                    self.calls.dequeue(position);
+                    self.start_load_polls(id, &slots);
+                }
+                Route::Reject { retry_after } => {
+                    if !std::mem::replace(&mut self.rejecting_all, true) {
+                        self.actions.push(Action::Log(DecisionEvent::AllEndpointsEjected));
+                    }
+                    self.reject_or_fail(id, retry_after);
+                }
+                Route::Queue if !self.is_passable(id, position) => break,
+                Route::Queue => position += 1,
+            }
+        }
+    }
+
+    /// Whether later calls may pass a queued one: only where it is restricted to some endpoints by
+    /// deduplication.
+    fn is_passable(&self, id: CallId, position: usize) -> bool {
+        self.calls[id].first_possible_execution().is_some() && position < MAX_QUEUED_CALLS_SCANNED
+    }
+
+    /// Sends a suitable queued call to each ejected endpoint that is due for a trial attempt.
+    fn send_readmission_trials(&mut self) {
+        while let Some(&slot) = self.index.readmission_due.first() {
+            let mut scanned = self.calls.queue().iter().take(MAX_QUEUED_CALLS_SCANNED);
+            let Some(position) = scanned.position(|&id| self.may_try_ejected(&self.calls[id])) else { break };
+            let id = self.calls.queue()[position];
+            self.calls.dequeue(position);
+            self.send(id, slot, true);
+        }
+    }
+
+    /// Whether a call may be a trial attempt at an ejected endpoint: one that can be retried, if any class
+    /// can.
+    fn may_try_ejected(&self, call: &Call) -> bool {
+        let is_retriable = |class: &Class| class.idempotency != Idempotency::NonIdempotent;
+        let is_sampled = !self.is_low_traffic() || call.sample < LOW_TRAFFIC_TRIAL_RATIO;
+        is_sampled
+            && call.attempts.is_empty()
+            && (is_retriable(&call.class) || !self.classes.active().any(|record| is_retriable(&record.class)))
+    }
+
+    /// Handles the calls whose timers have fired.
+    pub(crate) fn run_call_timers(&mut self) {
+        while let Some(id) = self.calls.timers.pop_expired(self.now) {
+            let call = &self.calls[id];
+            if call.queued {
+                // Retry-After is the time waited in vain: capacity is not to be expected sooner.
+                let waited = self.now.saturating_sub(call.arrived_at);
+                self.reject_or_fail(id, waited);
+            } else if !call.polled_endpoints.is_empty() {
+                self.finish_load_polls(id);
+            } else {
+                self.hedge(id);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/call_table.rs
@@ -0,0 +1,226 @@
+//! Calls from arrival to end: their attempts, the request queue and the calls' timers.
+
+use crate::action::Action;
+use crate::event::Outcome;
+use crate::ids::{CallId, CellId, EndpointId, Micros, ZoneId};
+use crate::settings::Class;
+use crate::timer_queue::TimerQueue;
+use std::collections::{HashMap, VecDeque};
+use std::ops::Index;
+
+#[cfg(test)]
+mod tests;
+
+/// Whether an attempt has been executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Execution {
+    /// It has not ended.
+    InFlight,
+    /// It provably did not start.
+    NotStarted,
+    /// It has ended and may have run.
+    MayHaveRun,
+}
+
+/// One attempt of a call at an endpoint.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Attempt {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) zone: ZoneId,
+    pub(crate) cell: CellId,
+    pub(crate) sent_at: Micros,
+    /// It is a trial attempt: its result raises the endpoint's budget or re-admits it.
+    pub(crate) is_trial: bool,
+    /// The endpoint's load by a recent load poll, see [`Endpoint::polled_load`](crate::endpoint::Endpoint); 0
+    /// if none.
+    pub(crate) polled_load: f64,
+    /// Its response has begun to stream: the endpoint has done its work.
+    pub(crate) response_started: bool,
+    pub(crate) execution: Execution,
+}
+
+/// An attempt with the class of its call.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClassifiedAttempt {
+    pub(crate) attempt: Attempt,
+    pub(crate) class_id: usize,
+}
+
+/// A call from its arrival until it has ended and no attempt is in flight.
+#[derive(Debug, Default)]
+pub(crate) struct Call {
+    pub(crate) class: Class,
+    pub(crate) class_id: usize,
+    /// Attempts that the settings allowed when it arrived.
+    pub(crate) max_attempts: u32,
+    pub(crate) arrived_at: Micros,
+    /// When its client sent its first request, as far as can be told.
+    pub(crate) first_requested_at: Micros,
+    pub(crate) deadline: Micros,
+    pub(crate) attempts: Vec<Attempt>,
+    /// It may still take part in the slow-start lottery.
+    pub(crate) slow_start_eligible: bool,
+    /// Random number from 0 to 1 that samples the call for partial measures, such as those of a machine
+    /// group.
+    pub(crate) sample: f64,
+    /// Endpoints that are being polled for their load; the call goes to one of them.
+    pub(crate) polled_endpoints: Vec<EndpointId>,
+    pub(crate) poll_started_at: Micros,
+    /// It may poll again from this moment.
+    pub(crate) next_poll_at: Micros,
+    /// How often all polled endpoints were at capacity.
+    pub(crate) at_capacity_count: u32,
+    pub(crate) queued: bool,
+    /// Its response has begun to stream.
+    pub(crate) streaming: bool,
+    pub(crate) ended: bool,
+}
+
+impl Call {
+    /// Number of attempts in flight.
+    pub(crate) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
+    }
+
+    /// The first attempt that may have run; deduplication of later ones depends on it.
+    pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.execution != Execution::NotStarted)
+    }
+
+    /// The moment after which a response has no priority weight left.
+    pub(crate) fn weight_deadline(&self) -> Micros {
+        let limit = if self.class.late_weight_ratio > 0.0 {
+            self.class.client_timeout
+        } else {
+            self.class.latency_objective
+        };
+        self.deadline.min(self.first_requested_at.saturating_add(limit))
+    }
+
+    /// Whether no attempt has been sent to this endpoint.
+    pub(crate) fn has_not_attempted(&self, endpoint: EndpointId) -> bool {
+        self.attempts.iter().all(|attempt| attempt.endpoint != endpoint)
+    }
+}
+
+/// Position at which a call joins the request queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum QueuePosition {
+    Front,
+    Back,
+}
+
+/// All calls, the request queue and the calls' timers.
+#[derive(Debug, Default)]
+pub(crate) struct CallTable {
+    calls: HashMap<CallId, Call>,
+    queue: VecDeque<CallId>,
+    pub(crate) timers: TimerQueue<CallId>,
+}
+
+impl Index<CallId> for CallTable {
+    type Output = Call;
+
+    fn index(&self, id: CallId) -> &Call {
+        &self.calls[&id]
+    }
+}
+
+impl CallTable {
+    pub(crate) fn get(&self, id: CallId) -> Option<&Call> {
+        self.calls.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: CallId) -> Option<&mut Call> {
+        self.calls.get_mut(&id)
+    }
+
+    pub(crate) fn insert(&mut self, id: CallId, call: Call) {
+        self.calls.insert(id, call);
+    }
+
+    /// Queued calls, the next one first.
+    pub(crate) fn queue(&self) -> &VecDeque<CallId> {
+        &self.queue
+    }
+
+    /// Queues a call until `deadline` at the latest.
+    pub(crate) fn enqueue(&mut self, id: CallId, position: QueuePosition, deadline: Micros) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.queued = true;
+        call.polled_endpoints.clear();
+        self.timers.set(id, Some(deadline));
+        match position {
+            QueuePosition::Front => self.queue.push_front(id),
+            QueuePosition::Back => self.queue.push_back(id),
+        }
+    }
+
+    /// Takes the call at this index out of the queue.
+    pub(crate) fn dequeue(&mut self, index: usize) {
+        if let Some(call) = self.queue.remove(index).and_then(|id| self.calls.get_mut(&id)) {
+            call.queued = false;
+        }
+    }
+
+    /// Records the end of an attempt; `None` if it is unknown or has already ended.
+    pub(crate) fn end_attempt(
+        &mut self,
+        id: CallId,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Option<ClassifiedAttempt> {
+        let call = self.calls.get_mut(&id)?;
+        let ended = call.attempts.get_mut(attempt as usize)?;
+        if ended.execution != Execution::InFlight {
+            return None;
+        }
+        ended.execution =
+            if outcome.proves_not_started() { Execution::NotStarted } else { Execution::MayHaveRun };
+        Some(ClassifiedAttempt { attempt: *ended, class_id: call.class_id })
+    }
+
+    /// Records that the response of an attempt has begun to stream; returns the attempt the first time.
+    pub(crate) fn start_response(&mut self, id: CallId, attempt: u32) -> Option<ClassifiedAttempt> {
+        let call = self.calls.get_mut(&id)?;
+        call.streaming = true;
+        self.timers.set(id, None);
+        let started = call.attempts.get_mut(attempt as usize)?;
+        if started.execution != Execution::InFlight || started.response_started {
+            return None;
+        }
+        let before = *started;
+        started.response_started = true;
+        Some(ClassifiedAttempt { attempt: before, class_id: call.class_id })
+    }
+
+    /// Actions that cancel the attempts in flight, but for `winner` and those whose responses stream.
+    pub(crate) fn cancel_losers(&self, id: CallId, winner: Option<u32>) -> impl Iterator<Item = Action> + '_ {
+        let attempts = self.calls.get(&id).map_or(&[][..], |call| &call.attempts);
+        let is_loser = move |number: u32, attempt: &Attempt| {
+            attempt.execution == Execution::InFlight && !attempt.response_started && Some(number) != winner
+        };
+        let losers = (0..).zip(attempts).filter(move |(number, attempt)| is_loser(*number, attempt));
+        losers.map(move |(attempt, _)| Action::Cancel { call: id, attempt })
+    }
+
+    /// Records that the call has its final answer.
+    pub(crate) fn end(&mut self, id: CallId) {
+        self.timers.set(id, None);
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.ended = true;
+        call.polled_endpoints.clear();
+        if std::mem::take(&mut call.queued) {
+            if let Some(index) = self.queue.iter().position(|&queued| queued == id) {
+                self.queue.remove(index);
+            }
+        }
+    }
+
+    /// Removes a call that has ended and has no attempt in flight.
+    pub(crate) fn remove_if_done(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|call| call.ended && call.attempts_in_flight() == 0) {
+            self.calls.remove(&id);
+        }
+    }
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -34,18 +34,18 @@
 
 mod action;
 mod balance;
-mod classes;
+mod call_table;
+mod endpoint;
+mod endpoint_index;
+mod endpoint_table;
 mod event;
-mod events;
+mod event_loop;
 mod ids;
-mod ledger;
-mod roster;
-mod server;
-mod sets;
+mod latency_stats;
 mod settings;
 pub mod settings_wire;
-mod timetable;
-mod weighted;
+mod timer_queue;
+mod weighted_set;
 
 pub use action::{Action, DecisionEvent};
 pub use balance::Balancer;
