--- a/crates/core/src/balance/balancer.rs
+++ b/crates/core/src/balance/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's state.
+//! The balancer's state, and how new settings change it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::parameters::MAX_RETRY_BUDGET_ATTEMPTS;
@@ -96,6 +96,17 @@
         }
     }
 
+    /// Puts new settings in force. What was learned stays, and calls in flight keep their class.
+    pub(crate) fn apply_settings(&mut self, mut settings: Settings) {
+        self.classes.apply_settings(std::mem::take(&mut settings.classes));
+        self.settings = settings;
+        self.index.enable_ranking(self.is_low_traffic());
+        let listed: Vec<usize> = self.index.listed.iter().collect();
+        for slot in listed {
+            self.refresh_status(slot);
+        }
+    }
+
     /// The first backoff of endpoints, classes and retries, in microseconds.
     pub(super) fn initial_backoff(&self) -> Micros {
         let backoff_us = self.classes.max_latency_objective_us() * INITIAL_BACKOFF_OBJECTIVE_RATIO;
--- a/crates/core/src/balance/endpoint_updates.rs
+++ b/crates/core/src/balance/endpoint_updates.rs
@@ -1,10 +1,9 @@
-//! Updates of the endpoint list and of the settings, and the backoff between failed polls of the list.
+//! Updates of the endpoint list, and the backoff between failed polls of it.
 
 use super::balancer::Balancer;
 use crate::endpoint::{ChangedSlot, Endpoint, InFlightBudget};
 use crate::event::{EndpointInfo, ListUpdateKind};
 use crate::ids::Micros;
-use crate::settings::Settings;
 use rand::Rng;
 
 /// Client proxies that may poll at short intervals without overloading discovery.
@@ -63,15 +62,4 @@
             self.next_list_poll_at = self.now + interval / 2 + jitter;
         }
     }
-
-    /// Puts new settings in force. What was learned stays, and calls in flight keep their class.
-    pub(crate) fn apply_settings(&mut self, mut settings: Settings) {
-        self.classes.apply_settings(std::mem::take(&mut settings.classes));
-        self.settings = settings;
-        self.index.enable_ranking(self.is_low_traffic());
-        let listed: Vec<usize> = self.index.listed.iter().collect();
-        for slot in listed {
-            self.refresh_status(slot);
-        }
-    }
 }
