--- a/crates/core/examples/picks.rs
+++ b/crates/core/examples/picks.rs
@@ -132,7 +132,8 @@
         for number in 0..self.call_count {
             let call = CallId(u64::from(number));
             now += 5 * MS;
-            let (class, remaining_time) = (ClassId(0), 900 * MS);
+            let class = ClassId(0);
+            let remaining_time = 900 * MS;
             let event = Event::Request { call, class, tenant: None, remaining_time, is_retry: false };
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
@@ -152,7 +153,8 @@
             if let Some((call, endpoint)) = ends.map(|at| in_flight.remove(at)) {
                 let fails = endpoint < self.failing_count;
                 let outcome = if fails { Outcome::Error } else { Outcome::Served };
-                let (elapsed, load) = (10 * MS, LoadReport::default());
+                let elapsed = 10 * MS;
+                let load = LoadReport::default();
                 let event =
                     Event::AttemptEnded { call, attempt: 0, outcome, elapsed, call_closed: true, load };
                 balancer.handle(now, event, &mut actions);
@@ -179,7 +181,8 @@
 fn main() {
     let files: Vec<String> = std::env::args().skip(1).collect();
     if let [one, other] = &files[..] {
-        let (one, other) = (read(one), read(other));
+        let one = read(one);
+        let other = read(other);
         for world in &WORLDS {
             let distance = |call: u32| {
                 let of = |counts: &Counts, endpoint| {
--- a/crates/core/examples/recorded/worlds.rs
+++ b/crates/core/examples/recorded/worlds.rs
@@ -154,7 +154,8 @@
                 if let Some(Event::AttemptEnded { call, attempt, load, .. }) =
                     found.and_then(|k| self.pending.remove(&k))
                 {
-                    let (outcome, elapsed) = (Outcome::Cancelled, 5 * MS);
+                    let outcome = Outcome::Cancelled;
+                    let elapsed = 5 * MS;
                     self.schedule(
                         0,
                         Event::AttemptEnded { call, attempt, outcome, elapsed, call_closed: true, load },
@@ -163,7 +164,8 @@
             }
             Action::PollLoad { endpoint } => {
                 let outcome = if self.random.one_in(9) { Outcome::TimedOut } else { Outcome::Served };
-                let (elapsed, load) = (2 * MS, self.load());
+                let elapsed = 2 * MS;
+                let load = self.load();
                 self.schedule(elapsed, Event::LoadPolled { endpoint, outcome, elapsed, load });
             }
             Action::SetTimer { after } => {
--- a/crates/core/src/balance/endpoint_updates.rs
+++ b/crates/core/src/balance/endpoint_updates.rs
@@ -12,9 +12,10 @@
 const MAX_POLL_DOUBLINGS: u32 = 5;
 /// Intervals are counted in steps of the longest poll interval over this number.
 const STEPS_PER_MAX_POLL_INTERVAL: Micros = 32;
-/// Steps of the longest first interval, and the cap of later ones in steps, which grows up to fourfold.
+/// Longest first interval.
 const MAX_FIRST_INTERVAL_STEPS: Micros = 8;
-const INTERVAL_CAP_STEPS: Micros = 8;
+/// Longest later interval for few client proxies; it grows with their number, up to this factor.
+const MAX_INTERVAL_STEPS: Micros = 8;
 const MAX_INTERVAL_CAP_FACTOR: Micros = 4;
 
 impl Balancer {
@@ -52,7 +53,7 @@
     fn schedule_list_poll(&mut self) {
         let load_steps = Micros::from(self.settings.proxy_count / MAX_FAST_POLLING_PROXIES);
         let first_steps = load_steps.clamp(1, MAX_FIRST_INTERVAL_STEPS);
-        let cap_steps = INTERVAL_CAP_STEPS * load_steps.clamp(1, MAX_INTERVAL_CAP_FACTOR);
+        let cap_steps = MAX_INTERVAL_STEPS * load_steps.clamp(1, MAX_INTERVAL_CAP_FACTOR);
         let doublings = self.list_poll_failures.min(MAX_POLL_DOUBLINGS);
         let step = self.settings.rules.max_poll_interval / STEPS_PER_MAX_POLL_INTERVAL;
         let interval = step * (first_steps << doublings).min(cap_steps);
--- a/crates/core/tests/low_traffic.rs
+++ b/crates/core/tests/low_traffic.rs
@@ -199,7 +199,8 @@
             Event::EndpointList { kind: ListUpdateKind::Snapshot, endpoints: entries },
             &mut actions,
         );
-        let (call, class) = (CallId(1), ClassId(0));
+        let call = CallId(1);
+        let class = ClassId(0);
         let event = Event::Request { call, class, tenant: None, remaining_time: 900 * MS, is_retry: false };
         balancer.handle(1_000_002, event, &mut actions);
         sent_to_warming_up += sends(&actions).iter().filter(|s| s.1 == EndpointId(10)).count();
@@ -217,7 +218,8 @@
         proxy.endpoint_list(ListUpdateKind::Snapshot, entries);
         let mut sent_to_warming_up = false;
         for n in 0..400 {
-            let (call, class) = (CallId(10_000 + n), ClassId(0));
+            let call = CallId(10_000 + n);
+            let class = ClassId(0);
             let event = Event::Request { call, class, tenant: None, remaining_time: 900 * MS, is_retry };
             let actions = proxy.event(event);
             sent_to_warming_up |= sends(&actions).iter().any(|s| s.1 == EndpointId(4));
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -27,7 +27,8 @@
 fn a_served_trial_attempt_adds_one_step() {
     let (mut proxy, _) = endpoint_at_capacity(Idempotency::NonIdempotent);
     let (trial, _) = proxy.request();
-    let (a, b) = (proxy.request().0, proxy.request().0);
+    let a = proxy.request().0;
+    let b = proxy.request().0;
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(sends(&actions).is_empty(), "an attempt that was never sent has no outcome");
@@ -40,7 +41,9 @@
     proxy.now += 100 * MS;
     proxy.end_attempt(b, 0, Outcome::Served, 100 * MS);
     proxy.advance(300 * MS);
-    let (c, d, e) = (proxy.request().0, proxy.request().0, proxy.request().0);
+    let c = proxy.request().0;
+    let d = proxy.request().0;
+    let e = proxy.request().0;
     let sent: Vec<CallId> = sends(&proxy.actions).into_iter().map(|send| send.0).collect();
     assert!(sent.ends_with(&[b, c, d]) && !sent.contains(&e), "the last one is the next trial: {sent:?}");
 }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -188,7 +188,8 @@
         let mut endpoints = Vec::new();
         for call in (0..40).map(|n| CallId(900 + n)) {
             // A client's retry takes no part in the lottery: only a lack of capacity brings it to slow start.
-            let (class, remaining_time) = (ClassId(0), 1_200 * MS);
+            let class = ClassId(0);
+            let remaining_time = 1_200 * MS;
             let event = Event::Request { call, class, tenant: None, remaining_time, is_retry: true };
             endpoints.extend(sends(&proxy.event(event)).iter().map(|s| s.1 .0));
         }
@@ -225,7 +226,8 @@
     assert_eq!(sends(&proxy.advance(430 * MS)).len(), 1, "a hedged attempt");
     let actions = proxy.event(Event::ResponseStarted { call, attempt: 1 });
     assert_eq!(actions, [Action::Cancel { call, attempt: 0 }]);
-    let (outcome, load) = (Outcome::Cancelled, LoadReport::default());
+    let outcome = Outcome::Cancelled;
+    let load = LoadReport::default();
     let event = Event::AttemptEnded { call, attempt: 0, outcome, elapsed: 430 * MS, call_closed: true, load };
     assert!(proxy.event(event).iter().all(|a| !matches!(a, Action::Cancel { .. })));
 }
@@ -559,7 +561,8 @@
     for _ in 0..40 {
         let (call, _) = proxy.request();
         proxy.now += 40 * MS;
-        let (outcome, elapsed) = (Outcome::Served, 40 * MS);
+        let outcome = Outcome::Served;
+        let elapsed = 40 * MS;
         proxy.event(Event::AttemptEnded { call, attempt: 0, outcome, elapsed, call_closed: true, load });
         proxy.advance(100 * MS);
     }
