--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -124,25 +124,25 @@
             member.address.clone(),
             member.zone.clone(),
             member.release.clone(),
-            member.standing.clone(),
-            span(member.for_ms),
+            member.status.clone(),
+            span(member.status_age_ms),
         ]);
     }
-    let cut = if peers.cut { ", so many are silent that it is taken for a cut" } else { "" };
+    let cut = if peers.partition_suspected { ", so many are silent that it is taken for a cut" } else { "" };
     let head = format!(
         "{} at {} sees {} present, itself included, for {}; {:.0}% of them agree; counts {}{cut}",
         peers.name,
         peers.address,
         peers.size,
         span(peers.age_ms),
-        100.0 * peers.agreement,
-        peers.count
+        100.0 * peers.agreement_ratio,
+        peers.live_count
     );
     let mut scopes = Table::new();
     scopes.load_preset(presets::NOTHING).set_header(["scope", "present", "counted", "heard", "ago"]);
     for scope in &peers.scopes {
-        let [present, counted] = [scope.present, scope.counted].map(|number| number.to_string());
-        scopes.add_row([scope.name.clone(), present, counted, scope.hearing.clone(), span(scope.age_ms)]);
+        let [present, counted] = [scope.member_count, scope.live_count].map(|number| number.to_string());
+        scopes.add_row([scope.name.clone(), present, counted, scope.status.clone(), span(scope.age_ms)]);
     }
     let lines = [head, String::new()].into_iter().chain(table.lines());
     let others = (!peers.scopes.is_empty()).then(|| [String::new()].into_iter().chain(scopes.lines()));
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,119 +1,186 @@
-//! What stands before a datagram's content, so that only this fleet's whole datagrams are read.
+//! Frames each datagram: magic, version, fleet and checksum, so that only complete datagrams of this fleet are
+//! read.
 
+use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The mark; the version of the format follows.
-const MARK: [u8; 3] = *b"oak";
-/// Bytes of an envelope.
-pub const LENGTH: usize = 16;
+/// The first bytes of each datagram; the byte of the kind follows.
+const MAGIC: [u8; 3] = *b"oak";
+/// Length of an envelope.
+pub(crate) const ENVELOPE_BYTES: usize = 16;
+/// The part of an envelope that the checksum covers.
+const CHECKED_BYTES: Range<usize> = 0..12;
 
-/// What a datagram holds: the fourth byte, a kind in its upper half and the kind's version in the lower one.
-/// Who knows only the first kind takes the others for another version of it, and throws them away.
+/// What a datagram holds: its fourth byte, with the kind in the upper half and the kind's version in the lower
+/// one. A release that knows only the first kind takes the others for another version, and discards them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
-    /// What `foca` says to members of one scope.
+    /// SWIM messages of `foca` among the members of one scope.
     Swim = 0x01,
-    /// What is told of scopes.
+    /// Summaries of scopes.
     ScopeGossip = 0x11,
-    /// What members of one scope ask and tell each other where their views differ.
+    /// Requests and responses that reconcile the views of two members of one scope.
     AntiEntropy = 0x21,
 }
 
-/// What stands before a datagram's content.
+impl DatagramKind {
+    const ALL: [DatagramKind; 3] = [DatagramKind::Swim, DatagramKind::ScopeGossip, DatagramKind::AntiEntropy];
+
+    fn from_byte(byte: u8) -> Option<DatagramKind> {
+        DatagramKind::ALL.into_iter().find(|kind| *kind as u8 == byte)
+    }
+}
+
+/// What precedes a datagram's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The fleet's name as a hash.
-    pub fleet: u32,
-    /// The digest of the sender's view.
+    /// Hash of the fleet's name, or of fleet and scope.
+    pub fleet_hash: u32,
+    /// Digest of the sender's view.
     pub digest: u32,
 }
 
-/// Why a datagram is thrown away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+/// A datagram that was checked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenedDatagram<'a> {
+    /// Its envelope.
+    pub envelope: Envelope,
+    /// What its content is.
+    pub kind: DatagramKind,
+    /// What follows the envelope.
+    pub content: &'a [u8],
+}
+
+/// Why a datagram is discarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// It is no datagram of oakport's.
+    /// It does not begin with the magic bytes.
+    #[error("not a membership datagram")]
     Magic,
-    /// It has another version.
+    /// Its kind or the kind's version is unknown here.
+    #[error("unknown kind or version")]
     Version,
-    /// It was damaged, or cut.
+    /// It was damaged or truncated.
+    #[error("checksum mismatch")]
     Checksum,
-    /// It is another fleet's.
+    /// It belongs to another fleet or scope.
+    #[error("datagram of another fleet or scope")]
     Fleet,
-    /// Its content makes no sense.
+    /// Its content cannot be decoded.
+    #[error("invalid content")]
     Content,
 }
 
-impl Envelope {
-    /// The hash of a fleet's name, the same in all builds.
-    pub fn fleet(name: &str) -> u32 {
-        xxh3_64(name.as_bytes()) as u32
+impl DatagramError {
+    /// The key under which operators see how many were discarded.
+    pub(crate) fn metric_key(self) -> &'static str {
+        match self {
+            DatagramError::Magic => "mark",
+            DatagramError::Version => "version",
+            DatagramError::Checksum => "damaged",
+            DatagramError::Fleet => "fleet",
+            DatagramError::Content => "content",
+        }
     }
+}
 
-    /// The hash of the name of a scope in a fleet: its members' datagrams are foreign to other scopes.
-    pub(crate) fn scope(fleet: &str, scope: &str) -> u32 {
-        match scope {
-            "" => Envelope::fleet(fleet),
-            _ => Envelope::fleet(&format!("{fleet}\0{scope}")),
+impl From<postcard::Error> for DatagramError {
+    fn from(_: postcard::Error) -> Self {
+        DatagramError::Content
+    }
+}
+
+/// The hashes by which a member tells datagrams of its fleet and scope from others.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FleetHashes {
+    fleet: u32,
+    scope: u32,
+}
+
+impl FleetHashes {
+    /// Hashes for a scope of a fleet; an empty scope is the one of the members without a scope.
+    pub(crate) fn new(fleet_name: &str, scope: &str) -> Self {
+        let fleet = Envelope::fleet_hash(fleet_name);
+        let scope = match scope {
+            "" => fleet,
+            _ => Envelope::fleet_hash(&format!("{fleet_name}\0{scope}")),
+        };
+        FleetHashes { fleet, scope }
+    }
+
+    /// The hash that datagrams of a kind carry: only scope gossip crosses scopes.
+    pub(crate) fn for_kind(&self, kind: DatagramKind) -> u32 {
+        match kind {
+            DatagramKind::Swim | DatagramKind::AntiEntropy => self.scope,
+            DatagramKind::ScopeGossip => self.fleet,
         }
     }
+}
 
-    /// A whole datagram of the first kind.
+impl Envelope {
+    /// The hash of a fleet's name, the same in all builds.
+    pub fn fleet_hash(name: &str) -> u32 {
+        xxh3_64(name.as_bytes()) as u32
+    }
+
+    /// A complete SWIM datagram.
     pub fn seal(&self, content: &[u8]) -> Vec<u8> {
         self.seal_as(DatagramKind::Swim, content)
     }
 
-    /// A whole datagram.
+    /// A complete datagram of a kind.
     pub fn seal_as(&self, kind: DatagramKind, content: &[u8]) -> Vec<u8> {
-        let mut whole = Vec::with_capacity(LENGTH + content.len());
-        whole.extend_from_slice(&MARK);
-        whole.push(kind as u8);
-        whole.extend_from_slice(&self.fleet.to_be_bytes());
-        whole.extend_from_slice(&self.digest.to_be_bytes());
-        whole.extend_from_slice(&checksum(&whole, content).to_be_bytes());
-        whole.extend_from_slice(content);
-        whole
+        let mut datagram = Vec::with_capacity(ENVELOPE_BYTES + content.len());
+        datagram.extend_from_slice(&MAGIC);
+        datagram.push(kind as u8);
+        datagram.extend_from_slice(&self.fleet_hash.to_be_bytes());
+        datagram.extend_from_slice(&self.digest.to_be_bytes());
+        let checksum = checksum(&datagram, content);
+        datagram.extend_from_slice(&checksum.to_be_bytes());
+        datagram.extend_from_slice(content);
+        datagram
     }
 
-    /// Opens a datagram of the first kind, of this fleet.
+    /// Opens a SWIM datagram of a fleet.
     ///
     /// # Errors
-    /// Why it is thrown away.
-    pub fn open(fleet: u32, datagram: &[u8]) -> Result<(Envelope, &[u8]), DatagramError> {
-        let (envelope, _, content) =
-            Envelope::open_any(|kind| (kind == DatagramKind::Swim).then_some(fleet), datagram)?;
-        Ok((envelope, content))
+    /// Why the datagram is discarded.
+    pub fn open(fleet_hash: u32, datagram: &[u8]) -> Result<OpenedDatagram<'_>, DatagramError> {
+        Envelope::open_any(|kind| (kind == DatagramKind::Swim).then_some(fleet_hash), datagram)
     }
 
-    /// Opens a datagram of one of the kinds for which a fleet is given.
+    /// Opens a datagram of any kind for which a hash is expected.
     ///
     /// # Errors
-    /// Why it is thrown away.
+    /// Why the datagram is discarded.
     pub fn open_any(
-        fleet: impl Fn(DatagramKind) -> Option<u32>,
+        expected_hash: impl Fn(DatagramKind) -> Option<u32>,
         datagram: &[u8],
-    ) -> Result<(Envelope, DatagramKind, &[u8]), DatagramError> {
-        let (mark, rest) = datagram.split_first_chunk::<4>().ok_or(DatagramError::Magic)?;
-        if mark[..3] != MARK {
+    ) -> Result<OpenedDatagram<'_>, DatagramError> {
+        let (head, rest) = datagram.split_first_chunk::<4>().ok_or(DatagramError::Magic)?;
+        if head[..MAGIC.len()] != MAGIC {
             return Err(DatagramError::Magic);
         }
-        let kind = [DatagramKind::Swim, DatagramKind::ScopeGossip, DatagramKind::AntiEntropy]
-            .into_iter()
-            .find(|kind| *kind as u8 == mark[3]);
-        let kind = kind.ok_or(DatagramError::Version)?;
-        let fleet = fleet(kind).ok_or(DatagramError::Version)?;
-        let (found, rest) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
-        let (digest, rest) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
-        let (sum, content) = rest.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
-        if checksum(&datagram[..12], content) != u32::from_be_bytes(*sum) {
+        let kind = DatagramKind::from_byte(head[MAGIC.len()]).ok_or(DatagramError::Version)?;
+        let expected_hash = expected_hash(kind).ok_or(DatagramError::Version)?;
+        let (fleet_hash, rest) = split_u32(rest)?;
+        let (digest, rest) = split_u32(rest)?;
+        let (expected_checksum, content) = split_u32(rest)?;
+        if checksum(&datagram[CHECKED_BYTES], content) != expected_checksum {
             return Err(DatagramError::Checksum);
         }
-        if u32::from_be_bytes(*found) != fleet {
+        if fleet_hash != expected_hash {
             return Err(DatagramError::Fleet);
         }
-        Ok((Envelope { fleet, digest: u32::from_be_bytes(*digest) }, kind, content))
+        Ok(OpenedDatagram { envelope: Envelope { fleet_hash, digest }, kind, content })
     }
 }
 
+fn split_u32(bytes: &[u8]) -> Result<(u32, &[u8]), DatagramError> {
+    let (number, rest) = bytes.split_first_chunk::<4>().ok_or(DatagramError::Checksum)?;
+    Ok((u32::from_be_bytes(*number), rest))
+}
+
 fn checksum(head: &[u8], content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(head);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,25 +1,35 @@
-//! What processes of oakport know of each other: who is present (`docs/membership.md`). No sockets, no clock:
-//! datagrams and the time in, datagrams and news out.
+//! Cluster membership: which client proxies are alive, and how many share the endpoints (`docs/membership.md`).
+//!
+//! The crate is a state machine without sockets and clock: datagrams and the time go in, datagrams and
+//! [`MembershipEvent`]s come out of a [`Node`].
 
-mod between;
-mod bucket;
-mod count;
+mod anti_entropy;
 mod envelope;
-mod heard;
+mod foca_packet;
 mod identity;
-mod peers;
-mod ranges;
-mod scopes;
-mod sync;
-mod view;
-mod wire;
+mod live_count;
+mod member_table;
+mod membership_event;
+mod node;
+mod outbox;
+mod range_digest;
+mod rate_limit;
+mod remote_scope;
+mod reported_digests;
+mod scope_gossip;
+mod scope_summary;
+mod scope_table;
+mod swim;
 
-pub use count::LiveCount;
-pub use envelope::{DatagramError, DatagramKind, Envelope};
+pub use envelope::{DatagramError, DatagramKind, Envelope, OpenedDatagram};
 pub use identity::Identity;
-pub use peers::{MembershipEvent, Node, NodeConfig};
-pub use scopes::{RemoteScope, ScopeStatus, ScopeSummary, ScopeTable};
-pub use view::{MemberRecord, MemberStatus, MemberTable};
+pub use live_count::LiveCount;
+pub use member_table::{MemberRecord, MemberStatus, MemberTable};
+pub use membership_event::MembershipEvent;
+pub use node::{Node, NodeConfig};
+pub use remote_scope::{RemoteScope, ScopeStatus};
+pub use scope_summary::ScopeSummary;
+pub use scope_table::ScopeTable;
 
-/// A moment or a span, in microseconds.
+/// An instant or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/membership/tests/sync.rs
+++ b/crates/membership/tests/anti_entropy.rs
@@ -71,7 +71,7 @@
     let (now, mut alone) = (net.now, net.process(20, "z0").peers);
     alone.handle_datagram(now, &ask);
     assert_eq!(
-        (alone.take_outbox().len(), alone.discarded_datagrams.len()),
+        (alone.take_outbox().len(), alone.discarded_datagrams().len()),
         (0, 0),
         "it does not know who asks"
     );
@@ -81,14 +81,14 @@
     let before = sizes(&net);
     for round in 0..10_000u64 {
         let content: Vec<u8> = (0..random.next_u64() % 99).map(|_| random.next_u64() as u8).collect();
-        let whole = Envelope { fleet, digest: 0 }.seal_as(DatagramKind::AntiEntropy, &content);
+        let whole = Envelope { fleet_hash: fleet, digest: 0 }.seal_as(DatagramKind::AntiEntropy, &content);
         net.processes[1].peers.handle_datagram(now, &whole);
         let mut bytes = ask.clone();
         let place = random.next_u64() as usize % bytes.len();
         bytes[place] ^= 1 << (round % 8);
         net.processes[1].peers.handle_datagram(now, &bytes);
     }
-    let odd = &net.processes[1].peers.discarded_datagrams;
+    let odd = &net.processes[1].peers.discarded_datagrams();
     assert!(["damaged", "content"].iter().all(|why| odd.contains_key(why)), "{odd:?}");
     net.processes[1].peers.take_outbox();
     assert_eq!(sizes(&net), before);
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/membership.rs
@@ -172,11 +172,11 @@
 
 /// The same datagram with a digest that never is the receiver's.
 fn of_another_formula(datagram: &[u8]) -> Vec<u8> {
-    // What is told of scopes has no digest that another goes by.
-    let Ok((envelope, content)) = Envelope::open(Envelope::fleet("fares"), datagram) else {
+    // The digest of scope gossip is not compared.
+    let Ok(opened) = Envelope::open(Envelope::fleet_hash("fares"), datagram) else {
         return datagram.to_vec();
     };
-    Envelope { digest: !envelope.digest, ..envelope }.seal(content)
+    Envelope { digest: !opened.envelope.digest, ..opened.envelope }.seal(opened.content)
 }
 
 /// The 99th percentile.
@@ -222,7 +222,7 @@
         // What joining costs is over.
         net.until(net.now + 20 * SECOND);
         net.news.clear();
-        let sent = |net: &Net| net.processes.iter().map(|p| p.peers.bytes_sent).collect::<Vec<_>>();
+        let sent = |net: &Net| net.processes.iter().map(|p| p.peers.bytes_sent()).collect::<Vec<_>>();
         let (before, begin) = (sent(&net), net.now);
         let length = if long { 600 } else { 120 };
         while net.now < begin + length * SECOND {
@@ -233,7 +233,9 @@
         let dead = net
             .news
             .iter()
-            .filter(|(_, _, n)| matches!(n, MembershipEvent::MemberChanged(_, MemberStatus::Dead)))
+            .filter(|(_, _, n)| {
+                matches!(n, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
+            })
             .count();
         println!("{number} processes: held dead {dead} times in {length} s");
         assert_eq!(dead, 0, "held dead in {length} s");
@@ -295,7 +297,7 @@
         .iter()
         .filter(|(_, n, _)| *n == 0)
         .filter_map(|(at, _, news)| match news {
-            MembershipEvent::LiveCount(count) => Some((*at, *count)),
+            MembershipEvent::LiveCountChanged { count } => Some((*at, *count)),
             _ => None,
         })
         .collect();
@@ -314,7 +316,7 @@
         net.running().iter().all(|n| net.processes[*n].peers.members().size() == size)
     };
     net.wait(30 * SECOND, "joined", |net| size(net, 30));
-    let before: Vec<u64> = net.processes.iter().map(|p| p.peers.bytes_sent).collect();
+    let before: Vec<u64> = net.processes.iter().map(|p| p.peers.bytes_sent()).collect();
     let begin = net.now;
     net.until(net.now + 120 * SECOND);
     // They disagree, so the count does not come down to those that are there, ...
@@ -322,15 +324,15 @@
         .processes
         .iter()
         .all(|p| p.peers.live_count().get() == 40 && p.peers.members().agreement_ratio(net.now) < 0.9));
-    let sent = net.processes.iter().zip(before).map(|(p, before)| p.peers.bytes_sent - before);
+    let sent = net.processes.iter().zip(before).map(|(p, before)| p.peers.bytes_sent() - before);
     let most = sent.max().expect("some") as f64 / ((net.now - begin) / SECOND) as f64;
     println!("two formulas: {most:.0} bytes a second at most");
     // ... asking each other for their views costs what it may, ...
     assert!(most <= 8_192.0, "{most}");
-    assert!(!net
-        .news
-        .iter()
-        .any(|(_, _, news)| matches!(news, MembershipEvent::MemberChanged(_, MemberStatus::Dead))));
+    assert!(!net.news.iter().any(|(_, _, news)| matches!(
+        news,
+        MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. }
+    )));
     // ... and what is said or confirmed is known and counted as ever.
     let now = net.now;
     net.processes[3].peers.leave(now);
@@ -369,11 +371,15 @@
     net.wait(10 * SECOND, "seven", Net::agree);
     net.until(net.now + 20 * SECOND);
     assert!(net.agree());
-    let told =
-        net.news.iter().filter(|(_, n, news)| *n == 0 && matches!(news, MembershipEvent::NameConflict(..)));
+    let told = net
+        .news
+        .iter()
+        .filter(|(_, n, news)| *n == 0 && matches!(news, MembershipEvent::NameConflict { .. }));
     let told: Vec<_> = told.collect();
     assert_eq!(told.len(), 1, "{told:?}");
-    assert!(matches!(&told[0].2, MembershipEvent::NameConflict(name, a, b) if name == "n3" && a != b));
+    assert!(
+        matches!(&told[0].2, MembershipEvent::NameConflict { name, known, joined } if name == "n3" && known != joined)
+    );
 }
 
 #[test]
@@ -388,7 +394,7 @@
     let now = net.now;
     let target = &mut net.processes[1].peers;
     target.handle_datagram(now, &datagram);
-    assert_eq!(target.discarded_datagrams.get("fleet"), Some(&1));
+    assert_eq!(target.discarded_datagrams().get("fleet"), Some(&1));
     let mut random = Pcg64::seed_from_u64(31);
     let mut sound = net_datagram(&mut net);
     for round in 0..20_000u64 {
@@ -406,13 +412,13 @@
     net.processes[1].peers.handle_datagram(now, &sound);
     let target = &net.processes[1].peers;
     assert!(
-        target.discarded_datagrams.get("version").is_some_and(|n| *n >= 1),
+        target.discarded_datagrams().get("version").is_some_and(|n| *n >= 1),
         "another version is told from noise"
     );
     assert!(
-        target.discarded_datagrams.get("damaged").is_some_and(|n| *n > 5_000),
+        target.discarded_datagrams().get("damaged").is_some_and(|n| *n > 5_000),
         "{:?}",
-        target.discarded_datagrams
+        target.discarded_datagrams()
     );
     assert_eq!(target.members().digest(), digest);
 }
@@ -434,7 +440,7 @@
 fn the_count_falls_by_what_was_said_or_confirmed_and_by_no_more() {
     // Fewer are there than were told of: a leave is one departure and no word on the others.
     let mut count = LiveCount::new(0, 60);
-    count.member_departed(SECOND, true);
+    count.member_left();
     assert_eq!(looks(&mut count, 2, 50, 11), 59);
     assert_eq!(looks(&mut count, 50, 60, 11), 59, "until the view has agreed for a minute");
     assert_eq!(looks(&mut count, 60, 120, 11), 11);
@@ -444,10 +450,10 @@
     for (silent, at) in (0..10).zip(101..) {
         count.member_suspected(101 * SECOND + silent * 200 * MILLI);
         if silent < 2 {
-            count.member_departed(at * SECOND + MILLI, false);
+            count.member_died(at * SECOND + MILLI);
         }
     }
-    count.member_departed(103 * SECOND, true);
+    count.member_left();
     assert!(count.suspects_partition());
     assert_eq!(looks(&mut count, 103, 150, 19), 29, "the one that said so");
     assert_eq!(looks(&mut count, 200, 240, 19), 19);
@@ -455,7 +461,7 @@
     assert_eq!(looks(&mut count, 240, 260, 1), 30);
     let mut count = LiveCount::new(0, 4);
     looks(&mut count, 0, 100, 20);
-    count.member_departed(100 * SECOND, false);
+    count.member_died(100 * SECOND);
     assert_eq!(looks(&mut count, 100, 103, 1), 20);
     assert_eq!(looks(&mut count, 103, 150, 1), 19);
     assert_eq!(looks(&mut count, 160, 260, 1), 4);
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -74,7 +74,7 @@
         assert_eq!(datagram[3], kind as u8);
         reader.take_outbox();
         reader.handle_datagram(now, &datagram);
-        assert!(reader.discarded_datagrams.is_empty(), "{kind:?} {:?}", reader.discarded_datagrams);
+        assert!(reader.discarded_datagrams().is_empty(), "{kind:?} {:?}", reader.discarded_datagrams());
         (reader.members().size(), reader.scopes().len(), reader.take_outbox().len())
     };
     let (size, _, _) = read(DatagramKind::Swim, SWIM);
--- a/crates/membership/tests/scopes.rs
+++ b/crates/membership/tests/scopes.rs
@@ -17,14 +17,18 @@
     fn held_dead(&self) -> usize {
         self.news
             .iter()
-            .filter(|(_, _, news)| matches!(news, MembershipEvent::MemberChanged(_, MemberStatus::Dead)))
+            .filter(|(_, _, news)| {
+                matches!(news, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
+            })
             .count()
     }
 
     fn silent(&self) -> usize {
         self.news
             .iter()
-            .filter(|(_, _, news)| matches!(news, MembershipEvent::ScopeChanged(_, ScopeStatus::Silent)))
+            .filter(|(_, _, news)| {
+                matches!(news, MembershipEvent::ScopeChanged { status: ScopeStatus::Silent, .. })
+            })
             .count()
     }
 }
@@ -79,7 +83,7 @@
     net.wait(20 * SECOND, "it falls", |net| net.count(55));
     let mut last = BTreeMap::new();
     for (at, n, news) in &net.news {
-        if let MembershipEvent::LiveCount(count) = news {
+        if let MembershipEvent::LiveCountChanged { count } = news {
             let (before, when) = last.insert(*n, (*count, *at)).unwrap_or((66, 0));
             assert!(before.saturating_sub(*count) <= 6 && *at >= when + SECOND, "{n}: {before} to {count}");
         }
@@ -220,20 +224,20 @@
         net.processes[1].peers.handle_datagram(now, &bytes);
         // Random content behind a right envelope.
         let content: Vec<u8> = (0..random.next_u64() % 99).map(|_| random.next_u64() as u8).collect();
-        let envelope = Envelope { fleet: Envelope::fleet("others"), digest: 0 };
+        let envelope = Envelope { fleet_hash: Envelope::fleet_hash("others"), digest: 0 };
         net.processes[1].peers.handle_datagram(now, &envelope.seal_as(DatagramKind::ScopeGossip, &content));
     }
     let mut later = sound.clone();
     later[3] = 0x12;
     net.processes[1].peers.handle_datagram(now, &later);
-    let nonsense =
-        Envelope { fleet: Envelope::fleet("fares"), digest: 0 }.seal_as(DatagramKind::ScopeGossip, &[7; 60]);
+    let nonsense = Envelope { fleet_hash: Envelope::fleet_hash("fares"), digest: 0 }
+        .seal_as(DatagramKind::ScopeGossip, &[7; 60]);
     net.processes[1].peers.handle_datagram(now, &nonsense);
-    let odd = &net.processes[1].peers.discarded_datagrams;
+    let odd = &net.processes[1].peers.discarded_datagrams();
     assert!(["damaged", "fleet", "version", "content"].iter().all(|why| odd.contains_key(why)), "{odd:?}");
     assert_eq!(told(&net), before);
     // Who knows the first kind only takes it for another version.
-    assert!(Envelope::open(Envelope::fleet("fares"), &sound).is_err());
+    assert!(Envelope::open(Envelope::fleet_hash("fares"), &sound).is_err());
 }
 
 #[test]
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,6 @@
-//! The datagram socket and the timers of `oakport-membership`. Without `peers` in the configuration nothing here
-//! runs.
+//! Runs the membership state machine of `oakport-membership`: its UDP socket, its timers and its log lines.
+//!
+//! Without `peers` in the configuration nothing here runs.
 
 pub mod report;
 
@@ -9,181 +10,205 @@
 use crate::config::MembershipConfig;
 use crate::dispatcher::Dispatcher;
 use crate::hot_restart::SuccessorMarker;
-use oakport_membership::{Identity, MemberStatus, MembershipEvent, Node, NodeConfig, ScopeStatus};
+use oakport_membership::{Identity, MemberStatus, MembershipEvent, Micros, Node, NodeConfig, ScopeStatus};
 use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tracing::{error, info, warn};
 
-/// Pause before the address is tried again: the process before this one has it until it ends.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The longest datagram that is read whole; what is longer is none of ours.
-const ROOM: usize = 2_048;
+/// Pause between attempts to bind the address: during a hot restart the predecessor has it until it ends.
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Size of the receive buffer; a datagram that is longer is not a membership datagram.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// This process among its peers.
+/// The membership of this process in its fleet.
 pub struct MembershipService {
     config: MembershipConfig,
     name: String,
     seed: u64,
     clock: Clock,
-    heir: SuccessorMarker,
-    /// None: the address is not to be had yet.
-    machine: RefCell<Option<Node>>,
-    /// What the configuration says of the number of processes.
-    told: Cell<u32>,
-    leave: Notify,
-    gone: Notify,
+    successor: SuccessorMarker,
+    /// `None` until the address is bound.
+    node: RefCell<Option<Node>>,
+    /// The number of client proxies that the configuration names.
+    configured_count: Cell<u32>,
+    leave_requested: Notify,
+    left: Notify,
 }
 
 impl MembershipService {
-    /// Not yet among its peers.
-    pub fn new(config: MembershipConfig, name: String, seed: u64, clock: Clock, balancers: u32) -> Rc<Self> {
+    /// A service that has not joined yet.
+    pub fn new(
+        config: MembershipConfig,
+        name: String,
+        seed: u64,
+        clock: Clock,
+        configured_count: u32,
+    ) -> Rc<Self> {
         Rc::new(MembershipService {
             config,
             name,
             seed,
             clock,
-            heir: SuccessorMarker::open(),
-            machine: RefCell::new(None),
-            told: Cell::new(balancers),
-            leave: Notify::new(),
-            gone: Notify::new(),
+            successor: SuccessorMarker::open(),
+            node: RefCell::new(None),
+            configured_count: Cell::new(configured_count),
+            leave_requested: Notify::new(),
+            left: Notify::new(),
         })
     }
 
-    /// The configuration says another number of processes.
-    pub fn set_configured_count(&self, balancers: u32) {
-        self.told.set(balancers);
-        if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.set_configured_count(balancers as usize);
+    /// The configuration names another number of client proxies.
+    pub fn set_configured_count(&self, configured_count: u32) {
+        self.configured_count.set(configured_count);
+        if let Some(node) = self.node.borrow_mut().as_mut() {
+            node.set_configured_count(configured_count as usize);
         }
     }
 
-    /// Says that this process leaves, unless another waits to take its address over. Returns when that is
-    /// out.
+    /// Announces that this process leaves, unless a successor waits to take over its address. Returns when the
+    /// datagrams are sent.
     pub async fn leave(&self) {
-        if self.machine.borrow().is_some() {
-            self.leave.notify_one();
-            self.gone.notified().await;
+        if self.node.borrow().is_some() {
+            self.leave_requested.notify_one();
+            self.left.notified().await;
         }
     }
 
-    /// What operators are told.
+    /// What the admin endpoint reports; `None` until the address is bound.
     pub fn report(&self) -> Option<MembershipReport> {
-        let machine = self.machine.borrow();
-        machine.as_ref().map(|machine| MembershipReport::new(machine, self.clock.now()))
+        let node = self.node.borrow();
+        node.as_ref().map(|node| MembershipReport::new(node, self.clock.now()))
     }
 
-    /// Waits for the address.
+    /// Binds the address, retrying until it is free.
     async fn bind(&self) -> UdpSocket {
         let address = self.config.address;
-        let mut told = false;
+        let mut logged = false;
         loop {
             match UdpSocket::bind(address).await {
                 Ok(socket) => {
-                    self.heir.set_waiting(false);
+                    self.successor.set_waiting(false);
                     return socket;
                 }
-                Err(fault) => {
-                    if !std::mem::replace(&mut told, true) {
-                        info!(%address, reason = %fault, "peers' address not to be had yet");
+                Err(error) => {
+                    if !logged {
+                        info!(%address, reason = %error, "membership address in use; retrying");
+                        logged = true;
                     }
-                    self.heir.set_waiting(true);
+                    self.successor.set_waiting(true);
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(BIND_RETRY_PAUSE).await;
         }
     }
 
-    /// Is a peer until it leaves.
-    pub async fn run(self: Rc<Self>, driver: Dispatcher) {
-        let socket = self.bind().await;
-        let Ok(bound) = socket.local_addr() else { return };
-        let address = self.config.advertise.unwrap_or(bound);
+    /// Joins the fleet under an address.
+    fn join(&self, address: SocketAddr) {
         let now = self.clock.now();
         let zone = self.config.zone.as_deref().unwrap_or_default();
-        let own = Identity::new(&self.name, address, now / 1_000, env!("CARGO_PKG_VERSION"), zone);
-        info!(%address, fleet = self.config.fleet, "among peers");
+        let scope = self.config.scope.as_deref().unwrap_or_default();
+        let incarnation_ms = now / 1_000;
+        let identity = Identity::new(&self.name, address, incarnation_ms, env!("CARGO_PKG_VERSION"), zone);
         let config = NodeConfig {
             fleet_name: self.config.fleet.clone(),
             seeds: self.config.seeds.clone(),
-            configured_count: self.told.get() as usize,
+            configured_count: self.configured_count.get() as usize,
         };
-        let scope = self.config.scope.as_deref().unwrap_or_default();
-        *self.machine.borrow_mut() = Some(Node::with_scope(now, self.seed, own, config, scope));
-        let mut room = vec![0; ROOM];
+        info!(%address, fleet = self.config.fleet, "joining fleet");
+        *self.node.borrow_mut() = Some(Node::with_scope(now, self.seed, identity, config, scope));
+    }
+
+    /// Takes part in the membership until [`MembershipService::leave`].
+    pub async fn run(self: Rc<Self>, dispatcher: Dispatcher) {
+        let socket = self.bind().await;
+        let Ok(bound) = socket.local_addr() else { return };
+        self.join(self.config.advertise.unwrap_or(bound));
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
-            let due = self.machine.borrow().as_ref().map_or(now, Node::next_deadline);
+            let deadline = self.next_deadline();
             tokio::select! {
-                came = socket.recv_from(&mut room) => if let Ok((length, _)) = came {
-                    self.with(|machine, now| machine.handle_datagram(now, &room[..length]));
+                received = socket.recv_from(&mut buffer) => if let Ok((length, _)) = received {
+                    self.with_node(|node, now| node.handle_datagram(now, &buffer[..length]));
                 },
-                () = tokio::time::sleep_until(self.clock.instant(due)) => {}
-                () = self.leave.notified() => {
-                    // Whoever waits for the address is this member's next process.
-                    if !self.heir.is_waiting() {
-                        self.with(|machine, now| machine.leave(now));
-                        self.post(&socket);
+                () = tokio::time::sleep_until(self.clock.instant(deadline)) => {}
+                () = self.leave_requested.notified() => {
+                    // A process that waits for the address is the successor of this member.
+                    if !self.successor.is_waiting() {
+                        self.with_node(|node, now| node.leave(now));
+                        self.send_outbox(&socket);
                     }
-                    self.gone.notify_one();
+                    self.left.notify_one();
                     return;
                 }
             }
-            self.with(|machine, now| machine.handle_time(now));
-            self.post(&socket);
-            self.tell(&driver);
+            self.with_node(|node, now| node.handle_time(now));
+            self.send_outbox(&socket);
+            self.handle_events(&dispatcher);
         }
     }
 
-    fn with(&self, act: impl FnOnce(&mut Node, u64)) {
-        if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            act(machine, self.clock.now());
+    fn next_deadline(&self) -> Micros {
+        self.node.borrow().as_ref().map_or(self.clock.now(), Node::next_deadline)
+    }
+
+    fn with_node(&self, operation: impl FnOnce(&mut Node, Micros)) {
+        if let Some(node) = self.node.borrow_mut().as_mut() {
+            operation(node, self.clock.now());
         }
     }
 
-    fn post(&self, socket: &UdpSocket) {
-        let outbox = self.machine.borrow_mut().as_mut().map(Node::take_outbox);
+    fn send_outbox(&self, socket: &UdpSocket) {
+        let outbox = self.node.borrow_mut().as_mut().map(Node::take_outbox);
         for (to, datagram) in outbox.into_iter().flatten() {
-            // A datagram may be lost; what matters is sent again.
+            // The protocol bears the loss of a datagram.
             let _ = socket.try_send_to(&datagram, to);
         }
     }
 
-    fn tell(&self, driver: &Dispatcher) {
-        let news = self.machine.borrow_mut().as_mut().map(Node::take_events);
-        for news in news.into_iter().flatten() {
-            match news {
-                MembershipEvent::MemberChanged(who, MemberStatus::Alive) => {
-                    info!(member = who.name, address = %who.address, zone = who.zone, release = who.release, "present");
-                }
-                MembershipEvent::MemberChanged(who, MemberStatus::Suspected) => {
-                    info!(member = who.name, address = %who.address, "suspected")
-                }
-                MembershipEvent::MemberChanged(who, MemberStatus::Left) => {
-                    info!(member = who.name, address = %who.address, "left")
-                }
-                MembershipEvent::MemberChanged(who, MemberStatus::Dead) => {
-                    warn!(member = who.name, address = %who.address, "dead")
-                }
-                MembershipEvent::NameConflict(name, one, other) => {
-                    error!(name, %one, %other, "two members have one name; give each its own");
-                }
-                MembershipEvent::Rejoined => warn!("held dead by others, back among them"),
-                MembershipEvent::PartitionSuspected(true) => {
-                    warn!("so many fell silent at once that it is taken for a cut")
-                }
-                MembershipEvent::PartitionSuspected(false) => info!("no longer taken for a cut"),
-                MembershipEvent::ScopeChanged(scope, ScopeStatus::Silent) => {
-                    warn!(scope, "scope silent; its members count on for now")
-                }
-                MembershipEvent::ScopeChanged(scope, ScopeStatus::Fresh) => info!(scope, "scope back"),
-                MembershipEvent::LiveCount(count) => {
-                    info!(count, "client proxies counted");
-                    driver.set_live_count(u32::try_from(count).unwrap_or(u32::MAX));
-                }
+    fn handle_events(&self, dispatcher: &Dispatcher) {
+        let events = self.node.borrow_mut().as_mut().map(Node::take_events);
+        for event in events.into_iter().flatten() {
+            log_event(&event);
+            if let MembershipEvent::LiveCountChanged { count } = event {
+                dispatcher.set_live_count(u32::try_from(count).unwrap_or(u32::MAX));
             }
         }
     }
 }
+
+fn log_event(event: &MembershipEvent) {
+    match event {
+        MembershipEvent::MemberChanged { member, status } => log_member(member, *status),
+        MembershipEvent::NameConflict { name, known, joined } => {
+            error!(name, %known, %joined, "two members have the same name; give each its own");
+        }
+        MembershipEvent::Rejoined => warn!("declared dead by other members; rejoined"),
+        MembershipEvent::PartitionSuspected { suspected: true } => {
+            warn!("many members silent at once: network partition suspected, live count frozen");
+        }
+        MembershipEvent::PartitionSuspected { suspected: false } => {
+            info!("network partition no longer suspected");
+        }
+        MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Silent } => {
+            warn!(scope, "scope silent; its last live count still applies");
+        }
+        MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Fresh } => {
+            info!(scope, "scope heard from again");
+        }
+        MembershipEvent::LiveCountChanged { count } => info!(count, "live proxy count changed"),
+    }
+}
+
+fn log_member(member: &Identity, status: MemberStatus) {
+    let Identity { name, address, zone, release, .. } = member;
+    match status {
+        MemberStatus::Alive => info!(member = name, %address, zone, release, "member alive"),
+        MemberStatus::Suspected => info!(member = name, %address, "member suspected"),
+        MemberStatus::Left => info!(member = name, %address, "member left"),
+        MemberStatus::Dead => warn!(member = name, %address, "member dead"),
+    }
+}
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -198,13 +198,13 @@
             done.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
         }
         done.dead.extend(news.iter().filter_map(|news| match news {
-            MembershipEvent::MemberChanged(who, MemberStatus::Dead) => {
-                Some((place::member(who.address)?, who.incarnation))
+            MembershipEvent::MemberChanged { member, status: MemberStatus::Dead } => {
+                Some((place::member(member.address)?, member.incarnation))
             }
             _ => None,
         }));
         done.silent.extend(news.iter().filter_map(|news| match news {
-            MembershipEvent::ScopeChanged(scope, ScopeStatus::Silent) => Some(scope.clone()),
+            MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Silent } => Some(scope.clone()),
             _ => None,
         }));
         // What it gave away is not its own any more.
