--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,7 @@
-//! A fleet of processes in virtual time, for the tests.
+//! A test cluster in virtual time: nodes, the network between them and a record of what happened.
+
+// Each test file uses a part of it.
+#![allow(dead_code)]
 
 use oakport_membership::{DatagramKind, Identity, MembershipEvent, Micros, Node, NodeConfig};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
@@ -8,172 +11,314 @@
 
 pub const SECOND: Micros = 1_000_000;
 pub const MILLI: Micros = 1_000;
-/// What a process may send in any second, and what IP and UDP add to each datagram.
-pub const BOUND: usize = 22_000;
-pub const HEADERS: usize = 28;
-/// Datagrams that are remembered.
-const SAID: usize = 1_000;
-
-pub struct Process {
-    pub peers: Node,
-    pub runs: bool,
-    pub stalled: Micros,
-    /// What it sent in the last second, and how much that is.
-    pub sent: VecDeque<(Micros, usize)>,
-    pub bytes: usize,
+/// What a node may send in any second, headers included.
+pub const MAX_SENT_BYTES_PER_SECOND: usize = 22_000;
+/// What IP and UDP add to each datagram.
+pub const UDP_IP_HEADER_BYTES: usize = 28;
+/// Longest datagram.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Datagrams that are recorded.
+const MAX_RECORDED_DATAGRAMS: usize = 1_000;
+/// The zone of nodes without a scope.
+const DEFAULT_ZONE: &str = "derby";
+
+pub struct TestNode {
+    pub node: Node,
+    pub running: bool,
+    /// It stands still until then; what arrives meanwhile waits.
+    pub stalled_until: Micros,
+    /// When it sent how many bytes within the last second.
+    sent: VecDeque<(Micros, usize)>,
+    sent_bytes: usize,
 }
 
-impl Process {
-    pub fn sends(&mut self, now: Micros, datagram: &[u8]) {
-        self.sent.push_back((now, datagram.len() + HEADERS));
-        self.bytes += datagram.len() + HEADERS;
+impl TestNode {
+    pub fn new(node: Node) -> Self {
+        TestNode { node, running: true, stalled_until: 0, sent: VecDeque::new(), sent_bytes: 0 }
+    }
+
+    fn record_sent(&mut self, now: Micros, datagram: &[u8]) {
+        let bytes = datagram.len() + UDP_IP_HEADER_BYTES;
+        self.sent.push_back((now, bytes));
+        self.sent_bytes += bytes;
         while let Some((_, bytes)) = self.sent.front().copied().filter(|(at, _)| at + SECOND <= now) {
-            self.bytes -= bytes;
+            self.sent_bytes -= bytes;
             self.sent.pop_front();
         }
-        assert!(self.bytes <= BOUND, "{} bytes in a second at {now}", self.bytes);
+        let sent_bytes = self.sent_bytes;
+        assert!(sent_bytes <= MAX_SENT_BYTES_PER_SECOND, "{sent_bytes} bytes in a second at {now}");
+    }
+
+    fn deadline(&self) -> Micros {
+        if !self.running {
+            return Micros::MAX;
+        }
+        self.node.next_deadline().max(self.stalled_until)
     }
 }
 
-/// A kind, and who cannot read it.
-type Unread = (DatagramKind, fn(usize) -> bool);
+/// A datagram on its way.
+pub struct InFlightDatagram {
+    to: usize,
+    datagram: Vec<u8>,
+}
+
+/// An event that a node reported.
+#[derive(Debug)]
+pub struct ReportedEvent {
+    pub at: Micros,
+    pub node: usize,
+    pub event: MembershipEvent,
+}
+
+/// A datagram that a node sent.
+pub struct RecordedDatagram {
+    pub from: usize,
+    pub datagram: Vec<u8>,
+}
+
+/// What the network makes of a datagram from one node to another; `None`: it is not delivered.
+pub type Transform = fn(from: usize, to: usize, Vec<u8>) -> Option<Vec<u8>>;
 
-pub struct Net {
+/// How the scopes of a cluster are laid out.
+#[derive(Clone, Copy)]
+enum Layout {
+    /// The fleet is one scope without a name.
+    Unnamed,
+    /// The nodes are assigned to this number of scopes in turn.
+    Scopes(usize),
+}
+
+pub struct Cluster {
     pub now: Micros,
     pub random: Pcg64,
-    pub processes: Vec<Process>,
-    pub scopes: usize,
-    pub under_way: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
-    pub number: u64,
-    pub loss: f64,
-    /// Nothing passes from the one to the other.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// Datagrams of a kind that some cannot read.
-    pub unread: Option<Unread>,
-    pub news: Vec<(Micros, usize, MembershipEvent)>,
-    /// What was sent last, and by whom.
-    pub said: VecDeque<(usize, Vec<u8>)>,
-    /// Datagrams of the kind for scopes that each sent to other scopes.
-    pub spoke: BTreeMap<usize, u64>,
+    pub nodes: Vec<TestNode>,
+    layout: Layout,
+    seeds: Vec<SocketAddr>,
+    configured_count: usize,
+    /// Interval at which `wait_for` looks at its condition.
+    check_interval: Micros,
+    /// By arrival and sequence number.
+    in_flight: BTreeMap<(Micros, u64), InFlightDatagram>,
+    sent_datagrams: u64,
+    pub loss_ratio: f64,
+    /// Whether nothing is delivered from the one to the other.
+    pub partition: Box<dyn Fn(usize, usize) -> bool>,
+    pub transform: Option<Transform>,
+    pub events: Vec<ReportedEvent>,
+    /// The datagrams that were sent last.
+    pub recorded_datagrams: VecDeque<RecordedDatagram>,
+    /// Scope gossip that each node sent to other scopes.
+    pub cross_scope_datagrams: BTreeMap<usize, u64>,
+}
+
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7_000))
 }
 
-pub fn address(number: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000))
+fn index_of(address: SocketAddr) -> usize {
+    let SocketAddr::V4(v4) = address else { panic!("{address}") };
+    let [_, _, high, low] = v4.ip().octets();
+    usize::from(high) << 8 | usize::from(low)
 }
 
-impl Net {
-    /// So many in so many scopes, one after the other in turn, of whom all know two of the first as seeds.
-    pub fn new(seed: u64, number: usize, scopes: usize) -> Self {
-        let mut net = Net {
+impl Cluster {
+    /// Nodes in scopes `z0`, `z1`, ..., assigned in turn; all know the first two as seeds.
+    pub fn new(seed: u64, nodes: usize, scopes: usize) -> Self {
+        let seeds = vec![address(0), address(1)];
+        let cluster = Cluster::empty(seed, Layout::Scopes(scopes), seeds, 1, 50 * MILLI);
+        cluster.with_nodes(nodes)
+    }
+
+    /// Nodes of a fleet that is one scope without a name; all know the first one as their seed.
+    pub fn without_scopes(seed: u64, nodes: usize, configured_count: usize) -> Self {
+        let cluster = Cluster::empty(seed, Layout::Unnamed, vec![address(0)], configured_count, 20 * MILLI);
+        cluster.with_nodes(nodes)
+    }
+
+    fn empty(
+        seed: u64,
+        layout: Layout,
+        seeds: Vec<SocketAddr>,
+        configured_count: usize,
+        check_interval: Micros,
+    ) -> Self {
+        Cluster {
             now: SECOND,
             random: Pcg64::seed_from_u64(seed),
-            processes: Vec::new(),
-            scopes,
-            under_way: BTreeMap::new(),
-            number: 0,
-            loss: 0.0,
-            cut: Box::new(|_, _| false),
-            unread: None,
-            news: Vec::new(),
-            said: VecDeque::new(),
-            spoke: BTreeMap::new(),
-        };
-        for n in 0..number {
-            let process = net.process(n, &format!("z{}", n % scopes));
-            net.processes.push(process);
+            nodes: Vec::new(),
+            layout,
+            seeds,
+            configured_count,
+            check_interval,
+            in_flight: BTreeMap::new(),
+            sent_datagrams: 0,
+            loss_ratio: 0.0,
+            partition: Box::new(|_, _| false),
+            transform: None,
+            events: Vec::new(),
+            recorded_datagrams: VecDeque::new(),
+            cross_scope_datagrams: BTreeMap::new(),
         }
-        net
     }
 
-    pub fn process(&mut self, number: usize, scope: &str) -> Process {
-        let own = Identity::new(&format!("n{number}"), address(number), self.now, "1", scope);
-        let seeds = vec![address(0), address(1)];
-        let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
-        let peers = Node::with_scope(self.now, self.random.next_u64(), own, config, scope);
-        Process { peers, runs: true, stalled: 0, sent: VecDeque::new(), bytes: 0 }
+    fn with_nodes(mut self, nodes: usize) -> Self {
+        for index in 0..nodes {
+            let node = match self.layout {
+                Layout::Unnamed => self.new_incarnation(index, self.now),
+                Layout::Scopes(scopes) => self.new_node(index, &format!("z{}", index % scopes)),
+            };
+            self.nodes.push(node);
+        }
+        self
+    }
+
+    /// A node that starts now in a scope, and is in the zone of that name.
+    pub fn new_node(&mut self, index: usize, scope: &str) -> TestNode {
+        self.start_node(index, scope, scope, self.now)
+    }
+
+    /// A node without a scope that starts now in an incarnation.
+    pub fn new_incarnation(&mut self, index: usize, incarnation: u64) -> TestNode {
+        self.start_node(index, "", DEFAULT_ZONE, incarnation)
     }
 
-    pub fn share(&mut self) -> f64 {
+    fn start_node(&mut self, index: usize, scope: &str, zone: &str, incarnation: u64) -> TestNode {
+        let identity = Identity::new(&format!("n{index}"), address(index), incarnation, "1", zone);
+        let config = NodeConfig {
+            fleet_name: "fares".to_owned(),
+            seeds: self.seeds.clone(),
+            configured_count: self.configured_count,
+        };
+        TestNode::new(Node::with_scope(self.now, self.random.next_u64(), identity, config, scope))
+    }
+
+    fn random_fraction(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn post(&mut self, from: usize) {
-        for (to, datagram) in self.processes[from].peers.take_outbox() {
-            assert!(datagram.len() <= 1_400, "{} bytes", datagram.len());
-            self.processes[from].sends(self.now, &datagram);
-            let SocketAddr::V4(v4) = to else { panic!("{to}") };
-            let to = usize::from(v4.ip().octets()[2]) << 8 | usize::from(v4.ip().octets()[3]);
-            if datagram[3] == DatagramKind::ScopeGossip as u8 && to % self.scopes != from % self.scopes {
-                *self.spoke.entry(from).or_default() += 1;
-            }
-            self.said.push_back((from, datagram.clone()));
-            if self.said.len() > SAID {
-                self.said.pop_front();
-            }
-            if self.unread.is_some_and(|(kind, by)| datagram[3] == kind as u8 && by(to)) {
-                continue;
+    fn is_cross_scope(&self, from: usize, to: usize) -> bool {
+        match self.layout {
+            Layout::Unnamed => false,
+            Layout::Scopes(scopes) => from % scopes != to % scopes,
+        }
+    }
+
+    /// Puts the datagrams of a node on the network, and takes its events.
+    pub fn send_outbox(&mut self, from: usize) {
+        for (to, datagram) in self.nodes[from].node.take_outbox() {
+            assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
+            self.nodes[from].record_sent(self.now, &datagram);
+            let to = index_of(to);
+            if datagram[3] == DatagramKind::ScopeGossip as u8 && self.is_cross_scope(from, to) {
+                *self.cross_scope_datagrams.entry(from).or_default() += 1;
             }
-            if self.share() < self.loss || (self.cut)(from, to) {
-                continue;
+            self.recorded_datagrams.push_back(RecordedDatagram { from, datagram: datagram.clone() });
+            if self.recorded_datagrams.len() > MAX_RECORDED_DATAGRAMS {
+                self.recorded_datagrams.pop_front();
             }
-            self.number += 1;
-            let after = MILLI + (self.share() * 4.0 * MILLI as f64) as Micros;
-            self.under_way.insert((self.now + after, self.number), (to, datagram));
+            self.transmit(from, to, datagram);
+        }
+        let (at, events) = (self.now, self.nodes[from].node.take_events());
+        self.events.extend(events.into_iter().map(|event| ReportedEvent { at, node: from, event }));
+    }
+
+    fn transmit(&mut self, from: usize, to: usize, datagram: Vec<u8>) {
+        if to >= self.nodes.len() {
+            return;
+        }
+        let delivered = match self.transform {
+            Some(transform) => transform(from, to, datagram),
+            None => Some(datagram),
+        };
+        let Some(datagram) = delivered else { return };
+        if self.random_fraction() < self.loss_ratio || (self.partition)(from, to) {
+            return;
         }
-        let news = self.processes[from].peers.take_events();
-        self.news.extend(news.into_iter().map(|news| (self.now, from, news)));
+        self.sent_datagrams += 1;
+        let latency = MILLI + (self.random_fraction() * 4.0 * MILLI as f64) as Micros;
+        let arrival = (self.now + latency, self.sent_datagrams);
+        self.in_flight.insert(arrival, InFlightDatagram { to, datagram });
     }
 
-    pub fn until(&mut self, end: Micros) {
+    /// Runs the cluster until an instant.
+    pub fn run_until(&mut self, end: Micros) {
         loop {
-            let due = |p: &Process| if p.runs { p.peers.next_deadline().max(p.stalled) } else { Micros::MAX };
-            let timer = (0..self.processes.len()).map(|n| (due(&self.processes[n]), n)).min().expect("some");
-            let datagram = self.under_way.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
-            if timer.0.min(datagram) > end {
+            let deadlines = self.nodes.iter().enumerate().map(|(index, node)| (node.deadline(), index));
+            let (deadline, index) = deadlines.min().expect("a node");
+            let arrival = self.in_flight.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
+            if deadline.min(arrival) > end {
                 self.now = end;
                 return;
             }
-            if datagram <= timer.0 {
-                let Some(((at, number), (to, bytes))) = self.under_way.pop_first() else { continue };
-                self.now = at;
-                let process = &mut self.processes[to];
-                if process.runs && process.stalled > at {
-                    self.under_way.insert((process.stalled, number), (to, bytes));
-                } else if process.runs {
-                    process.peers.handle_datagram(at, &bytes);
-                    self.post(to);
-                }
+            if arrival <= deadline {
+                self.deliver_next();
             } else {
-                self.now = timer.0;
-                self.processes[timer.1].peers.handle_time(self.now);
-                self.post(timer.1);
+                self.now = deadline;
+                self.nodes[index].node.handle_time(self.now);
+                self.send_outbox(index);
             }
         }
     }
 
-    pub fn wait(&mut self, most: Micros, what: &str, holds: impl Fn(&Net) -> bool) -> Micros {
+    fn deliver_next(&mut self) {
+        let Some(((at, sequence), next)) = self.in_flight.pop_first() else { return };
+        self.now = at;
+        let receiver = &mut self.nodes[next.to];
+        if !receiver.running {
+            return;
+        }
+        if receiver.stalled_until > at {
+            self.in_flight.insert((receiver.stalled_until, sequence), next);
+            return;
+        }
+        receiver.node.handle_datagram(at, &next.datagram);
+        self.send_outbox(next.to);
+    }
+
+    /// Runs for a span of time.
+    pub fn run_for(&mut self, span: Micros) {
+        self.run_until(self.now + span);
+    }
+
+    /// Runs until a condition holds; returns how long that took.
+    pub fn wait_for(&mut self, timeout: Micros, what: &str, condition: impl Fn(&Cluster) -> bool) -> Micros {
         let begin = self.now;
-        while !holds(self) {
-            assert!(self.now < begin + most, "{what}: not within {} s", most / SECOND);
-            self.until(self.now + 50 * MILLI);
+        while !condition(self) {
+            assert!(self.now < begin + timeout, "{what}: not within {} s", timeout / SECOND);
+            self.run_for(self.check_interval);
         }
         self.now - begin
     }
 
-    pub fn running(&self) -> impl Iterator<Item = &Process> {
-        self.processes.iter().filter(|p| p.runs)
+    pub fn running(&self) -> impl Iterator<Item = &TestNode> {
+        self.nodes.iter().filter(|node| node.running)
+    }
+
+    /// Whether all running nodes have this live count.
+    pub fn all_count(&self, live_count: usize) -> bool {
+        self.running().all(|node| node.node.live_count().get() == live_count)
+    }
+
+    /// A cluster whose nodes have joined and come to rest.
+    pub fn joined(seed: u64, nodes: usize, scopes: usize) -> Self {
+        let mut cluster = Cluster::new(seed, nodes, scopes);
+        cluster.wait_for(15 * SECOND, "joined", |cluster| cluster.all_count(nodes));
+        cluster.run_for(5 * SECOND);
+        cluster.events.clear();
+        cluster
     }
 
-    /// All that run count so many.
-    pub fn count(&self, count: usize) -> bool {
-        self.running().all(|p| p.peers.live_count().get() == count)
+    /// Stops a node without notice.
+    pub fn kill(&mut self, index: usize) {
+        self.nodes[index].running = false;
     }
 
-    pub fn joined(seed: u64, number: usize, scopes: usize) -> Self {
-        let mut net = Net::new(seed, number, scopes);
-        net.wait(15 * SECOND, "joined", |net| net.count(number));
-        net.until(net.now + 5 * SECOND);
-        net.news.clear();
-        net
+    /// Lets a node announce that it leaves, and stops it.
+    pub fn leave(&mut self, index: usize) {
+        let now = self.now;
+        self.nodes[index].node.leave(now);
+        self.send_outbox(index);
+        self.kill(index);
     }
 }
