--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -115,6 +115,14 @@
             DatagramKind::ScopeGossip => self.fleet,
         }
     }
+
+    /// Opens a datagram of any kind.
+    ///
+    /// # Errors
+    /// Why the datagram is discarded.
+    pub(crate) fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
+        Envelope::open_any(|kind| Some(self.for_kind(kind)), datagram)
+    }
 }
 
 impl Envelope {
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,7 +1,7 @@
 //! One member of the fleet: its state, and how it handles datagrams and the time.
 
 use crate::anti_entropy::{self, AntiEntropy, AntiEntropyMessage};
-use crate::envelope::{DatagramError, DatagramKind, Envelope, FleetHashes};
+use crate::envelope::{DatagramError, DatagramKind, FleetHashes};
 use crate::foca_packet;
 use crate::identity::{truncate_text, Identity};
 use crate::live_count::LiveCount;
@@ -45,12 +45,9 @@
 pub struct Node {
     swim: Swim,
     config: NodeConfig,
-    hashes: FleetHashes,
     members: MemberTable,
     /// Addresses of members whose suspicion is to be looked up in the next check.
     suspects: BTreeSet<SocketAddr>,
-    /// The incarnation that is part of the view's digest.
-    digested_incarnation: u64,
     live_count: LiveCount,
     /// The live count of the local scope alone, as other scopes receive it.
     scope_live_count: LiveCount,
@@ -82,10 +79,8 @@
         let mut members = MemberTable::default();
         members.set_local(&local);
         Node {
-            digested_incarnation: local.incarnation,
             scope_gossip: ScopeGossip::new(now, seed, &scope, local.address),
             swim: Swim::new(seed, local),
-            hashes,
             members,
             suspects: BTreeSet::new(),
             live_count: LiveCount::new(now, config.configured_count),
@@ -188,8 +183,7 @@
     }
 
     fn dispatch_datagram(&mut self, now: Micros, datagram: &[u8]) -> Result<(), DatagramError> {
-        let hashes = self.hashes;
-        let opened = Envelope::open_any(|kind| Some(hashes.for_kind(kind)), datagram)?;
+        let opened = self.outbox.hashes().open(datagram)?;
         let digest = opened.envelope.digest;
         match opened.kind {
             DatagramKind::Swim => self.handle_swim(now, digest, opened.content),
@@ -395,9 +389,7 @@
             self.apply_change(now, change);
         }
         self.suspects.extend(output.suspects);
-        let local = self.swim.identity();
-        if self.digested_incarnation != local.incarnation {
-            self.digested_incarnation = local.incarnation;
+        if let Some(local) = self.swim.take_renewed_identity() {
             self.members.set_local(local);
         }
         for message in output.messages {
--- a/crates/membership/src/outbox.rs
+++ b/crates/membership/src/outbox.rs
@@ -28,6 +28,11 @@
         Outbox { hashes, rate_limit: RateLimit::new(now), datagrams: Vec::new(), bytes_sent: 0 }
     }
 
+    /// The hashes that datagrams of this fleet and scope carry.
+    pub(crate) fn hashes(&self) -> FleetHashes {
+        self.hashes
+    }
+
     /// Bytes of all datagrams so far, without the headers of UDP and IP.
     pub(crate) fn bytes_sent(&self) -> u64 {
         self.bytes_sent
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -140,6 +140,8 @@
     foca: FocaNode,
     timers: BTreeMap<TimerKey, Timer<Identity>>,
     timers_started: u64,
+    /// The incarnation at the last call of `take_renewed_identity`.
+    known_incarnation: u64,
     max_transmissions: u8,
 }
 
@@ -148,6 +150,7 @@
     pub(crate) fn new(seed: u64, local: Identity) -> Self {
         let random = Pcg64::seed_from_u64(seed);
         Swim {
+            known_incarnation: local.incarnation,
             foca: Foca::new(local, foca_config(MAX_TRANSMISSIONS), random, PostcardCodec),
             timers: BTreeMap::new(),
             timers_started: 0,
@@ -160,6 +163,16 @@
         self.foca.identity()
     }
 
+    /// The identity of this process, if its incarnation has changed since the last call.
+    pub(crate) fn take_renewed_identity(&mut self) -> Option<&Identity> {
+        let identity = self.foca.identity();
+        if self.known_incarnation == identity.incarnation {
+            return None;
+        }
+        self.known_incarnation = identity.incarnation;
+        Some(identity)
+    }
+
     /// When the next timer is due.
     pub(crate) fn next_deadline(&self) -> Micros {
         self.timers.first_key_value().map_or(Micros::MAX, |(key, _)| key.due_at)
