--- a/crates/proxy/src/membership/report.rs
+++ b/crates/proxy/src/membership/report.rs
@@ -148,3 +148,6 @@
 fn format_digest(digest: u32) -> String {
     format!("{digest:08x}")
 }
+
+#[cfg(test)]
+mod tests;
