--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod anti_entropy;
 mod envelope;
+mod fleet_count;
 mod foca_packet;
 mod identity;
 mod live_count;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -2,6 +2,7 @@
 
 use crate::anti_entropy::{self, AntiEntropy, AntiEntropyMessage};
 use crate::envelope::{DatagramError, DatagramKind, FleetHashes};
+use crate::fleet_count::FleetCount;
 use crate::foca_packet;
 use crate::identity::{truncate_text, Identity};
 use crate::live_count::LiveCount;
@@ -48,11 +49,7 @@
     members: MemberTable,
     /// Addresses of members whose suspicion is to be looked up in the next check.
     suspects: BTreeSet<SocketAddr>,
-    live_count: LiveCount,
-    /// The live count of the local scope alone, as other scopes receive it.
-    scope_live_count: LiveCount,
-    /// The sum of the live counts of all scopes at the last check.
-    last_scopes_count: usize,
+    counts: FleetCount,
     scope_gossip: ScopeGossip,
     remote_seeds: BTreeSet<SocketAddr>,
     next_contact_at: Micros,
@@ -83,10 +80,7 @@
             swim: Swim::new(seed, local),
             members,
             suspects: BTreeSet::new(),
-            live_count: LiveCount::new(now, config.configured_count),
-            // Other scopes are told what is live, not what is configured.
-            scope_live_count: LiveCount::new(now, 1),
-            last_scopes_count: 1,
+            counts: FleetCount::new(now, config.configured_count),
             remote_seeds: BTreeSet::new(),
             next_contact_at: now,
             anti_entropy: AntiEntropy::default(),
@@ -113,7 +107,7 @@
 
     /// How many client proxies share the endpoints.
     pub fn live_count(&self) -> &LiveCount {
-        &self.live_count
+        self.counts.fleet()
     }
 
     /// The other scopes.
@@ -128,7 +122,7 @@
 
     /// So many members fell silent together that a network partition is suspected.
     pub fn suspects_partition(&self) -> bool {
-        self.live_count.suspects_partition() || self.scope_live_count.suspects_partition()
+        self.counts.suspects_partition()
     }
 
     /// No other member is known to be live.
@@ -172,7 +166,7 @@
 
     /// The configuration names another number of client proxies.
     pub fn set_configured_count(&mut self, configured_count: usize) {
-        self.live_count.set_configured(configured_count);
+        self.counts.set_configured(configured_count);
     }
 
     /// Handles a datagram; one that cannot be read is counted and discarded.
@@ -214,7 +208,7 @@
     fn handle_scope_gossip(&mut self, now: Micros, content: &[u8]) -> Result<(), DatagramError> {
         let message = ScopeGossipMessage::decode(content)?;
         let knew_no_scope = self.scopes().is_empty();
-        let live_count = self.scope_live_count.get();
+        let live_count = self.counts.local();
         let reply = self.scope_gossip.handle_message(now, &message, &self.members, live_count);
         self.classify_seed(&message);
         if let Some(reply) = reply {
@@ -330,14 +324,14 @@
     }
 
     fn poll_seed_scope(&mut self, now: Micros, seed: SocketAddr) {
-        let poll = self.scope_gossip.seed_poll(&self.members, self.scope_live_count.get());
+        let poll = self.scope_gossip.seed_poll(&self.members, self.counts.local());
         if let Some(content) = poll {
             self.send(now, DatagramKind::ScopeGossip, &OutgoingMessage { to: seed, content });
         }
     }
 
     fn gossip_scopes(&mut self, now: Micros) {
-        let live_count = self.scope_live_count.get();
+        let live_count = self.counts.local();
         for message in self.scope_gossip.take_due_round(now, &self.members, live_count) {
             self.send(now, DatagramKind::ScopeGossip, &message);
         }
@@ -427,15 +421,14 @@
         }
         match status {
             MemberStatus::Alive => {}
-            MemberStatus::Suspected => self.member_fell_silent(now),
-            MemberStatus::Left => self.scope_live_count.member_left(),
+            MemberStatus::Suspected => self.counts.member_suspected(now),
+            MemberStatus::Left => self.counts.member_left(),
             MemberStatus::Dead => {
                 // A suspicion that was not seen from here.
                 if previous == Some(MemberStatus::Alive) {
-                    self.member_fell_silent(now);
+                    self.counts.member_suspected(now);
                 }
-                self.scope_live_count.member_died(now);
-                self.live_count.freeze(now);
+                self.counts.member_died(now);
             }
         }
         // The name of a member that was only suspected has been checked before.
@@ -455,11 +448,6 @@
         }
     }
 
-    fn member_fell_silent(&mut self, now: Micros) {
-        self.live_count.member_suspected(now);
-        self.scope_live_count.member_suspected(now);
-    }
-
     /// Takes in suspicions, expires what is old, and brings the live counts up to date.
     fn check_members(&mut self, now: Micros) {
         self.check_suspects(now);
@@ -485,25 +473,17 @@
     }
 
     fn update_live_counts(&mut self, now: Micros) {
-        let previous_count = self.live_count.get();
+        let previous_count = self.counts.fleet().get();
         let views_agree = self.members.agreement_ratio(now) >= AGREEMENT_RATIO;
-        let unsuspected = self.members.unsuspected_count();
-        self.scope_live_count.update(now, self.members.size(), unsuspected, views_agree);
+        self.counts.update_local(now, &self.members, views_agree);
         for change in self.scope_gossip.scopes.update(now, previous_count) {
             self.report(MembershipEvent::ScopeChanged { scope: change.scope, status: change.status });
         }
+        let alone = self.is_alone();
         let scopes = &self.scope_gossip.scopes;
-        let local_count = self.scope_live_count.get().max(scopes.reported_local_live_count(now));
-        let scopes_count = local_count + scopes.live_count();
-        let unsuspected_everywhere = unsuspected + scopes.unsuspected_count();
-        // Each scope has waited until it was safe to count fewer.
-        let departures = self.last_scopes_count.saturating_sub(scopes_count);
-        self.last_scopes_count = scopes_count;
-        self.live_count.confirm_departures(departures);
-        let live = if self.is_alone() { 1 } else { scopes_count };
-        self.live_count.update(now, live, unsuspected_everywhere, views_agree);
+        self.counts.update_fleet(now, &self.members, scopes, alone, views_agree);
         self.report_partition();
-        let count = self.live_count.get();
+        let count = self.counts.fleet().get();
         if count != previous_count {
             self.report(MembershipEvent::LiveCountChanged { count });
         }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -27,7 +27,7 @@
 /// Datagrams on which a membership update is piggybacked.
 const MAX_TRANSMISSIONS: u8 = 16;
 /// Updates under way from which on each is transmitted less often: together they still reach all members.
-const BACKLOG_MAX_UPDATES: usize = 100;
+const MAX_BACKLOG_UPDATES: usize = 100;
 /// Datagrams on which an update is piggybacked while there are that many.
 const MAX_BACKLOG_TRANSMISSIONS: u8 = 8;
 /// Interval of gossip.
@@ -240,7 +240,7 @@
 
     /// Transmits each update less often while many are under way.
     pub(crate) fn adapt_transmissions(&mut self) {
-        let backlogged = self.foca.updates_backlog() > BACKLOG_MAX_UPDATES;
+        let backlogged = self.foca.updates_backlog() > MAX_BACKLOG_UPDATES;
         let max_transmissions = if backlogged { MAX_BACKLOG_TRANSMISSIONS } else { MAX_TRANSMISSIONS };
         if self.max_transmissions == max_transmissions {
             return;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -3,7 +3,7 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
-use oakport_membership::{DatagramKind, Identity, MembershipEvent, Micros, Node, NodeConfig};
+use oakport_membership::{DatagramKind, Identity, MemberStatus, MembershipEvent, Micros, Node, NodeConfig};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
@@ -300,6 +300,14 @@
         self.running().all(|node| node.node.live_count().get() == live_count)
     }
 
+    /// How often a member was reported dead.
+    pub fn reported_deaths(&self) -> usize {
+        let is_death = |event: &MembershipEvent| {
+            matches!(event, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
+        };
+        self.events.iter().filter(|reported| is_death(&reported.event)).count()
+    }
+
     /// A cluster whose nodes have joined and come to rest.
     pub fn joined(seed: u64, nodes: usize, scopes: usize) -> Self {
         let mut cluster = Cluster::new(seed, nodes, scopes);
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -48,13 +48,6 @@
     fn bytes_sent(&self) -> Vec<u64> {
         self.nodes.iter().map(|node| node.node.bytes_sent()).collect()
     }
-
-    fn reported_deaths(&self) -> usize {
-        let is_death = |event: &MembershipEvent| {
-            matches!(event, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
-        };
-        self.events.iter().filter(|reported| is_death(&reported.event)).count()
-    }
 }
 
 /// The same datagram with a digest that never is the receiver's.
--- a/crates/membership/tests/scopes.rs
+++ b/crates/membership/tests/scopes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use oakport_membership::{DatagramKind, Envelope, MemberStatus, MembershipEvent, ScopeStatus};
+use oakport_membership::{DatagramKind, Envelope, MembershipEvent, ScopeStatus};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 use std::collections::BTreeMap;
@@ -14,13 +14,6 @@
         scopes.find(|(scope, _)| *scope == name).map(|(_, scope)| scope.status())
     }
 
-    fn reported_deaths(&self) -> usize {
-        let is_death = |event: &MembershipEvent| {
-            matches!(event, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
-        };
-        self.events.iter().filter(|reported| is_death(&reported.event)).count()
-    }
-
     fn reported_silent_scopes(&self) -> usize {
         let is_silence = |event: &MembershipEvent| {
             matches!(event, MembershipEvent::ScopeChanged { status: ScopeStatus::Silent, .. })
@@ -74,10 +67,10 @@
     let mut cluster = Cluster::joined(3, 66, 6);
     let lost = || (0..66).filter(|index| index % 6 == 5);
     lost().for_each(|index| cluster.kill(index));
-    let all_hold = |cluster: &Cluster, status| {
+    let all_report = |cluster: &Cluster, status| {
         (0..66).filter(|index| index % 6 != 5).all(|index| cluster.scope_status(index, "z5") == Some(status))
     };
-    let took = cluster.wait_for(8 * SECOND, "known", |cluster| all_hold(cluster, ScopeStatus::Silent));
+    let took = cluster.wait_for(8 * SECOND, "known", |cluster| all_report(cluster, ScopeStatus::Silent));
     println!("a lost scope is known to all after {} ms", took / MILLI);
     cluster.run_for(50 * SECOND);
     assert!(cluster.all_count(66), "it stays");
@@ -100,7 +93,7 @@
         cluster.nodes[index] = cluster.new_node(index, "z5");
     }
     let took = cluster.wait_for(15 * SECOND, "back", |cluster| {
-        cluster.all_count(66) && all_hold(cluster, ScopeStatus::Fresh)
+        cluster.all_count(66) && all_report(cluster, ScopeStatus::Fresh)
     });
     println!("and counted again {} ms after it is back", took / MILLI);
 }
--- a/crates/proxy/src/membership/report/tests.rs
+++ b/crates/proxy/src/membership/report/tests.rs
@@ -1,10 +1,8 @@
 use super::*;
 use serde_json::json;
 
-/// Operators' programs read these keys.
-#[test]
-fn the_report_keeps_its_json_keys() {
-    let report = MembershipReport {
+fn complete_report() -> MembershipReport {
+    MembershipReport {
         name: "a".to_owned(),
         address: "10.0.0.1:7946".to_owned(),
         size: 2,
@@ -33,7 +31,13 @@
             age_ms: 11,
             status: "silent".to_owned(),
         }],
-    };
+    }
+}
+
+/// Operators' programs read these keys.
+#[test]
+fn the_report_keeps_its_json_keys() {
+    let report = complete_report();
     let expected = json!({
         "name": "a",
         "address": "10.0.0.1:7946",
