--- a/crates/cli/src/ctl/tables.rs
+++ b/crates/cli/src/ctl/tables.rs
@@ -25,15 +25,16 @@
 }
 
 fn membership_summary(membership: &MembershipReport) -> String {
-    let partition = if membership.cut { ", so many are silent that it is taken for a cut" } else { "" };
+    let partition =
+        if membership.partition_suspected { ", so many are silent that it is taken for a cut" } else { "" };
     format!(
         "{} at {} sees {} present, itself included, for {}; {:.0}% of them agree; counts {}{partition}",
         membership.name,
         membership.address,
         membership.size,
         whole_seconds(membership.age_ms),
-        100.0 * membership.agreement,
-        membership.count
+        100.0 * membership.agreement_ratio,
+        membership.live_count
     )
 }
 
@@ -46,8 +47,8 @@
             member.address.clone(),
             member.zone.clone(),
             member.release.clone(),
-            member.standing.clone(),
-            whole_seconds(member.for_ms),
+            member.status.clone(),
+            whole_seconds(member.status_age_ms),
         ]);
     }
     table
@@ -59,9 +60,9 @@
     for scope in &membership.scopes {
         table.add_row([
             scope.name.clone(),
-            scope.present.to_string(),
-            scope.counted.to_string(),
-            scope.hearing.clone(),
+            scope.member_count.to_string(),
+            scope.live_count.to_string(),
+            scope.status.clone(),
             whole_seconds(scope.age_ms),
         ]);
     }
