--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -158,7 +158,7 @@
         next("listening")["address"].as_str().and_then(|a| a.parse().ok()).expect("an address");
     discovery.asked();
     discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
-    assert_eq!(next("list taken")["up"], 1);
+    assert_eq!(next("endpoint list updated")["ready"], 1);
     let stream = std::net::TcpStream::connect(address).expect("it listens");
     let mut client = Client { stream: std::io::BufReader::new(stream) };
     assert_eq!(client.call("fare-charge", "1500m").status(), 200);
--- a/crates/proxy/src/call_table.rs
+++ b/crates/proxy/src/call_table.rs
@@ -1,101 +1,162 @@
-//! Calls and their attempts, from a request's arrival until its answer is given and nothing is out for it, with the
-//! moments at which something is due. Each call gets one final answer, each attempt one outcome.
+//! Keeps the calls and their attempts, from the arrival of a request until its answer is given and no attempt is in
+//! flight, together with their timers. Each call gets one final answer, each attempt one outcome.
 
 use crate::metrics::{Metrics, RequestOutcome};
 use crate::request::Request;
-use crate::response::{AttemptResult, FinalResponse, StreamingResponse};
+use crate::response::{AttemptResult, CompleteResponse, FinalResponse, StreamingResponse};
 use oakport_core::{CallId, ClassId, EndpointId, Event, Micros, Outcome};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
+/// A moment that never comes, in microseconds.
+const NEVER_US: Micros = Micros::MAX;
+
+/// Names an attempt: attempts of a call are numbered from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    pub call: CallId,
+    pub number: u32,
+}
+
+/// The moments that bound an attempt, as the balancer sets them.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AttemptLimits {
+    /// When it times out; `None` or 0: when the call's own time is up.
+    pub timeout_at: Option<Micros>,
+    /// It must start before this moment, if at all; `None`: no limit.
+    pub start_by: Option<Micros>,
+}
+
+/// Whether the endpoint may have executed an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Execution {
+    /// Nothing of it has been written.
+    NotStarted,
+    /// Its first byte may have been written.
+    MayHaveRun,
+}
+
 #[derive(Debug)]
 struct Attempt {
-    server: EndpointId,
-    sent: Micros,
-    until: Micros,
-    /// It may not begin from then on.
-    by: Micros,
-    /// Its first byte may have been written.
-    started: bool,
-    /// None once its outcome is in.
+    endpoint: EndpointId,
+    /// When it was sent, or the moment at which its streamed request was complete.
+    sent_at: Micros,
+    /// When it times out; [`NEVER_US`] while a streamed request is still arriving.
+    timeout_at: Micros,
+    /// It may not start from this moment on.
+    start_by: Micros,
+    execution: Execution,
     task: Option<AbortHandle>,
-    out: bool,
-    /// Its answer is being passed on.
-    begun: bool,
+    /// It has no outcome yet.
+    in_flight: bool,
+    /// Its response is being streamed to the client.
+    response_started: bool,
 }
 
 struct Call {
     class: ClassId,
     request: Rc<Request>,
-    /// Never, until the last byte of its body has come.
+    /// [`NEVER_US`] until the last byte of a streamed request has arrived.
     deadline: Micros,
     /// Taken when the final answer is given.
     answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
 }
 
-/// What is due at a moment. The order matters: at a deadline the attempts time out first, so that the module
-/// can end the call itself, then its own timer comes, and only then the backstop.
+impl Call {
+    fn is_open(&self) -> bool {
+        self.answer.is_some()
+    }
+
+    fn is_finished(&self) -> bool {
+        !self.is_open() && !self.attempts.iter().any(|attempt| attempt.in_flight)
+    }
+}
+
+/// What a timer is for. The order matters for timers of the same moment: attempts time out first, so that the
+/// balancer can end the call itself; then its own timer fires; and only then the call's deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Attempt(CallId, u32),
-    Module,
-    Backstop(CallId),
+enum TimerPurpose {
+    AttemptTimeout(AttemptId),
+    BalancerTimer,
+    CallDeadline(CallId),
+}
+
+/// What came of a timer that has expired.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ExpiredTimer {
+    /// The balancer must be notified of this event.
+    Notify(Event),
+    /// What the timer was for has ended before.
+    Stale,
+}
+
+impl From<Option<Event>> for ExpiredTimer {
+    fn from(event: Option<Event>) -> Self {
+        event.map_or(ExpiredTimer::Stale, ExpiredTimer::Notify)
+    }
 }
 
-/// An attempt as it goes out.
+/// An attempt that is about to be sent.
 pub struct OutgoingAttempt {
-    pub number: u32,
+    pub id: AttemptId,
     pub request: Rc<Request>,
-    /// When it times out; `Micros::MAX` while a large request is still coming, as no time runs then.
-    pub until: Micros,
-    /// Somebody still waits for it, and there is time.
-    pub wanted: bool,
+    /// When it times out, in microseconds; never while a streamed request is still arriving.
+    pub timeout_at: Micros,
+    /// The client still waits, and there is time.
+    pub is_wanted: bool,
 }
 
 impl OutgoingAttempt {
-    pub fn timed(&self) -> bool {
-        self.until < Micros::MAX
+    /// Whether a timeout applies to it.
+    pub fn has_timeout(&self) -> bool {
+        self.timeout_at < NEVER_US
     }
 }
 
-/// All calls that are open or have attempts out.
+/// All calls that are open or have attempts in flight.
 pub struct CallTable {
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     calls: HashMap<CallId, Call>,
-    open: usize,
-    next: u64,
-    timers: BTreeSet<(Micros, Due)>,
+    open_count: usize,
+    next_call_number: u64,
+    timers: BTreeSet<(Micros, TimerPurpose)>,
 }
 
 impl CallTable {
-    pub fn new(figures: Rc<Metrics>) -> Self {
-        CallTable { figures, calls: HashMap::new(), open: 0, next: 0, timers: BTreeSet::new() }
+    pub fn new(metrics: Rc<Metrics>) -> Self {
+        CallTable {
+            metrics,
+            calls: HashMap::new(),
+            open_count: 0,
+            next_call_number: 0,
+            timers: BTreeSet::new(),
+        }
     }
 
-    /// Calls without their final answer.
-    pub fn open(&self) -> usize {
-        self.open
+    /// The number of calls without their final answer.
+    pub fn open_count(&self) -> usize {
+        self.open_count
     }
 
-    /// Does its client still wait?
+    /// Whether the client of this call still waits.
     pub fn is_open(&self, call: CallId) -> bool {
-        self.calls.get(&call).is_some_and(|c| c.answer.is_some())
+        self.calls.get(&call).is_some_and(Call::is_open)
     }
 
-    /// The earliest moment at which something is due.
-    pub fn next_due(&self) -> Option<Micros> {
-        self.timers.first().map(|t| t.0)
+    /// The moment of the earliest timer.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.timers.first().map(|&(at, _)| at)
     }
 
-    /// Sets the module's own timer.
-    pub fn wake(&mut self, at: Micros) {
-        self.timers.insert((at, Due::Module));
+    /// Sets the balancer's own timer.
+    pub fn set_balancer_timer(&mut self, at: Micros) {
+        self.timers.insert((at, TimerPurpose::BalancerTimer));
     }
 
-    /// Takes a request on; its answer comes by the receiver.
+    /// Adds a call; its final answer comes through the receiver.
     pub fn add(
         &mut self,
         now: Micros,
@@ -103,228 +164,231 @@
         request: Request,
     ) -> (CallId, oneshot::Receiver<FinalResponse>) {
         let (sender, receiver) = oneshot::channel();
-        let call = CallId(self.next);
-        self.next += 1;
-        self.open += 1;
-        let whole = request.upload.is_none();
-        let deadline = if whole { now + request.client_timeout } else { Micros::MAX };
-        let (request, attempts) = (Rc::new(request), Vec::new());
-        self.calls.insert(call, Call { class, request, deadline, answer: Some(sender), attempts });
-        if whole {
-            self.timers.insert((deadline, Due::Backstop(call)));
+        let id = CallId(self.next_call_number);
+        self.next_call_number += 1;
+        self.open_count += 1;
+        let mut deadline = NEVER_US;
+        if request.upload.is_none() {
+            deadline = now + request.client_timeout;
+            self.timers.insert((deadline, TimerPurpose::CallDeadline(id)));
         }
-        (call, receiver)
+        let request = Rc::new(request);
+        self.calls.insert(id, Call { class, request, deadline, answer: Some(sender), attempts: Vec::new() });
+        (id, receiver)
     }
 
-    /// The last byte of a large request has come: its time counts from now. None: nobody waits any more.
-    pub fn whole(&mut self, now: Micros, id: CallId) -> Option<Event> {
-        let call = self.calls.get_mut(&id).filter(|c| c.answer.is_some())?;
-        let time_left = call.request.client_timeout;
-        call.deadline = now + time_left;
-        self.timers.insert((call.deadline, Due::Backstop(id)));
-        for (number, attempt) in (0..).zip(&mut call.attempts).filter(|(_, a)| a.out) {
-            (attempt.sent, attempt.until) = (now, call.deadline);
-            self.timers.insert((attempt.until, Due::Attempt(id, number)));
+    /// Records that the last byte of a streamed request has arrived: the client's time counts from now. `None` if
+    /// the client no longer waits.
+    pub fn complete_request(&mut self, now: Micros, id: CallId) -> Option<Event> {
+        let call = self.calls.get_mut(&id).filter(|call| call.is_open())?;
+        let remaining_time = call.request.client_timeout;
+        call.deadline = now + remaining_time;
+        self.timers.insert((call.deadline, TimerPurpose::CallDeadline(id)));
+        for (number, attempt) in (0..).zip(&mut call.attempts) {
+            if attempt.in_flight {
+                attempt.sent_at = now;
+                attempt.timeout_at = call.deadline;
+                let purpose = TimerPurpose::AttemptTimeout(AttemptId { call: id, number });
+                self.timers.insert((attempt.timeout_at, purpose));
+            }
         }
-        Some(Event::RequestComplete { call: id, remaining_time: time_left })
+        Some(Event::RequestComplete { call: id, remaining_time })
     }
 
-    /// Notes an attempt that the module asks for. None: there is no such call.
-    pub fn send(
+    /// Adds an attempt that the balancer asks for. `None` if there is no such call.
+    pub fn add_attempt(
         &mut self,
         now: Micros,
         id: CallId,
-        server: EndpointId,
-        (until, by): (Option<Micros>, Option<Micros>),
+        endpoint: EndpointId,
+        limits: AttemptLimits,
     ) -> Option<OutgoingAttempt> {
         let call = self.calls.get_mut(&id)?;
         let number = call.attempts.len() as u32;
-        let timed = call.deadline < Micros::MAX;
-        let until = until.filter(|&u| u > 0 && timed).unwrap_or(Micros::MAX).min(call.deadline);
-        let (by, started, begun) = (by.unwrap_or(Micros::MAX), false, false);
-        call.attempts.push(Attempt { server, sent: now, until, by, started, task: None, out: true, begun });
-        let wanted = call.answer.is_some() && until > now;
-        Some(OutgoingAttempt { number, request: Rc::clone(&call.request), until, wanted })
+        let has_deadline = call.deadline < NEVER_US;
+        let requested_timeout = limits.timeout_at.filter(|&at| at > 0 && has_deadline);
+        let timeout_at = requested_timeout.unwrap_or(NEVER_US).min(call.deadline);
+        call.attempts.push(Attempt {
+            endpoint,
+            sent_at: now,
+            timeout_at,
+            start_by: limits.start_by.unwrap_or(NEVER_US),
+            execution: Execution::NotStarted,
+            task: None,
+            in_flight: true,
+            response_started: false,
+        });
+        Some(OutgoingAttempt {
+            id: AttemptId { call: id, number },
+            request: Rc::clone(&call.request),
+            timeout_at,
+            is_wanted: call.is_open() && timeout_at > now,
+        })
     }
 
-    /// An attempt is under way in this task, until its time is up.
-    pub fn under_way(&mut self, id: CallId, number: u32, task: AbortHandle) {
-        let attempt = self.calls.get_mut(&id).and_then(|c| c.attempts.get_mut(number as usize));
-        let Some(attempt) = attempt else { return };
+    /// Records the task that makes an attempt, and sets the timer of the attempt.
+    pub fn set_task(&mut self, id: AttemptId, task: AbortHandle) {
+        let Some(attempt) = self.attempt_mut(id) else { return };
         attempt.task = Some(task);
-        if attempt.until < Micros::MAX {
-            self.timers.insert((attempt.until, Due::Attempt(id, number)));
+        let timeout_at = attempt.timeout_at;
+        if timeout_at < NEVER_US {
+            self.timers.insert((timeout_at, TimerPurpose::AttemptTimeout(id)));
         }
     }
 
-    /// May the first byte of this attempt be written now, as far as the call goes? `ready` tells of its host.
+    /// Whether the first byte of an attempt may be written now; `is_ready` says whether its endpoint accepts calls. If
+    /// so, the endpoint may execute the attempt from here on.
     pub fn may_start(
         &mut self,
         now: Micros,
-        id: CallId,
-        number: u32,
-        ready: impl FnOnce(EndpointId) -> bool,
+        id: AttemptId,
+        is_ready: impl FnOnce(EndpointId) -> bool,
     ) -> bool {
-        let call = self.calls.get_mut(&id).filter(|c| c.answer.is_some());
-        let attempt = call.and_then(|c| c.attempts.get_mut(number as usize)).filter(|a| a.out);
-        let Some(attempt) = attempt else { return false };
-        attempt.started = now < attempt.until.min(attempt.by) && ready(attempt.server);
-        attempt.started
+        if !self.is_open(id.call) {
+            return false;
+        }
+        let Some(attempt) = self.attempt_mut(id).filter(|attempt| attempt.in_flight) else { return false };
+        let in_time = now < attempt.timeout_at.min(attempt.start_by);
+        let may_start = in_time && is_ready(attempt.endpoint);
+        attempt.execution = if may_start { Execution::MayHaveRun } else { Execution::NotStarted };
+        may_start
     }
 
-    /// A large answer begins. None if the call has ended meanwhile: then nobody wants it.
-    pub fn begin(&mut self, id: CallId, number: u32, begun: StreamingResponse) -> Option<Event> {
-        let call = self.calls.get_mut(&id)?;
-        let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
-        let sender = call.answer.take()?;
-        // From here on the client has it, and no time of ours ends it.
-        attempt.begun = true;
-        self.timers.remove(&(attempt.until, Due::Attempt(id, number)));
-        self.timers.remove(&(call.deadline, Due::Backstop(id)));
-        let _ = sender.send(FinalResponse::Streaming(begun));
-        Some(Event::ResponseStarted { call: id, attempt: number })
+    /// Hands a streamed response to the client. `None` if the call has ended: the response is no longer wanted.
+    pub fn start_response(&mut self, id: AttemptId, response: StreamingResponse) -> Option<Event> {
+        let call = self.calls.get_mut(&id.call)?;
+        let attempt = call.attempts.get_mut(id.number as usize).filter(|attempt| attempt.in_flight)?;
+        let answer = call.answer.take()?;
+        // No timeout applies to a response that the client already receives.
+        attempt.response_started = true;
+        self.timers.remove(&(attempt.timeout_at, TimerPurpose::AttemptTimeout(id)));
+        self.timers.remove(&(call.deadline, TimerPurpose::CallDeadline(id.call)));
+        // The client may have disconnected: the end of its connection reports that.
+        let _ = answer.send(FinalResponse::Streaming(response));
+        Some(Event::ResponseStarted { call: id.call, attempt: id.number })
     }
 
-    /// Gives the final answer, if it has not been given yet.
+    /// Ends a call with its final answer, unless it was given before. `None`: the client has disconnected.
     pub fn close(&mut self, id: CallId, answer: Option<FinalResponse>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if let Some(sender) = call.answer.take() {
-            self.open -= 1;
-            self.timers.remove(&(call.deadline, Due::Backstop(id)));
+            self.open_count -= 1;
+            self.timers.remove(&(call.deadline, TimerPurpose::CallDeadline(id)));
             if let Some(answer) = answer {
-                let refused = matches!(answer, FinalResponse::Rejected { .. });
-                self.figures.count_request(
-                    call.class,
-                    if refused { RequestOutcome::Rejected } else { RequestOutcome::Failed },
-                );
-                // The client may be gone: then its connection's end says so.
+                let outcome = match answer {
+                    FinalResponse::Rejected { .. } => RequestOutcome::Rejected,
+                    _ => RequestOutcome::Failed,
+                };
+                self.metrics.count_request(call.class, outcome);
+                // The client may have disconnected: the end of its connection reports that.
                 let _ = sender.send(answer);
             }
         }
-        self.tidy(id);
+        self.remove_if_finished(id);
     }
 
-    /// Notes the end of an attempt and stops its task. None if it had ended before.
-    pub fn outcome(&mut self, now: Micros, id: CallId, number: u32, ended: AttemptResult) -> Option<Event> {
-        let call = self.calls.get_mut(&id)?;
-        let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
-        attempt.out = false;
-        self.timers.remove(&(attempt.until, Due::Attempt(id, number)));
+    /// Records the outcome of an attempt and stops its task. `None` if it had ended before.
+    pub fn end_attempt(&mut self, now: Micros, id: AttemptId, result: AttemptResult) -> Option<Event> {
+        let call = self.calls.get_mut(&id.call)?;
+        let attempt = call.attempts.get_mut(id.number as usize).filter(|attempt| attempt.in_flight)?;
+        attempt.in_flight = false;
+        self.timers.remove(&(attempt.timeout_at, TimerPurpose::AttemptTimeout(id)));
         if let Some(task) = attempt.task.take() {
-            // Its connection goes with it: the host learns that nobody waits.
+            // Its connection closes with it: so the endpoint learns that the answer is no longer wanted.
             task.abort();
         }
-        let elapsed = now.saturating_sub(attempt.sent);
-        let AttemptResult { outcome, load, served } = ended;
-        if let Some((body, content_type)) = served {
-            if let Some(sender) = call.answer.take() {
-                self.open -= 1;
-                self.timers.remove(&(call.deadline, Due::Backstop(id)));
-                self.figures.count_request(call.class, RequestOutcome::Served);
-                let _ = sender.send(FinalResponse::Served { body, content_type });
-            }
+        let elapsed = now.saturating_sub(attempt.sent_at);
+        let response_started = attempt.response_started;
+        let AttemptResult { outcome, load, response } = result;
+        if let Some(response) = response {
+            self.deliver(id.call, response);
         }
-        if attempt.begun {
-            self.open -= 1;
-            match outcome {
-                Outcome::Served => self.figures.count_request(call.class, RequestOutcome::Served),
-                // The client left.
-                Outcome::Cancelled => {}
-                _ => self.figures.count_request(call.class, RequestOutcome::Failed),
-            }
+        if response_started {
+            self.finish_streamed_response(id.call, outcome);
         }
-        let closed = call.answer.is_none();
-        Some(Event::AttemptEnded { call: id, attempt: number, outcome, elapsed, call_closed: closed, load })
+        Some(Event::AttemptEnded {
+            call: id.call,
+            attempt: id.number,
+            outcome,
+            elapsed,
+            call_closed: !self.is_open(id.call),
+            load,
+        })
     }
 
-    /// How many attempts have been made for a call.
-    pub fn attempts(&self, id: CallId) -> u32 {
-        self.calls.get(&id).map_or(0, |c| c.attempts.len() as u32)
+    /// Gives a complete response to the client, unless the call has its final answer.
+    fn deliver(&mut self, id: CallId, response: CompleteResponse) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(answer) = call.answer.take() else { return };
+        self.open_count -= 1;
+        self.timers.remove(&(call.deadline, TimerPurpose::CallDeadline(id)));
+        self.metrics.count_request(call.class, RequestOutcome::Served);
+        let CompleteResponse { body, content_type } = response;
+        let _ = answer.send(FinalResponse::Served { body, content_type });
     }
 
-    /// Forgets a call once it has ended and none of its attempts is out.
-    pub fn tidy(&mut self, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| c.answer.is_none() && c.attempts.iter().all(|a| !a.out)) {
-            self.calls.remove(&id);
+    /// Counts a call whose response was streamed to the client.
+    fn finish_streamed_response(&mut self, id: CallId, outcome: Outcome) {
+        let Some(call) = self.calls.get(&id) else { return };
+        self.open_count -= 1;
+        match outcome {
+            Outcome::Served => self.metrics.count_request(call.class, RequestOutcome::Served),
+            // The client has disconnected.
+            Outcome::Cancelled => {}
+            _ => self.metrics.count_request(call.class, RequestOutcome::Failed),
         }
     }
 
-    /// What the next thing that is due by now means to the module. None: nothing is due; `Some(None)`: nothing.
-    pub fn due(&mut self, now: Micros) -> Option<Option<Event>> {
-        let (_, due) = self.timers.first().filter(|t| t.0 <= now).copied()?;
-        self.timers.pop_first();
-        Some(match due {
-            Due::Attempt(call, number) => {
-                let tried = self.calls.get(&call).and_then(|c| c.attempts.get(number as usize));
-                // Its time may be up while it still waits for its connection. Then it never ran, and to
-                // say 'timed out' would fail an unsafe call that may safely go again or be refused.
-                let outcome = match tried {
-                    Some(Attempt { started: false, .. }) => Outcome::ConnectFailed,
-                    _ => Outcome::TimedOut,
-                };
-                self.outcome(now, call, number, outcome.into())
-            }
-            Due::Module => Some(Event::Timer),
-            Due::Backstop(call) => self.is_open(call).then(|| {
-                // Whatever the module does, a call ends by its deadline.
-                self.close(call, Some(FinalResponse::DeadlineExceeded));
-                Event::ClientDisconnected { call }
-            }),
-        })
+    /// How many attempts of a call have been made.
+    pub fn attempt_count(&self, id: CallId) -> u32 {
+        self.calls.get(&id).map_or(0, |call| call.attempts.len() as u32)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::downstream::connection::ClientPresence;
-    use bytes::Bytes;
-    use hyper::http::{HeaderMap, Method, Uri};
-
-    fn request(time: Micros) -> Request {
-        let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
-        Request {
-            method: Method::GET,
-            uri,
-            headers,
-            body: Bytes::new(),
-            upload: None,
-            length: Some(0),
-            client_timeout: time,
-            client: ClientPresence::default(),
+    /// Removes a call once it has ended and none of its attempts is in flight.
+    pub fn remove_if_finished(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(Call::is_finished) {
+            self.calls.remove(&id);
+        }
+    }
+
+    /// Removes the earliest timer that has expired by now. `None` if there is none.
+    pub fn expire_next(&mut self, now: Micros) -> Option<ExpiredTimer> {
+        let &(at, purpose) = self.timers.first()?;
+        if at > now {
+            return None;
         }
+        self.timers.pop_first();
+        let event = match purpose {
+            TimerPurpose::AttemptTimeout(id) => self.time_out_attempt(now, id),
+            TimerPurpose::BalancerTimer => Some(Event::Timer),
+            TimerPurpose::CallDeadline(id) => self.exceed_deadline(id),
+        };
+        Some(event.into())
     }
 
-    /// The module ends each call by itself; should it ever forget one, the client still gets its answer.
-    #[test]
-    fn a_call_that_the_module_forgot_ends_at_its_deadline_once() {
-        let mut calls = CallTable::new(Rc::default());
-        let (call, mut answer) = calls.add(1_000, ClassId(0), request(30_000));
-        assert_eq!(calls.next_due(), Some(31_000));
-        assert!(calls.due(30_999).is_none() && answer.try_recv().is_err(), "not before its time");
-        assert_eq!(calls.due(31_000), Some(Some(Event::ClientDisconnected { call })));
-        assert!(matches!(answer.try_recv(), Ok(FinalResponse::DeadlineExceeded)));
-        assert_eq!((calls.open(), calls.calls.len(), calls.next_due()), (0, 0, None));
-        calls.close(call, Some(FinalResponse::Failed));
-        assert_eq!(calls.open(), 0, "a second end changes nothing");
+    /// Ends an attempt whose time is up. One that still waits for its connection was not executed: `TimedOut` would
+    /// fail a non-idempotent call that can safely be retried or rejected.
+    fn time_out_attempt(&mut self, now: Micros, id: AttemptId) -> Option<Event> {
+        let outcome = match self.attempt_mut(id).map(|attempt| attempt.execution) {
+            Some(Execution::NotStarted) => Outcome::ConnectFailed,
+            Some(Execution::MayHaveRun) | None => Outcome::TimedOut,
+        };
+        self.end_attempt(now, id, outcome.into())
     }
 
-    #[test]
-    fn an_attempt_that_never_began_has_not_run_when_its_time_is_up() {
-        for (begins, wanted) in [(false, Outcome::ConnectFailed), (true, Outcome::TimedOut)] {
-            let mut calls = CallTable::new(Rc::default());
-            let (call, _answer) = calls.add(0, ClassId(0), request(9_000));
-            let outgoing = calls.send(0, call, EndpointId(3), (Some(5_000), None)).expect("an open call");
-            assert!(outgoing.wanted && outgoing.timed());
-            calls.timers.insert((5_000, Due::Attempt(call, 0)));
-            assert!(!calls.may_start(0, call, 0, |_| false), "its host drains");
-            assert_eq!(calls.may_start(4_000, call, 0, |server| begins && server == EndpointId(3)), begins);
-            let outcome = match calls.due(5_000) {
-                Some(Some(Event::AttemptEnded { outcome, call_closed: false, .. })) => outcome,
-                other => panic!("{other:?}"),
-            };
-            assert_eq!(outcome, wanted);
-            assert_eq!(calls.outcome(5_001, call, 0, Outcome::Served.into()), None, "one outcome each");
+    /// Ends a call that the balancer has not ended by its deadline.
+    fn exceed_deadline(&mut self, id: CallId) -> Option<Event> {
+        if !self.is_open(id) {
+            return None;
         }
+        self.close(id, Some(FinalResponse::DeadlineExceeded));
+        Some(Event::ClientDisconnected { call: id })
+    }
+
+    fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.calls.get_mut(&id.call)?.attempts.get_mut(id.number as usize)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/proxy/src/call_table/tests.rs
@@ -0,0 +1,54 @@
+//! Calls and attempts at their deadlines.
+
+use super::*;
+use crate::downstream::connection::ClientPresence;
+use bytes::Bytes;
+use hyper::http::{HeaderMap, Method, Uri};
+
+fn request(client_timeout: Micros) -> Request {
+    Request {
+        method: Method::GET,
+        uri: Uri::from_static("/a"),
+        headers: HeaderMap::new(),
+        body: Bytes::new(),
+        upload: None,
+        length: Some(0),
+        client_timeout,
+        client: ClientPresence::default(),
+    }
+}
+
+/// The balancer ends each call by itself; if it does not, the client still gets its answer.
+#[test]
+fn a_call_that_the_balancer_does_not_end_fails_once_at_its_deadline() {
+    let mut calls = CallTable::new(Rc::default());
+    let (call, mut answer) = calls.add(1_000, ClassId(0), request(30_000));
+    assert_eq!(calls.next_deadline(), Some(31_000));
+    assert!(calls.expire_next(30_999).is_none() && answer.try_recv().is_err(), "not before its deadline");
+    assert_eq!(calls.expire_next(31_000), Some(ExpiredTimer::Notify(Event::ClientDisconnected { call })));
+    assert!(matches!(answer.try_recv(), Ok(FinalResponse::DeadlineExceeded)));
+    assert_eq!((calls.open_count(), calls.calls.len(), calls.next_deadline()), (0, 0, None));
+    calls.close(call, Some(FinalResponse::Failed));
+    assert_eq!(calls.open_count(), 0, "a second end changes nothing");
+}
+
+#[test]
+fn an_attempt_that_times_out_before_its_first_byte_has_not_been_executed() {
+    for (starts, expected) in [(false, Outcome::ConnectFailed), (true, Outcome::TimedOut)] {
+        let mut calls = CallTable::new(Rc::default());
+        let (call, _answer) = calls.add(0, ClassId(0), request(9_000));
+        let limits = AttemptLimits { timeout_at: Some(5_000), start_by: None };
+        let outgoing = calls.add_attempt(0, call, EndpointId(3), limits).expect("an open call");
+        assert!(outgoing.is_wanted && outgoing.has_timeout());
+        let id = AttemptId { call, number: 0 };
+        calls.timers.insert((5_000, TimerPurpose::AttemptTimeout(id)));
+        assert!(!calls.may_start(0, id, |_| false), "its endpoint is draining");
+        assert_eq!(calls.may_start(4_000, id, |endpoint| starts && endpoint == EndpointId(3)), starts);
+        let outcome = match calls.expire_next(5_000) {
+            Some(ExpiredTimer::Notify(Event::AttemptEnded { outcome, call_closed: false, .. })) => outcome,
+            other => panic!("{other:?}"),
+        };
+        assert_eq!(outcome, expected);
+        assert_eq!(calls.end_attempt(5_001, id, Outcome::Served.into()), None, "one outcome each");
+    }
+}
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,494 +1,408 @@
-//! The one owner of the [`Balancer`]: turns what happens into events and carries the actions out. It never picks,
-//! retries or sheds by itself.
+//! Owns the [`Balancer`](oakport_core::Balancer): turns what happens into events and executes the actions. It never
+//! selects, retries or sheds by itself.
 
-use crate::call_table::CallTable;
-use crate::classes::Classes;
+mod state;
+
+use crate::call_table::{AttemptId, AttemptLimits, ExpiredTimer, OutgoingAttempt};
 use crate::clock::Clock;
 use crate::endpoint_list::{EndpointEntry, EndpointList};
-use crate::endpoints::{Endpoints, OutdatedConnections};
 use crate::metrics::{Metrics, MetricsReport, RequestOutcome};
 use crate::request::{CallAttributes, Request};
 use crate::response::{AttemptResult, FinalResponse, StreamingResponse};
-use crate::upstream::attempt::attempt;
-use crate::upstream::pool::{ConnectionPool, Target};
-use oakport_core::settings_wire::{ParsedSettings, TransportSettings};
+use crate::upstream::attempt::{attempt, AttemptOwner};
+use crate::upstream::pool::ConnectionPool;
+use oakport_core::settings_wire::ParsedSettings;
 use oakport_core::{
-    Action, Balancer, CallId, ClassId, DecisionEvent, EndpointId, EndpointState, Event, ListUpdateKind,
-    LoadReport, Micros, Outcome, Rules, Settings,
+    Action, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport,
+    Micros, Outcome, Rules,
 };
+use state::DispatcherState;
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
-use tracing::{info, warn};
-
-struct Core {
-    balancer: Balancer,
-    figures: Rc<Metrics>,
-    classes: Classes,
-    hosts: Endpoints,
-    calls: CallTable,
-    max_open: usize,
-    /// The settings in force, and what the sockets go by.
-    settings: Settings,
-    transport: TransportSettings,
-    /// Client proxies counted, where peers tell of them; it goes before the settings' number.
-    live: Option<u32>,
-    /// New requests are taken.
-    taking: bool,
-    events: VecDeque<Event>,
-    actions: Vec<Action>,
-}
+use tracing::info;
 
-/// The driver as the other parts see it.
+/// A handle to the dispatcher, for the other parts of the proxy.
 #[derive(Clone)]
 pub struct Dispatcher {
-    core: Rc<RefCell<Core>>,
+    state: Rc<RefCell<DispatcherState>>,
     clock: Clock,
     pool: Rc<ConnectionPool>,
-    /// For when the timers sleep; None: until they are told.
-    asleep_until: Rc<Cell<Option<Micros>>>,
-    timer_sooner: Rc<Notify>,
-    /// The module wants the list, and has not been heard yet.
-    wants_list: Rc<Cell<bool>>,
-    subscribe: Rc<Notify>,
+    /// The moment until which the timer task sleeps; `None`: until it is notified.
+    timers_asleep_until: Rc<Cell<Option<Micros>>>,
+    /// Notifies the timer task of a timer before that moment.
+    earlier_timer: Rc<Notify>,
+    /// The balancer has asked for a poll of the endpoint list, which has not begun.
+    is_poll_requested: Rc<Cell<bool>>,
+    poll_requested: Rc<Notify>,
 }
 
 impl Dispatcher {
+    /// A dispatcher whose balancer draws from this seed. Nothing happens before [`start`](Dispatcher::start).
     pub fn new(
         seed: u64,
-        facts: ParsedSettings,
+        parsed: ParsedSettings,
         clock: Clock,
         pool: Rc<ConnectionPool>,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
     ) -> Self {
-        let transport = facts.transport;
-        let (classes, settings) = Classes::new(facts);
-        let core = Core {
-            balancer: Balancer::new(seed, settings.clone()),
-            settings,
-            transport,
-            live: None,
-            calls: CallTable::new(Rc::clone(&figures)),
-            figures,
-            classes,
-            hosts: Endpoints::default(),
-            max_open: transport.max_open_requests,
-            taking: false,
-            events: VecDeque::new(),
-            actions: Vec::new(),
-        };
-        let core = Rc::new(RefCell::new(core));
-        let (asleep_until, timer_sooner, wants_list, subscribe) = <(_, Rc<Notify>, _, _)>::default();
-        Dispatcher { core, clock, pool, asleep_until, timer_sooner, wants_list, subscribe }
+        Dispatcher {
+            state: Rc::new(RefCell::new(DispatcherState::new(seed, parsed, metrics))),
+            clock,
+            pool,
+            timers_asleep_until: Rc::default(),
+            earlier_timer: Rc::default(),
+            is_poll_requested: Rc::default(),
+            poll_requested: Rc::default(),
+        }
     }
 
-    /// Waits until the module asks for the list.
+    /// Waits until the balancer asks for a poll of the endpoint list.
     pub async fn endpoint_poll_requested(&self) {
-        while !self.wants_list.take() {
-            self.subscribe.notified().await;
+        while !self.is_poll_requested.take() {
+            self.poll_requested.notified().await;
         }
     }
 
+    /// Starts the balancer.
     pub fn start(&self) {
-        self.event(Event::Start);
+        self.notify_balancer(Event::Start);
     }
 
-    /// New settings are in force. Calls under way keep the class they were taken with.
-    pub fn apply_settings(&self, facts: ParsedSettings) {
-        let mut core = self.core.borrow_mut();
-        core.max_open = facts.transport.max_open_requests;
-        core.transport = facts.transport;
-        core.settings = core.classes.apply_settings(facts);
-        drop(core);
-        self.settle();
+    /// Puts new settings in force. Open calls keep the class that they arrived with.
+    pub fn apply_settings(&self, parsed: ParsedSettings) {
+        let mut state = self.state.borrow_mut();
+        state.transport = parsed.transport;
+        state.settings = state.classes.apply_settings(parsed);
+        drop(state);
+        self.apply_effective_settings();
     }
 
-    /// So many client proxies are counted from now on.
-    pub fn set_live_count(&self, balancers: u32) {
-        self.core.borrow_mut().live = Some(balancers);
-        self.settle();
+    /// Sets how many client proxies are alive; this takes precedence over the number in the settings.
+    pub fn set_live_count(&self, proxy_count: u32) {
+        self.state.borrow_mut().live_proxy_count = Some(proxy_count);
+        self.apply_effective_settings();
     }
 
-    /// Puts the settings in force, with the number of client proxies that is counted.
-    fn settle(&self) {
-        let core = self.core.borrow();
-        let balancers = core.live.unwrap_or(core.settings.proxy_count);
-        let (settings, transport) =
-            (Settings { proxy_count: balancers, ..core.settings.clone() }, core.transport);
-        drop(core);
-        self.pool.apply_settings(transport, balancers);
-        self.event(Event::Settings(Box::new(settings)));
+    fn apply_effective_settings(&self) {
+        let state = self.state.borrow();
+        let settings = state.effective_settings();
+        let transport = state.transport;
+        drop(state);
+        self.pool.apply_settings(transport, settings.proxy_count);
+        self.notify_balancer(Event::Settings(Box::new(settings)));
     }
 
-    /// The class of this name, if the settings have one.
+    /// The class of this name, if the settings in force have one.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
-        self.core.borrow().classes.class_id(name)
+        self.state.borrow().classes.class_id(name)
     }
 
-    /// Says whether new requests are taken.
-    pub fn set_accepting(&self, taking: bool) {
-        self.core.borrow_mut().taking = taking;
+    /// Sets whether new requests are accepted.
+    pub fn set_accepting(&self, is_accepting: bool) {
+        self.state.borrow_mut().is_accepting = is_accepting;
     }
 
+    /// Whether new requests are accepted.
     pub fn is_accepting(&self) -> bool {
-        self.core.borrow().taking
+        self.state.borrow().is_accepting
     }
 
-    /// A request that was refused before it became a call.
+    /// Counts a request that was rejected before it became a call.
     pub fn count_rejected(&self, class: ClassId) {
-        self.core.borrow().figures.count_request(class, RequestOutcome::Rejected);
+        self.state.borrow().metrics.count_request(class, RequestOutcome::Rejected);
     }
 
-    /// The operators' figures as they are now.
+    /// The metrics at this moment.
     pub fn report(&self) -> MetricsReport {
-        let core = self.core.borrow();
-        let (listed, down) =
-            (core.hosts.listed().count(), core.balancer.unavailable_endpoints(self.clock.now()));
-        core.figures.report(core.classes.names(), core.calls.open(), (listed, down))
+        self.state.borrow().report(self.clock.now())
     }
 
-    /// Calls without their final answer.
+    /// The number of calls without their final answer.
     pub fn open_call_count(&self) -> usize {
-        self.core.borrow().calls.open()
+        self.state.borrow().calls.open_count()
     }
 
-    /// Takes a request on. None: more are open than the settings allow.
+    /// Starts a call; its final answer comes through the receiver. `None` if as many calls are open as the settings
+    /// allow.
     pub fn start_call(
         &self,
-        intake: CallAttributes,
+        attributes: CallAttributes,
         request: Request,
     ) -> Option<(CallId, oneshot::Receiver<FinalResponse>)> {
-        let mut core = self.core.borrow_mut();
-        let CallAttributes { class, tenant, is_retry: resent } = intake;
-        if core.calls.open() >= core.max_open {
-            core.figures.count_request(class, RequestOutcome::Rejected);
+        let mut state = self.state.borrow_mut();
+        let CallAttributes { class, tenant, is_retry } = attributes;
+        if state.calls.open_count() >= state.transport.max_open_requests {
+            state.metrics.count_request(class, RequestOutcome::Rejected);
             return None;
         }
-        let time_left = request.client_timeout;
-        let (call, answer) = core.calls.add(self.clock.now(), class, request);
-        let tenant = tenant.and_then(|name| core.classes.tenant_id(&name));
-        drop(core);
-        self.event(Event::Request { call, class, tenant, remaining_time: time_left, is_retry: resent });
+        let remaining_time = request.client_timeout;
+        let (call, answer) = state.calls.add(self.clock.now(), class, request);
+        let tenant = tenant.and_then(|name| state.classes.tenant_id(&name));
+        drop(state);
+        self.notify_balancer(Event::Request { call, class, tenant, remaining_time, is_retry });
         Some((call, answer))
     }
 
-    /// The last byte of a large request has come: its time counts from now.
+    /// Records that the last byte of a streamed request has arrived: the client's time counts from now.
     pub fn complete_request(&self, call: CallId) {
-        let event = self.core.borrow_mut().calls.whole(self.clock.now(), call);
-        event.into_iter().for_each(|event| self.event(event));
-    }
-
-    /// A large answer begins. False if the call has ended meanwhile: then nobody wants it.
-    fn begin(&self, call: CallId, attempt: u32, begun: StreamingResponse) -> bool {
-        let event = self.core.borrow_mut().calls.begin(call, attempt, begun);
-        event.map(|event| self.event(event)).is_some()
+        let event = self.state.borrow_mut().calls.complete_request(self.clock.now(), call);
+        if let Some(event) = event {
+            self.notify_balancer(event);
+        }
     }
 
-    /// The client of this call has gone. Its attempts are dropped whatever the module says.
+    /// Records that the client of this call has disconnected. Its attempts are cancelled whatever the balancer does.
     pub fn disconnect_client(&self, call: CallId) {
-        let mut core = self.core.borrow_mut();
-        if !core.calls.is_open(call) {
+        let mut state = self.state.borrow_mut();
+        if !state.calls.is_open(call) {
             return;
         }
-        core.calls.close(call, None);
-        drop(core);
-        self.event(Event::ClientDisconnected { call });
-        self.drop_attempts(call);
-    }
-
-    /// May the first byte of this attempt be written now? Asked after the connection is there: the call may
-    /// have ended meanwhile, its time may be up, its host may drain or be another process.
-    fn may_start(&self, call: CallId, attempt: u32, generation: u64) -> bool {
-        let mut core = self.core.borrow_mut();
-        let Core { calls, hosts, .. } = &mut *core;
-        let ready = |server| {
-            hosts.get(server).is_some_and(|h| h.state == EndpointState::Ready && h.generation == generation)
-        };
-        calls.may_start(self.clock.now(), call, attempt, ready)
-    }
-
-    /// An attempt has ended by itself. Only its first outcome counts.
-    fn ended(&self, call: CallId, attempt: u32, ended: AttemptResult) {
-        let event = self.core.borrow_mut().calls.outcome(self.clock.now(), call, attempt, ended);
-        event.into_iter().for_each(|event| self.event(event));
+        state.calls.close(call, None);
+        drop(state);
+        self.notify_balancer(Event::ClientDisconnected { call });
+        self.cancel_attempts(call);
+    }
+
+    fn cancel_attempts(&self, call: CallId) {
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        for number in 0..state.calls.attempt_count(call) {
+            let id = AttemptId { call, number };
+            let event = state.calls.end_attempt(self.clock.now(), id, Outcome::Cancelled.into());
+            state.events.extend(event);
+        }
+        self.process_events(state);
+        state.calls.remove_if_finished(call);
     }
 
-    /// News of the list.
+    /// Takes an update of the endpoint list in. Connections to endpoints that have changed or left are closed.
     pub fn update_endpoints(&self, kind: ListUpdateKind, list: &[EndpointEntry]) {
-        let (entries, outdated) = self.core.borrow_mut().hosts.update(kind, list);
-        for OutdatedConnections { endpoint: server, generation } in outdated {
-            self.pool.close_outdated(server, generation);
+        let update = self.state.borrow_mut().endpoints.update(kind, list);
+        for outdated in update.outdated {
+            self.pool.close_outdated(outdated.endpoint, outdated.generation);
         }
-        let count = |state| entries.iter().filter(|e| e.state == state).count();
-        let (up, draining, gone) =
-            (count(EndpointState::Ready), count(EndpointState::Draining), count(EndpointState::Removed));
-        // Most watches end without news.
-        if kind != ListUpdateKind::Delta || !entries.is_empty() {
-            info!(?kind, up, draining, gone, "list taken");
+        // Most watches end without a change.
+        if kind != ListUpdateKind::Delta || !update.changed.is_empty() {
+            log_update(kind, &update.changed);
         }
-        self.event(Event::EndpointList { kind, endpoints: entries });
+        self.notify_balancer(Event::EndpointList { kind, endpoints: update.changed });
     }
 
-    /// The list as it is now, of this version.
+    /// The endpoint list at this moment, under this version.
     pub fn endpoint_list(&self, index: u64) -> EndpointList {
-        self.core.borrow().hosts.list(index)
+        self.state.borrow().endpoints.list(index)
     }
 
-    /// Whether lists are asked for, and the rules' figures, by the settings in force.
+    /// Whether the settings in force have the endpoint list polled, and the parameters of their rules.
     pub fn list_rules(&self) -> (bool, Rules) {
-        let core = self.core.borrow();
-        (core.settings.polls_endpoint_list, core.settings.rules)
+        let state = self.state.borrow();
+        (state.settings.polls_endpoint_list, state.settings.rules)
     }
 
-    /// Asking for the list failed: the module says when to ask again. What it said before is overtaken.
+    /// Records that a poll of the endpoint list has failed: the balancer decides when to poll again. A request for a
+    /// poll that came before is void.
     pub fn fail_endpoint_poll(&self) {
-        self.wants_list.set(false);
-        self.event(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
+        self.is_poll_requested.set(false);
+        self.notify_balancer(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
     }
 
-    fn event(&self, event: Event) {
-        let mut core = self.core.borrow_mut();
-        core.events.push_back(event);
-        self.run(&mut core);
+    fn notify_balancer(&self, event: Event) {
+        let mut state = self.state.borrow_mut();
+        state.events.push_back(event);
+        self.process_events(&mut state);
     }
 
-    /// Hands the events to the module in their order and carries out what it says; an action may bring a
-    /// further event at once, so this goes on until none is left.
-    fn run(&self, core: &mut Core) {
-        while let Some(event) = core.events.pop_front() {
+    /// Hands the events to the balancer in their order and executes its actions; an action may cause a further event
+    /// at once, so this goes on until none is left.
+    fn process_events(&self, state: &mut DispatcherState) {
+        while let Some(event) = state.events.pop_front() {
             let now = self.clock.now();
-            let mut actions = std::mem::take(&mut core.actions);
-            let touched = match event {
+            let ended_attempt_of = match event {
                 Event::AttemptEnded { call, .. } => Some(call),
                 _ => None,
             };
-            core.balancer.handle(now, event, &mut actions);
+            let mut actions = std::mem::take(&mut state.actions);
+            state.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(core, now, action);
+                self.execute(state, now, action);
             }
-            core.actions = actions;
-            if let Some(call) = touched {
-                core.calls.tidy(call);
+            state.actions = actions;
+            if let Some(call) = ended_attempt_of {
+                state.calls.remove_if_finished(call);
             }
         }
-        // One that sleeps for something that is not due any more wakes once in vain, which costs less than waking it
-        // for each timer that goes.
-        let sooner = |next: Micros| self.asleep_until.get().is_none_or(|until| next < until);
-        if core.calls.next_due().is_some_and(sooner) {
-            self.timer_sooner.notify_one();
+        self.wake_timers_if_earlier(state.calls.next_deadline());
+    }
+
+    /// Wakes the timer task if it sleeps beyond this moment. A task that sleeps for a timer that has since been removed
+    /// wakes once in vain, which costs less than waking it for each removal.
+    fn wake_timers_if_earlier(&self, next_deadline: Option<Micros>) {
+        let Some(next) = next_deadline else { return };
+        if self.timers_asleep_until.get().is_none_or(|until| next < until) {
+            self.earlier_timer.notify_one();
         }
     }
 
-    fn act(&self, core: &mut Core, now: Micros, action: Action) {
+    fn execute(&self, state: &mut DispatcherState, now: Micros, action: Action) {
         match action {
-            Action::Send { call, endpoint: server, timeout_at: until, send_before: by } => {
-                self.send(core, now, (call, server), (until, by))
+            Action::Send { call, endpoint, timeout_at, send_before } => {
+                let limits = AttemptLimits { timeout_at, start_by: send_before };
+                self.send_attempt(state, now, call, endpoint, limits);
             }
             Action::Reject { call, retry_after } => {
-                core.calls.close(call, Some(FinalResponse::Rejected { retry_after }));
+                state.calls.close(call, Some(FinalResponse::Rejected { retry_after }));
             }
-            Action::Fail { call } => core.calls.close(call, Some(FinalResponse::Failed)),
+            Action::Fail { call } => state.calls.close(call, Some(FinalResponse::Failed)),
             Action::Cancel { call, attempt } => {
-                core.events.extend(core.calls.outcome(now, call, attempt, Outcome::Cancelled.into()));
+                let id = AttemptId { call, number: attempt };
+                state.events.extend(state.calls.end_attempt(now, id, Outcome::Cancelled.into()));
             }
-            Action::SetTimer { after } => core.calls.wake(now.saturating_add(after)),
+            Action::SetTimer { after } => state.calls.set_balancer_timer(now.saturating_add(after)),
             Action::PollEndpointList => {
-                self.wants_list.set(true);
-                self.subscribe.notify_one();
+                self.is_poll_requested.set(true);
+                self.poll_requested.notify_one();
             }
-            // Where the site allows no probes the module asks for none.
-            Action::PollLoad { endpoint: server } => core.events.push_back(Event::LoadPolled {
-                endpoint: server,
+            // Load polls are not implemented here; the balancer asks for none where the site allows none.
+            Action::PollLoad { endpoint } => state.events.push_back(Event::LoadPolled {
+                endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
                 load: LoadReport::default(),
             }),
-            Action::Log(note) => core.tell(note),
+            Action::Log(decision) => state.log_decision(decision),
         }
     }
 
-    fn send(
+    fn send_attempt(
         &self,
-        core: &mut Core,
+        state: &mut DispatcherState,
         now: Micros,
-        (id, server): (CallId, EndpointId),
-        (until, by): (Option<Micros>, Option<Micros>),
+        call: CallId,
+        endpoint: EndpointId,
+        limits: AttemptLimits,
     ) {
-        let Some(outgoing) = core.calls.send(now, id, server, (until, by)) else { return };
-        let number = outgoing.number;
-        let target =
-            core.hosts.get(server).filter(|h| h.state == EndpointState::Ready && outgoing.wanted).and_then(
-                |h| Some(Target { endpoint: server, address: h.address?, generation: h.generation }),
-            );
-        let Some(target) = target else {
-            core.events.extend(core.calls.outcome(now, id, number, Outcome::NotSent.into()));
+        let Some(outgoing) = state.calls.add_attempt(now, call, endpoint, limits) else { return };
+        let id = outgoing.id;
+        let Some(target) = state.target(endpoint, &outgoing) else {
+            state.events.extend(state.calls.end_attempt(now, id, Outcome::NotSent.into()));
             return;
         };
-        let driver = self.clone();
+        let dispatcher = self.clone();
         let task = tokio::task::spawn_local(async move {
-            // An attempt whose task dies may have run; without this its call would wait for its deadline.
-            let mut guard = Guard { driver, call: id, attempt: number, ended: Some(Outcome::Unknown.into()) };
-            let driver = &guard.driver;
-            let (timed, request) = (outgoing.timed(), &outgoing.request);
-            let left = || {
-                if timed {
-                    outgoing.until.saturating_sub(driver.clock.now())
-                } else {
-                    request.client_timeout
-                }
-            };
-            let begin = |begun| driver.begin(id, number, begun);
-            let may_start = || {
-                if request.client.gone() {
-                    driver.disconnect_client(id);
-                }
-                driver.may_start(id, number, target.generation)
+            let mut guard = AttemptGuard::new(dispatcher, id);
+            let owner = DispatchedAttempt {
+                dispatcher: &guard.dispatcher,
+                outgoing: &outgoing,
+                generation: target.generation,
             };
-            let ended = attempt(&driver.pool, target, request, left, may_start, begin).await;
-            guard.ended = Some(ended);
+            let result = attempt(&owner.dispatcher.pool, target, &outgoing.request, &owner).await;
+            guard.result = Some(result);
         });
-        core.calls.under_way(id, number, task.abort_handle());
-    }
-
-    /// Gives up what is still out for a call of which nothing more is wanted.
-    fn drop_attempts(&self, call: CallId) {
-        let mut core = self.core.borrow_mut();
-        let core = &mut *core;
-        for attempt in 0..core.calls.attempts(call) {
-            core.events.extend(core.calls.outcome(
-                self.clock.now(),
-                call,
-                attempt,
-                Outcome::Cancelled.into(),
-            ));
+        state.calls.set_task(id, task.abort_handle());
+    }
+
+    /// Records the outcome of an attempt that has ended by itself. Only the first outcome of an attempt counts.
+    fn end_attempt(&self, id: AttemptId, result: AttemptResult) {
+        let event = self.state.borrow_mut().calls.end_attempt(self.clock.now(), id, result);
+        if let Some(event) = event {
+            self.notify_balancer(event);
         }
-        self.run(core);
-        core.calls.tidy(call);
     }
 
-    /// Serves the timers, for as long as the program runs.
+    /// Fires the timers, for as long as the process runs.
     pub async fn run_timers(&self) {
         loop {
-            let next = self.core.borrow().calls.next_due();
-            self.asleep_until.set(next);
+            let next = self.state.borrow().calls.next_deadline();
+            self.timers_asleep_until.set(next);
             match next {
-                Some(at) if at <= self.clock.now() => self.due(),
+                Some(at) if at <= self.clock.now() => self.fire_expired_timers(),
                 Some(at) => {
                     tokio::select! {
                         () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                        () = self.timer_sooner.notified() => {}
+                        () = self.earlier_timer.notified() => {}
                     }
                 }
-                None => self.timer_sooner.notified().await,
+                None => self.earlier_timer.notified().await,
             }
         }
     }
 
-    fn due(&self) {
-        let mut core = self.core.borrow_mut();
+    fn fire_expired_timers(&self) {
+        let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        while let Some(event) = core.calls.due(now) {
-            core.events.extend(event);
-            self.run(&mut core);
+        while let Some(timer) = state.calls.expire_next(now) {
+            if let ExpiredTimer::Notify(event) = timer {
+                state.events.push_back(event);
+            }
+            self.process_events(&mut state);
         }
     }
 }
 
-impl Core {
-    /// Tells whoever is on call what the module notes, under the names that people know.
-    fn tell(&self, note: DecisionEvent) {
-        let name = |server| self.hosts.name(server);
-        match note {
-            DecisionEvent::AllEndpointsEjected => warn!(reason = "no server is up", "refusing"),
-            DecisionEvent::EndpointEjected { endpoint: server, outcome } => {
-                warn!(server = name(server), ?outcome, "set aside");
-            }
-            DecisionEvent::EndpointReadmitted { endpoint: server } => {
-                info!(server = name(server), "taken back")
-            }
-            DecisionEvent::ClassFailing { endpoint: server, class } => {
-                warn!(server = name(server), class = self.classes.name(class), "fails a class");
-            }
-        }
-    }
+fn log_update(kind: ListUpdateKind, changed: &[EndpointInfo]) {
+    let count = |state| changed.iter().filter(|endpoint| endpoint.state == state).count();
+    let ready = count(EndpointState::Ready);
+    let draining = count(EndpointState::Draining);
+    let removed = count(EndpointState::Removed);
+    info!(?kind, ready, draining, removed, "endpoint list updated");
 }
 
-/// Reports the outcome of an attempt when its task ends, however that comes about.
-struct Guard {
-    driver: Dispatcher,
-    call: CallId,
-    attempt: u32,
-    ended: Option<AttemptResult>,
+/// An attempt in its task, as the upstream side sees its owner.
+struct DispatchedAttempt<'a> {
+    dispatcher: &'a Dispatcher,
+    outgoing: &'a OutgoingAttempt,
+    /// The generation of its endpoint at the moment of sending.
+    generation: u64,
 }
 
-impl Drop for Guard {
-    fn drop(&mut self) {
-        if let Some(ended) = self.ended.take() {
-            self.driver.ended(self.call, self.attempt, ended);
+impl AttemptOwner for DispatchedAttempt<'_> {
+    fn remaining_time(&self) -> Micros {
+        if self.outgoing.has_timeout() {
+            self.outgoing.timeout_at.saturating_sub(self.dispatcher.clock.now())
+        } else {
+            self.outgoing.request.client_timeout
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::body::MemoryLimit;
-    use crate::descriptors::Descriptors;
-    use crate::downstream::connection::ClientPresence;
-    use bytes::Bytes;
-    use hyper::http::{HeaderMap, Method, Uri};
-
-    fn driver() -> Dispatcher {
-        let clock = Clock::start();
-        let transport = TransportSettings {
-            max_open_requests: 9,
-            idle_connection_timeout: 60_000_000,
-            connect_timeout: 9_000_000,
-            handshake_charge: 0.0,
-            shortest_latency_objective: 400_000,
-        };
-        let figures = Rc::<Metrics>::default();
-        let pool = ConnectionPool::new(
-            transport,
-            1,
-            Descriptors::new(9),
-            clock,
-            Rc::clone(&figures),
-            MemoryLimit::new(64),
-        );
-        let facts = ParsedSettings {
-            settings: Settings::default(),
-            class_names: vec![],
-            tenant_names: vec![],
-            transport,
-        };
-        Dispatcher::new(7, facts, clock, pool, figures)
-    }
-
-    fn request() -> Request {
-        let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
-        let (body, time) = (Bytes::new(), 60_000_000);
-        Request {
-            method: Method::GET,
-            uri,
-            headers,
-            body,
-            upload: None,
-            length: Some(0),
-            client_timeout: time,
-            client: ClientPresence::default(),
+    fn may_start(&self) -> bool {
+        let id = self.outgoing.id;
+        if self.outgoing.request.client.gone() {
+            self.dispatcher.disconnect_client(id.call);
         }
+        let now = self.dispatcher.clock.now();
+        self.dispatcher.state.borrow_mut().may_start(now, id, self.generation)
     }
 
-    /// More than the settings allow are turned away before the module sees them.
-    #[tokio::test(flavor = "current_thread")]
-    async fn calls_are_bounded_and_a_client_that_leaves_makes_room() {
-        let driver = driver();
-        let intake = || CallAttributes { class: ClassId(0), tenant: None, is_retry: false };
-        let held: Vec<_> = (0..9).map(|_| driver.start_call(intake(), request()).expect("room")).collect();
-        assert!(driver.start_call(intake(), request()).is_none());
-        driver.disconnect_client(held[3].0);
-        assert!(driver.start_call(intake(), request()).is_some());
+    fn start_response(&self, response: StreamingResponse) -> bool {
+        let event = self.dispatcher.state.borrow_mut().calls.start_response(self.outgoing.id, response);
+        let Some(event) = event else { return false };
+        self.dispatcher.notify_balancer(event);
+        true
     }
 }
+
+/// Reports the outcome of an attempt when its task ends. If the task dies the attempt may have run: without a report
+/// its call would wait for its deadline.
+struct AttemptGuard {
+    dispatcher: Dispatcher,
+    id: AttemptId,
+    result: Option<AttemptResult>,
+}
+
+impl AttemptGuard {
+    fn new(dispatcher: Dispatcher, id: AttemptId) -> Self {
+        AttemptGuard { dispatcher, id, result: Some(Outcome::Unknown.into()) }
+    }
+}
+
+impl Drop for AttemptGuard {
+    fn drop(&mut self) {
+        if let Some(result) = self.result.take() {
+            self.dispatcher.end_attempt(self.id, result);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/proxy/src/dispatcher/state.rs
@@ -0,0 +1,105 @@
+//! What the dispatcher owns: the balancer, the calls, the endpoints, and the settings in force.
+
+use crate::call_table::{AttemptId, CallTable, OutgoingAttempt};
+use crate::classes::Classes;
+use crate::endpoints::Endpoints;
+use crate::metrics::{Metrics, MetricsReport};
+use crate::upstream::pool::Target;
+use oakport_core::settings_wire::{ParsedSettings, TransportSettings};
+use oakport_core::{Action, Balancer, DecisionEvent, EndpointId, EndpointState, Event, Micros, Settings};
+use std::collections::VecDeque;
+use std::rc::Rc;
+use tracing::{info, warn};
+
+/// The state of the dispatcher.
+pub struct DispatcherState {
+    pub balancer: Balancer,
+    pub metrics: Rc<Metrics>,
+    pub classes: Classes,
+    pub endpoints: Endpoints,
+    pub calls: CallTable,
+    /// The settings in force, with the number of client proxies that they state.
+    pub settings: Settings,
+    pub transport: TransportSettings,
+    /// Client proxies that the members of the group count; it takes precedence over the number in the settings.
+    pub live_proxy_count: Option<u32>,
+    /// New requests are accepted.
+    pub is_accepting: bool,
+    /// Events that the balancer has yet to handle.
+    pub events: VecDeque<Event>,
+    /// A buffer for the actions of one event.
+    pub actions: Vec<Action>,
+}
+
+impl DispatcherState {
+    pub fn new(seed: u64, parsed: ParsedSettings, metrics: Rc<Metrics>) -> Self {
+        let transport = parsed.transport;
+        let (classes, settings) = Classes::new(parsed);
+        DispatcherState {
+            balancer: Balancer::new(seed, settings.clone()),
+            calls: CallTable::new(Rc::clone(&metrics)),
+            metrics,
+            classes,
+            endpoints: Endpoints::default(),
+            settings,
+            transport,
+            live_proxy_count: None,
+            is_accepting: false,
+            events: VecDeque::new(),
+            actions: Vec::new(),
+        }
+    }
+
+    /// The settings in force, with the number of client proxies that counts.
+    pub fn effective_settings(&self) -> Settings {
+        let proxy_count = self.live_proxy_count.unwrap_or(self.settings.proxy_count);
+        Settings { proxy_count, ..self.settings.clone() }
+    }
+
+    /// The metrics at this moment.
+    pub fn report(&self, now: Micros) -> MetricsReport {
+        let listed = self.endpoints.listed().count();
+        let unavailable = self.balancer.unavailable_endpoints(now);
+        self.metrics.report(self.classes.names(), self.calls.open_count(), (listed, unavailable))
+    }
+
+    /// Where an attempt can go. `None` if its endpoint accepts no calls or the attempt is no longer wanted.
+    pub fn target(&self, endpoint: EndpointId, attempt: &OutgoingAttempt) -> Option<Target> {
+        let known = self.endpoints.get(endpoint)?;
+        if known.state != EndpointState::Ready || !attempt.is_wanted {
+            return None;
+        }
+        Some(Target { endpoint, address: known.address?, generation: known.generation })
+    }
+
+    /// Whether the first byte of an attempt may be written now, on a connection of this generation.
+    pub fn may_start(&mut self, now: Micros, attempt: AttemptId, generation: u64) -> bool {
+        let endpoints = &self.endpoints;
+        let is_ready = |endpoint| {
+            endpoints
+                .get(endpoint)
+                .is_some_and(|known| known.state == EndpointState::Ready && known.generation == generation)
+        };
+        self.calls.may_start(now, attempt, is_ready)
+    }
+
+    /// Writes a decision of the balancer to the log, with the names of endpoints and classes.
+    pub fn log_decision(&self, decision: DecisionEvent) {
+        let name = |endpoint| self.endpoints.name(endpoint);
+        match decision {
+            DecisionEvent::AllEndpointsEjected => {
+                warn!(reason = "no endpoint is available", "rejecting calls")
+            }
+            DecisionEvent::EndpointEjected { endpoint, outcome } => {
+                warn!(endpoint = name(endpoint), ?outcome, "endpoint ejected");
+            }
+            DecisionEvent::EndpointReadmitted { endpoint } => {
+                info!(endpoint = name(endpoint), "endpoint readmitted");
+            }
+            DecisionEvent::ClassFailing { endpoint, class } => {
+                let class = self.classes.name(class);
+                warn!(endpoint = name(endpoint), class, "class failing at endpoint");
+            }
+        }
+    }
+}
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,159 +1,179 @@
-//! The hosts that discovery has named: their numbers, addresses and processes.
+//! Keeps the endpoints that discovery has named: their identifiers, addresses and processes.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 use oakport_core::{settings_wire, CellId, EndpointId, EndpointInfo, EndpointState, ListUpdateKind, Micros};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A host, and what discovery last told of it.
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// An endpoint as discovery last described it.
 #[derive(Debug)]
 pub struct Endpoint {
-    told: EndpointEntry,
+    entry: EndpointEntry,
+    /// `None` if no valid address is known.
     pub address: Option<SocketAddr>,
-    started: Micros,
+    /// When its process started, in Unix microseconds.
+    started_at: Micros,
+    /// Whether it accepts calls.
     pub state: EndpointState,
     /// Counts processes and addresses: connections of an earlier one are not used.
     pub generation: u64,
 }
 
-/// Connections to a host of generations before this one lead to what is not there any more.
+/// Connections to an endpoint of generations before this one must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutdatedConnections {
+    /// The endpoint.
     pub endpoint: EndpointId,
+    /// Its first generation that is not outdated.
     pub generation: u64,
 }
 
-/// All hosts ever named, by their numbers.
+/// What an update of the endpoint list has changed.
+#[derive(Debug, Default)]
+pub struct EndpointUpdate {
+    /// The entries for the balancer.
+    pub changed: Vec<EndpointInfo>,
+    /// Connections that must be closed.
+    pub outdated: Vec<OutdatedConnections>,
+}
+
+/// All endpoints ever named, by their identifiers.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    numbers: HashMap<String, EndpointId>,
-    hosts: Vec<Endpoint>,
+    ids: HashMap<String, EndpointId>,
+    endpoints: Vec<Endpoint>,
 }
 
 impl Endpoints {
-    pub fn get(&self, server: EndpointId) -> Option<&Endpoint> {
-        self.hosts.get(server.0 as usize)
+    /// The endpoint with this identifier.
+    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(id.0 as usize)
     }
 
-    /// The name by which people know it.
-    pub fn name(&self, server: EndpointId) -> &str {
-        self.get(server).map_or("?", |host| &host.told.name)
+    /// The name that discovery uses, `?` for an unknown endpoint.
+    pub fn name(&self, id: EndpointId) -> &str {
+        self.get(id).map_or("?", |endpoint| &endpoint.entry.name)
     }
 
-    /// Those that are in the list.
+    /// The endpoints that are in the list.
     pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
-        self.hosts.iter().filter(|host| host.state != EndpointState::Removed)
+        self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Removed)
     }
 
-    /// The list as it is now, of this version.
+    /// The complete list, under this version.
     pub fn list(&self, index: u64) -> EndpointList {
         EndpointList {
             index,
             snapshot: true,
-            endpoints: self.listed().map(|host| host.told.clone()).collect(),
+            endpoints: self.listed().map(|endpoint| endpoint.entry.clone()).collect(),
         }
     }
 
-    /// Takes news of the list in: what the module is told of it, and whose connections are outdated.
-    pub fn update(
-        &mut self,
-        kind: ListUpdateKind,
-        list: &[EndpointEntry],
-    ) -> (Vec<EndpointInfo>, Vec<OutdatedConnections>) {
-        let (mut entries, mut outdated) = (Vec::new(), Vec::new());
+    /// Takes an update of the list in. A complete list also removes the endpoints that it does not name.
+    pub fn update(&mut self, kind: ListUpdateKind, list: &[EndpointEntry]) -> EndpointUpdate {
+        let mut update = EndpointUpdate::default();
         if matches!(kind, ListUpdateKind::Snapshot | ListUpdateKind::Cached) {
-            let named: HashSet<&str> = list.iter().map(|e| e.name.as_str()).collect();
-            for (host, number) in self.hosts.iter_mut().zip(0..) {
-                if host.state != EndpointState::Removed && !named.contains(host.told.name.as_str()) {
-                    host.state = EndpointState::Removed;
-                    host.generation += 1;
-                    outdated.push(OutdatedConnections {
-                        endpoint: EndpointId(number),
-                        generation: host.generation,
-                    });
-                }
-            }
+            update.outdated = self.remove_unlisted(list);
         }
-        for endpoint in list {
-            let state = match endpoint.status.as_str() {
-                "up" => EndpointState::Ready,
-                "removed" => EndpointState::Removed,
-                // Draining, and what is not known: nothing new goes there.
-                _ => EndpointState::Draining,
-            };
-            let (next, started) = (self.hosts.len() as u32, endpoint.since_ms.saturating_mul(1_000));
-            let server = *self.numbers.entry(endpoint.name.clone()).or_insert(EndpointId(next));
-            if server.0 == next {
-                self.hosts.push(Endpoint {
-                    told: endpoint.clone(),
-                    address: None,
-                    started,
-                    state,
-                    generation: 0,
-                });
+        for entry in list {
+            let id = self.id_of(entry);
+            let Some(endpoint) = self.endpoints.get_mut(id.0 as usize) else { continue };
+            if endpoint.update(entry) {
+                update.outdated.push(OutdatedConnections { endpoint: id, generation: endpoint.generation });
             }
-            let Some(host) = self.hosts.get_mut(server.0 as usize) else { continue };
-            let address =
-                endpoint.address.parse().ok().or(host.address.filter(|_| state != EndpointState::Ready));
-            // Nothing can go to a host of which no address is told.
-            let state = if state == EndpointState::Ready && address.is_none() {
-                EndpointState::Draining
-            } else {
-                state
-            };
-            // The same name with a new start is a new process, and a new address another way to it: what is
-            // open leads to the old one.
-            if state != EndpointState::Ready || address != host.address || started != host.started {
-                host.generation += 1;
-                outdated.push(OutdatedConnections { endpoint: server, generation: host.generation });
+            update.changed.push(endpoint.info(id));
+        }
+        update
+    }
+
+    fn remove_unlisted(&mut self, list: &[EndpointEntry]) -> Vec<OutdatedConnections> {
+        let listed: HashSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
+        let mut outdated = Vec::new();
+        for (number, endpoint) in (0..).zip(&mut self.endpoints) {
+            if endpoint.state != EndpointState::Removed && !listed.contains(endpoint.entry.name.as_str()) {
+                endpoint.state = EndpointState::Removed;
+                endpoint.generation += 1;
+                let id = EndpointId(number);
+                outdated.push(OutdatedConnections { endpoint: id, generation: endpoint.generation });
             }
-            (host.state, host.address, host.started) = (state, address, started);
-            host.told = endpoint.clone();
-            entries.push(EndpointInfo {
-                id: server,
-                state,
-                zone: settings_wire::zone_id(&endpoint.zone),
-                cell: CellId(endpoint.group),
-                machine_type: settings_wire::machine_type_id(&endpoint.kind),
-                weight: endpoint.weight,
-                started_at: started,
-            });
         }
-        (entries, outdated)
+        outdated
+    }
+
+    /// The identifier of an entry's endpoint, which is added if its name is new.
+    fn id_of(&mut self, entry: &EndpointEntry) -> EndpointId {
+        let next = EndpointId(self.endpoints.len() as u32);
+        let id = *self.ids.entry(entry.name.clone()).or_insert(next);
+        if id == next {
+            self.endpoints.push(Endpoint::new(entry));
+        }
+        id
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A host's state, address and start as told, one after another, and how often its connections are given up.
-    #[test]
-    fn connections_are_given_up_when_they_lead_to_what_is_not_there_any_more() {
-        let told = |status: &str, address: &str, since_ms: u64| {
-            let text = format!(
-                r#"[{{"name":"s","address":"{address}","status":"{status}","since_ms":{since_ms}}}]"#
-            );
-            serde_json::from_str::<Vec<EndpointEntry>>(&text).expect("a list")
-        };
-        let (one, two) = ("127.0.0.1:9", "127.0.0.1:10");
-        let mut hosts = Endpoints::default();
-        for (status, address, since, state, given_up) in [
-            ("up", one, 5, EndpointState::Ready, 1),
-            ("up", one, 5, EndpointState::Ready, 0),
-            ("up", two, 5, EndpointState::Ready, 1),
-            ("up", two, 6, EndpointState::Ready, 1),
-            ("draining", "", 6, EndpointState::Draining, 1),
-            ("odd", two, 6, EndpointState::Draining, 1),
-            ("up", "nowhere", 6, EndpointState::Draining, 1),
-            ("removed", two, 6, EndpointState::Removed, 1),
-        ] {
-            let (entries, outdated) = hosts.update(ListUpdateKind::Delta, &told(status, address, since));
-            assert_eq!((entries[0].state, outdated.len()), (state, given_up), "{status} {address} {since}");
-            assert_eq!(entries[0].started_at, since * 1_000, "on the clock's own scale");
+impl Endpoint {
+    fn new(entry: &EndpointEntry) -> Self {
+        Endpoint {
+            entry: entry.clone(),
+            address: None,
+            started_at: started_at(entry),
+            state: listed_state(entry),
+            generation: 0,
+        }
+    }
+
+    /// Takes an entry in. Returns whether the open connections are outdated: the endpoint accepts no calls, or the same
+    /// name with a new start is a new process, or its address is new.
+    fn update(&mut self, entry: &EndpointEntry) -> bool {
+        let mut state = listed_state(entry);
+        let started_at = started_at(entry);
+        // One that finishes its calls keeps its last address.
+        let last_address = self.address.filter(|_| state != EndpointState::Ready);
+        let address = entry.address.parse().ok().or(last_address);
+        if state == EndpointState::Ready && address.is_none() {
+            // Nothing can be sent without an address.
+            state = EndpointState::Draining;
+        }
+        let is_outdated =
+            state != EndpointState::Ready || address != self.address || started_at != self.started_at;
+        if is_outdated {
+            self.generation += 1;
+        }
+        self.state = state;
+        self.address = address;
+        self.started_at = started_at;
+        self.entry = entry.clone();
+        is_outdated
+    }
+
+    /// The entry for the balancer.
+    fn info(&self, id: EndpointId) -> EndpointInfo {
+        EndpointInfo {
+            id,
+            state: self.state,
+            zone: settings_wire::zone_id(&self.entry.zone),
+            cell: CellId(self.entry.group),
+            machine_type: settings_wire::machine_type_id(&self.entry.kind),
+            weight: self.entry.weight,
+            started_at: self.started_at,
         }
-        hosts.update(ListUpdateKind::Snapshot, &told("up", one, 7));
-        let (entries, outdated) = hosts.update(ListUpdateKind::Snapshot, &[]);
-        assert_eq!((entries.len(), outdated.len(), hosts.listed().count()), (0, 1, 0), "left out: gone");
     }
 }
+
+/// The state that an entry names. A state that is not known counts as draining: nothing new is sent.
+fn listed_state(entry: &EndpointEntry) -> EndpointState {
+    match entry.status.as_str() {
+        "up" => EndpointState::Ready,
+        "removed" => EndpointState::Removed,
+        _ => EndpointState::Draining,
+    }
+}
+
+fn started_at(entry: &EndpointEntry) -> Micros {
+    entry.since_ms.saturating_mul(MICROS_PER_MILLI)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -7,26 +7,33 @@
 use oakport_core::{ClassId, Micros};
 use std::rc::Rc;
 
-/// A request as the client sent it, kept while it may still go to a host.
+/// A request as the client sent it, buffered while an attempt may still need it.
 pub struct Request {
+    /// The client's method.
     pub method: Method,
+    /// The client's target.
     pub uri: Uri,
+    /// The client's headers, those of its connection included.
     pub headers: HeaderMap,
-    /// The body, or the beginning of one that is too large to be held.
+    /// The body, or the beginning of one that is too large to be buffered.
     pub body: Bytes,
+    /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// The length of the whole body, where its head tells it.
+    /// The length of the complete body in bytes, if its head states it.
     pub length: Option<u64>,
-    /// How long the client waits for the answer once all is there.
+    /// How long the client waits for the answer once the request is complete, in microseconds.
     pub client_timeout: Micros,
-    /// Whether it still does.
+    /// Whether the client is still connected.
     pub client: ClientPresence,
 }
 
-/// What the module is told of a request.
+/// What the balancer needs to know of a request.
 #[derive(Debug)]
 pub struct CallAttributes {
+    /// Its class.
     pub class: ClassId,
+    /// The name of its tenant, if it states one.
     pub tenant: Option<String>,
+    /// The client says that this is a retry.
     pub is_retry: bool,
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -1,4 +1,5 @@
-//! What an attempt brings and what the client gets, as they pass between the parts of the proxy.
+//! The response of an endpoint to an attempt, and the final answer to the client, as they pass between the parts of
+//! the proxy.
 
 use crate::body::BodyChunk;
 use bytes::Bytes;
@@ -6,43 +7,64 @@
 use oakport_core::{LoadReport, Micros, Outcome};
 use tokio::sync::mpsc;
 
-/// The one final answer.
+/// The final answer to a call; each call gets one.
 #[derive(Debug)]
 pub enum FinalResponse {
+    /// A complete response of an endpoint.
     Served {
+        /// The complete body.
         body: Bytes,
+        /// The endpoint's `Content-Type`.
         content_type: Option<HeaderValue>,
     },
-    /// A large one that begins.
+    /// A response that is streamed to the client while it arrives.
     Streaming(StreamingResponse),
+    /// The call was shed; the client may safely retry it.
     Rejected {
+        /// After how long the client should retry, in microseconds.
         retry_after: Micros,
     },
+    /// The call failed; it may have been executed.
     Failed,
-    /// The time was up before the module had ended the call.
+    /// The client's time was up before the balancer had ended the call.
     DeadlineExceeded,
 }
 
-/// A large answer that begins.
+/// A response that is streamed to the client while it arrives.
 #[derive(Debug)]
 pub struct StreamingResponse {
+    /// The beginning of the body, as far as it was buffered.
     pub first_chunk: Bytes,
+    /// The rest of the body, which ends with [`BodyChunk::End`].
     pub chunks: mpsc::Receiver<BodyChunk>,
+    /// The length of the complete body in bytes, if its head states it.
     pub length: Option<u64>,
+    /// The endpoint's `Content-Type`.
+    pub content_type: Option<HeaderValue>,
+}
+
+/// A response whose body has arrived completely.
+#[derive(Debug)]
+pub struct CompleteResponse {
+    /// The complete body.
+    pub body: Bytes,
+    /// The endpoint's `Content-Type`.
     pub content_type: Option<HeaderValue>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
+    /// How it ended.
     pub outcome: Outcome,
+    /// The endpoint's load report.
     pub load: LoadReport,
-    /// The whole body of a served answer, and its type. None also for one that was passed on by pieces.
-    pub served: Option<(Bytes, Option<HeaderValue>)>,
+    /// The response, if it was served and complete; `None` also for one that was streamed.
+    pub response: Option<CompleteResponse>,
 }
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        AttemptResult { outcome, load: LoadReport::default(), served: None }
+        AttemptResult { outcome, load: LoadReport::default(), response: None }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/attempt/tests.rs
@@ -0,0 +1,91 @@
+//! Attempts at a stub endpoint.
+
+use super::*;
+use crate::body::MemoryLimit;
+use crate::clock::Clock;
+use crate::descriptors::Descriptors;
+use crate::downstream::connection::ClientPresence;
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::http::{Method, Uri};
+use oakport_core::settings_wire::TransportSettings;
+use oakport_core::{EndpointId, LoadReport};
+use std::io::{Read, Write};
+use std::net::TcpListener;
+
+struct StubOwner {
+    may_start: bool,
+}
+
+impl AttemptOwner for StubOwner {
+    fn remaining_time(&self) -> Micros {
+        1_000
+    }
+
+    fn may_start(&self) -> bool {
+        self.may_start
+    }
+
+    fn start_response(&self, _: StreamingResponse) -> bool {
+        false
+    }
+}
+
+/// One attempt at a stub that reads a little and answers `text`.
+fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("its address");
+    std::thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        if stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {
+            stream.write_all(text.as_bytes()).expect("an open connection");
+        }
+    });
+    let transport = TransportSettings {
+        max_open_requests: 9,
+        idle_connection_timeout: 60_000_000,
+        connect_timeout: Duration::from_secs(9).as_micros() as Micros,
+        handshake_charge: 0.0,
+        shortest_latency_objective: 400_000,
+    };
+    let pool = ConnectionPool::new(
+        transport,
+        1,
+        Descriptors::new(9),
+        Clock::start(),
+        Rc::default(),
+        MemoryLimit::new(64),
+    );
+    let target = Target { endpoint: EndpointId(0), address, generation: 0 };
+    let request = Request {
+        method: Method::GET,
+        uri: Uri::from_static("/a"),
+        headers: HeaderMap::new(),
+        body: Bytes::new(),
+        upload: None,
+        length: Some(0),
+        client_timeout: 1_000,
+        client: ClientPresence::default(),
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(attempt(&pool, target, &request, &StubOwner { may_start }))
+}
+
+#[test]
+fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_protocols_example() {
+    let expected =
+        LoadReport { in_flight: Some(7.0), queued: Some(2.5), utilisation: Some(0.5), error_rate: Some(0.0) };
+    for text in [
+        "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
+    ] {
+        let result = attempt_at(text, true);
+        assert_eq!((result.outcome, result.load), (Outcome::Served, expected), "{text}");
+    }
+}
+
+#[test]
+fn an_attempt_that_may_no_longer_start_is_not_sent() {
+    let result = attempt_at("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
+    assert_eq!(result.outcome, Outcome::NotSent);
+}
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a host. It is driven by the attempt that uses it: there is no task behind it, so dropping the
-//! attempt closes it, and nothing is ever sent twice.
+//! One connection to an endpoint. It is driven by the attempt that uses it, without a task of its own: dropping the
+//! attempt closes the connection, and nothing is ever sent twice.
 
 use crate::body::{RequestStream, WriteProgress, MAX_CONNECTION_BUFFER_BYTES};
 use crate::descriptors::Descriptor;
@@ -16,10 +16,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream that notes whether all that was to be written has been handed to the socket.
+/// A stream that records whether all that was to be written has been passed to the socket.
 struct WatchedStream {
     socket: Socket,
-    handover: Rc<WriteProgress>,
+    write_progress: Rc<WriteProgress>,
 }
 
 impl AsyncRead for WatchedStream {
@@ -29,13 +29,13 @@
 }
 
 impl AsyncWrite for WatchedStream {
-    // Not vectored: head and body are laid together and go out in one write.
+    // Not vectored: head and body are joined and go out in one write.
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.socket.poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = written {
-            self.handover.emptied.set(count == buf.len());
+            self.write_progress.emptied.set(count == buf.len());
         }
-        self.handover.record_write(written.is_ready());
+        self.write_progress.record_write(written.is_ready());
         written
     }
 
@@ -48,87 +48,112 @@
     }
 }
 
+/// The descriptors that a connection occupies while it is open.
+pub struct ConnectionDescriptors {
+    _process: Descriptor,
+    _endpoint: Descriptor,
+}
+
+impl ConnectionDescriptors {
+    /// Of one descriptor among all sockets of the process and one among the connections to its endpoint.
+    pub fn new(process: Descriptor, endpoint: Descriptor) -> Self {
+        ConnectionDescriptors { _process: process, _endpoint: endpoint }
+    }
+}
+
+/// A connection to an endpoint.
 pub struct UpstreamConnection {
     pub sender: SendRequest<RequestStream>,
     connection: Connection<TokioIo<WatchedStream>, RequestStream>,
     socket: Socket,
-    /// The connection has ended, and is not to be polled again.
-    ended: bool,
-    pub handover: Rc<WriteProgress>,
-    /// When it may carry a request: nothing more of the last answer is to come by then.
-    pub ready: Micros,
+    /// The connection has ended, and must not be polled again.
+    has_ended: bool,
+    /// How far the request has been written.
+    pub write_progress: Rc<WriteProgress>,
+    /// When its reuse cooldown ends: nothing more of the last response is expected from then on.
+    pub reusable_at: Micros,
+    /// The generation of the endpoint that it leads to.
     pub generation: u64,
-    _places: [Descriptor; 2],
+    _descriptors: ConnectionDescriptors,
 }
 
 impl UpstreamConnection {
-    /// Makes a connection of a stream that has these places among the sockets counted. None: it has ended
-    /// already.
+    /// Makes a connection of a stream. `None` if it has already ended.
     pub async fn open(
         stream: TcpStream,
         generation: u64,
-        places: [Descriptor; 2],
-        ready: Micros,
+        descriptors: ConnectionDescriptors,
+        reusable_at: Micros,
     ) -> Option<Self> {
-        let (socket, handover) = (Socket::new(stream), Rc::<WriteProgress>::default());
-        let io = TokioIo::new(WatchedStream { socket: socket.clone(), handover: Rc::clone(&handover) });
-        let made = http1::Builder::new().max_buf_size(MAX_CONNECTION_BUFFER_BYTES).handshake(io).await;
-        let (sender, connection) = made.ok()?;
-        let ended = false;
-        let mut link = UpstreamConnection {
+        let socket = Socket::new(stream);
+        let write_progress = Rc::<WriteProgress>::default();
+        let watched = WatchedStream { socket: socket.clone(), write_progress: Rc::clone(&write_progress) };
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_CONNECTION_BUFFER_BYTES);
+        let (sender, connection) = builder.handshake(TokioIo::new(watched)).await.ok()?;
+        let mut opened = UpstreamConnection {
             sender,
             connection,
             socket,
-            ended,
-            handover,
-            ready,
+            has_ended: false,
+            write_progress,
+            reusable_at,
             generation,
-            _places: places,
+            _descriptors: descriptors,
         };
-        link.alive().await.then_some(link)
+        opened.is_alive().await.then_some(opened)
     }
 
-    /// Is it open and ready for a request? A connection that its host has closed shows it here.
-    pub async fn alive(&mut self) -> bool {
-        if !self.ended {
-            self.ended = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.connection).poll(cx).is_ready())).await;
+    /// Whether it is open and ready for a request. This notices a connection that its endpoint has closed.
+    pub async fn is_alive(&mut self) -> bool {
+        if !self.has_ended {
+            self.has_ended =
+                poll_fn(|cx| Poll::Ready(Pin::new(&mut self.connection).poll(cx).is_ready())).await;
         }
-        !self.ended && self.sender.is_ready()
+        !self.has_ended && self.sender.is_ready()
     }
 
-    /// Has anything come on it while it was idle? No answer is owed then: it is the connection's end, or what belongs to
-    /// an answer that was given before, and would be taken for the next one's.
-    pub fn stirs(&self) -> bool {
+    /// Whether anything has arrived while it was idle: the end of the connection, or a part of an earlier response that
+    /// would be taken for the next one.
+    pub fn has_unsolicited_data(&self) -> bool {
         self.socket.is_readable()
     }
 
-    /// Drives the connection until `work` on it is done. None: the connection ended first, and `work` needs it.
-    pub async fn drive<T>(
-        &mut self,
-        figures: &Metrics,
-        needs: bool,
-        work: impl Future<Output = T>,
-    ) -> Option<T> {
+    /// Drives the connection until `work`, which needs it, is done. `None` if the connection ended first.
+    pub async fn drive<T>(&mut self, metrics: &Metrics, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
-        poll_fn(|cx| {
-            // The first poll hands the request over, the second writes it, the third takes an answer that
-            // has come with the end of the connection.
-            if let Poll::Ready(done) = work.as_mut().poll(cx) {
-                return Poll::Ready(Some(done));
-            }
-            if !self.ended {
-                let whole = self.handover.is_complete();
-                self.ended = Pin::new(&mut self.connection).poll(cx).is_ready();
-                if self.handover.is_complete() && !whole {
-                    figures.count_attempt();
-                }
-            }
-            match work.as_mut().poll(cx) {
-                Poll::Ready(done) => Poll::Ready(Some(done)),
-                Poll::Pending if needs && self.ended => Poll::Ready(None),
-                Poll::Pending => Poll::Pending,
-            }
+        poll_fn(|cx| match self.poll_with(cx, metrics, work.as_mut()) {
+            Poll::Ready(output) => Poll::Ready(Some(output)),
+            Poll::Pending if self.has_ended => Poll::Ready(None),
+            Poll::Pending => Poll::Pending,
         })
         .await
     }
+
+    /// Drives the connection while it lasts until `work`, which does not need it, is done.
+    pub async fn drive_alongside<T>(&mut self, metrics: &Metrics, work: impl Future<Output = T>) -> T {
+        let mut work = pin!(work);
+        poll_fn(|cx| self.poll_with(cx, metrics, work.as_mut())).await
+    }
+
+    /// Polls the work, the connection and the work again: the first poll passes the request on, the second writes it,
+    /// the third takes a response that has arrived with the end of the connection.
+    fn poll_with<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        metrics: &Metrics,
+        mut work: Pin<&mut impl Future<Output = T>>,
+    ) -> Poll<T> {
+        if let Poll::Ready(output) = work.as_mut().poll(cx) {
+            return Poll::Ready(output);
+        }
+        if !self.has_ended {
+            let was_complete = self.write_progress.is_complete();
+            self.has_ended = Pin::new(&mut self.connection).poll(cx).is_ready();
+            if self.write_progress.is_complete() && !was_complete {
+                metrics.count_attempt();
+            }
+        }
+        work.poll(cx)
+    }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -2,5 +2,9 @@
 
 pub mod attempt;
 mod connection;
+mod endpoint_connections;
+mod limits;
+mod load_report;
 pub mod pool;
 mod preconnect;
+mod response;
--- a/crates/proxy/src/upstream/preconnect.rs
+++ b/crates/proxy/src/upstream/preconnect.rs
@@ -1,98 +1,109 @@
-//! How many connections to one host its calls need, so that one has rested when the next call comes.
+//! Estimates how many connections to an endpoint its calls need, so that one has ended its reuse cooldown when the next
+//! call comes.
 
 use oakport_core::Micros;
 
-/// A host may add to an answer some milliseconds after it (FLEET, "join+mass"; no page gives a figure). What
-/// comes while the connection is idle ends it; what came after the next request would be taken for that one's
-/// answer, and nothing in an answer tells whose it is (PROTOCOL). So a connection rests for this long, and by
-/// preference for twice as long.
-pub const REST: Micros = 10_000;
-/// The share of calls that may meet only connections that have yet to rest, before more are opened than the
-/// rate tells.
-const SHARE: f64 = 0.01;
-/// So few calls may come one after another by chance and tell of no rate: a new connection for those would be
-/// kept in vain.
-const FEW: f64 = 4.0;
-/// A spare is kept if it is expected to be needed so often in the time for which an idle one is kept: it is
-/// used in turn before it would be let go, so its one handshake serves for longer than that.
-const WORTH: f64 = 0.5;
-/// What came is forgotten over this time: so many rests that the share shows in them.
-const MEMORY: f64 = REST as f64 / SHARE;
+/// How long a connection is not used after a response; preferably it is idle for twice as long. An endpoint may write a
+/// second response some milliseconds after the first. What arrives on an idle connection ends it; what arrives after
+/// the next request would be taken for the response to that one.
+pub const REUSE_COOLDOWN_US: Micros = 10_000;
+/// The share of calls that may find only connections in their reuse cooldown before more are opened than the rate
+/// justifies.
+const MAX_COOLDOWN_WAIT_RATIO: f64 = 0.01;
+/// So many calls may come one after another by chance. They are no sustained rate: a new connection for them would stay
+/// unused.
+const MAX_BURST_CALLS: f64 = 4.0;
+/// A connection is justified if it is expected to be needed so many times in the time that an idle one stays pooled. It
+/// is used in turn before it expires, so one handshake serves for longer than that.
+const MIN_EXPECTED_USES: f64 = 0.5;
+/// Calls and waits decay with this time constant: long enough for the ratio of waits to show.
+const DEMAND_DECAY_US: f64 = REUSE_COOLDOWN_US as f64 / MAX_COOLDOWN_WAIT_RATIO;
 
-/// The calls of late to one host, fading.
+/// Exponentially decaying counts of the recent calls to one endpoint, or to all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionDemand {
-    /// When the first of them came after a silence.
-    since: Micros,
-    at: Micros,
+    /// When the first of the calls came after a silence.
+    active_since: Micros,
+    /// The moment of the counts.
+    updated_at: Micros,
     calls: f64,
+    /// Calls that found only connections in their reuse cooldown.
     waits: f64,
 }
 
 impl ConnectionDemand {
-    /// No call has come for so long that those before tell of no rate.
-    pub fn silent(&self, now: Micros) -> bool {
-        (now.saturating_sub(self.at) as f64) > MEMORY
+    /// Whether no call has come for so long that those before state no rate.
+    pub fn has_ceased(&self, now: Micros) -> bool {
+        (now.saturating_sub(self.updated_at) as f64) > DEMAND_DECAY_US
     }
 
-    /// A call comes.
-    pub fn call(&mut self, now: Micros) {
-        if self.silent(now) {
-            *self = ConnectionDemand { since: now, at: now, ..ConnectionDemand::default() };
+    /// Counts a call.
+    pub fn record_call(&mut self, now: Micros) {
+        if self.has_ceased(now) {
+            *self = ConnectionDemand { active_since: now, updated_at: now, ..ConnectionDemand::default() };
         }
-        self.fade(now);
+        self.decay(now);
         self.calls += 1.0;
     }
 
-    /// It met only connections that have yet to rest.
-    pub fn waits(&mut self, now: Micros) {
-        self.fade(now);
+    /// Counts a call that found only connections in their reuse cooldown.
+    pub fn record_wait(&mut self, now: Micros) {
+        self.decay(now);
         self.waits += 1.0;
     }
 
-    /// Whether too many waited, of the calls to one host: calls that come in trains, or a rate that has just
-    /// risen, need more than `need` says. So many waits cost less than a new connection.
-    pub fn exceeds(&self, cheap: f64) -> bool {
-        self.waits > cheap + SHARE * self.calls
+    /// Whether more calls than the permitted share have waited, beyond so many waits that cost less than a new
+    /// connection. Bursts, or a rate that has just risen, need more connections than the rate justifies.
+    pub fn waits_exceed(&self, affordable_waits: f64) -> bool {
+        self.waits > affordable_waits + MAX_COOLDOWN_WAIT_RATIO * self.calls
     }
 
-    /// Whether more came than one short train of calls, after which nobody may come.
-    pub fn is_a_rate(&self) -> bool {
-        self.calls > FEW + 1.0
+    /// Whether more calls came than one short burst, after which none may follow.
+    pub fn is_sustained(&self) -> bool {
+        self.calls > MAX_BURST_CALLS + 1.0
     }
 
-    /// Whether more waited than one short train makes wait, and than their share.
-    pub fn exceeds_a_train(&self) -> bool {
-        self.waits > FEW.max(SHARE * self.calls)
+    /// Whether more calls have waited than in one short burst, and than the permitted share.
+    pub fn waits_exceed_burst(&self) -> bool {
+        self.waits > MAX_BURST_CALLS.max(MAX_COOLDOWN_WAIT_RATIO * self.calls)
     }
 
-    /// The connections that the rate justifies, from 1 up to `most`. Of n of them the last is needed when n -
-    /// 1 rest, by Poisson's law; it is worth its handshake if that is to be expected once at least in the
-    /// time for which a connection that nobody needs is kept.
-    pub fn need(&self, kept_for: Micros, most: usize) -> usize {
-        if !self.is_a_rate() {
+    /// The number of connections that the rate of calls justifies, from 1 up to `max_connections`.
+    ///
+    /// Of n connections the last is needed when n - 1 are in their reuse cooldown; how many are follows Poisson's
+    /// distribution. It is justified if that is expected at least [`MIN_EXPECTED_USES`] times in `max_idle`
+    /// microseconds.
+    pub fn justified_connections(&self, max_idle: Micros, max_connections: usize) -> usize {
+        if !self.is_sustained() {
             return 1;
         }
-        // Without the last call, as it is with those before it that the next will meet.
-        let of_late = self.calls - 1.0;
-        // They may have begun only just now: then they came in less than the memory. As many as came of late
-        // are expected to come again, so that a train does not count as a rate that lasts.
-        let memory = 1.0 - (-(self.at.saturating_sub(self.since).max(REST) as f64) / MEMORY).exp();
-        let (resting, calls) = (of_late * SHARE / memory, of_late * kept_for as f64 / MEMORY);
-        let (mut exactly, mut fewer, mut need) = ((-resting).exp(), 0.0, 1);
-        while need < most {
-            fewer += exactly;
-            exactly *= resting / need as f64;
-            if calls * (1.0 - fewer) < WORTH {
+        // Without the last call: the next one will find only those before it.
+        let recent_calls = self.calls - 1.0;
+        // Calls that began only recently came in less than the decay time.
+        let observed = self.updated_at.saturating_sub(self.active_since).max(REUSE_COOLDOWN_US);
+        let observed_ratio = 1.0 - (-(observed as f64) / DEMAND_DECAY_US).exp();
+        let mean_cooling_down = recent_calls * MAX_COOLDOWN_WAIT_RATIO / observed_ratio;
+        // Not scaled by the time observed: a burst does not count as a rate that lasts.
+        let expected_calls = recent_calls * max_idle as f64 / DEMAND_DECAY_US;
+        let mut probability_of_count = (-mean_cooling_down).exp();
+        let mut probability_of_fewer = 0.0;
+        let mut justified = 1;
+        while justified < max_connections {
+            probability_of_fewer += probability_of_count;
+            probability_of_count *= mean_cooling_down / justified as f64;
+            if expected_calls * (1.0 - probability_of_fewer) < MIN_EXPECTED_USES {
                 break;
             }
-            need += 1;
+            justified += 1;
         }
-        need
+        justified
     }
 
-    fn fade(&mut self, now: Micros) {
-        let share = (-(now.saturating_sub(self.at) as f64) / MEMORY).exp();
-        (self.at, self.calls, self.waits) = (now, self.calls * share, self.waits * share);
+    fn decay(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        let remaining_ratio = (-elapsed / DEMAND_DECAY_US).exp();
+        self.updated_at = now;
+        self.calls *= remaining_ratio;
+        self.waits *= remaining_ratio;
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/response.rs
@@ -0,0 +1,153 @@
+//! Reads and classifies the response of an endpoint: buffered until it is complete, or streamed to the client.
+
+use crate::body::{BodyChunk, MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
+use crate::metrics::Metrics;
+use crate::upstream::connection::UpstreamConnection;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderValue};
+use hyper::http::response::Parts;
+use hyper::StatusCode;
+use oakport_core::Outcome;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// A response of unknown length is streamed if it is not complete this long after its first bytes.
+const COMPLETE_RESPONSE_WAIT: Duration = Duration::from_millis(100);
+/// An endpoint that neither sends nor takes anything for this long has stalled.
+pub const MAX_STALL: Duration = Duration::from_secs(10);
+
+const NOT_PROCESSED_HEADER: &str = "x-not-processed";
+
+/// The body of a response, as far as it was read before anything was sent to the client.
+pub enum ResponseBody {
+    /// All of it.
+    Complete(Bytes),
+    /// The beginning of one that is not buffered completely.
+    Partial(PartialBody),
+}
+
+/// The beginning of a body, and the rest that is still to arrive.
+pub struct PartialBody {
+    pub first_chunk: Bytes,
+    pub rest: Incoming,
+}
+
+impl PartialBody {
+    /// The length of the complete body in bytes, if its head states it.
+    pub fn length(&self) -> Option<u64> {
+        let remaining = self.rest.size_hint().exact()?;
+        Some(remaining + self.first_chunk.len() as u64)
+    }
+}
+
+/// Reads a body until it is complete, or too large or too slow to be buffered. `None` if it broke off, which includes
+/// one that ended with its connection although its head did not say so.
+pub async fn read_body(
+    head: &Parts,
+    mut body: Incoming,
+    reservation: &mut MemoryReservation,
+    memory: &MemoryLimit,
+) -> Option<ResponseBody> {
+    let length = body.size_hint().exact();
+    let is_delimited = is_delimited(head);
+    let is_large = length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
+    let mut buffered = BytesMut::new();
+    let mut first_chunk_at: Option<Instant> = None;
+    loop {
+        let may_stream_later = is_delimited && length.is_none();
+        let stream_from = first_chunk_at.filter(|_| may_stream_later).map(|at| at + COMPLETE_RESPONSE_WAIT);
+        let frame = match stream_from {
+            Some(at) => tokio::time::timeout_at(at, body.frame()).await,
+            None => Ok(body.frame().await),
+        };
+        match frame {
+            Ok(Some(frame)) => {
+                if let Ok(chunk) = frame.ok()?.into_data() {
+                    first_chunk_at = first_chunk_at.or(Some(Instant::now()));
+                    memory.reserve(reservation, buffered.len() + chunk.len()).await;
+                    buffered.extend_from_slice(&chunk);
+                }
+            }
+            Ok(None) => return is_delimited.then(|| ResponseBody::Complete(buffered.freeze())),
+            Err(_) => return Some(partial(buffered, body)),
+        }
+        let exceeds_buffer = buffered.len() > MAX_BUFFERED_BODY_BYTES;
+        if is_delimited && (is_large || exceeds_buffer) && !buffered.is_empty() {
+            return Some(partial(buffered, body));
+        }
+        if exceeds_buffer {
+            return None;
+        }
+    }
+}
+
+fn partial(buffered: BytesMut, rest: Incoming) -> ResponseBody {
+    ResponseBody::Partial(PartialBody { first_chunk: buffered.freeze(), rest })
+}
+
+/// Whether the head says where the body ends. A body that ends with its connection counts only if the head announces
+/// that the connection closes: otherwise the connection may have broken (RFC 9112, 6.3).
+fn is_delimited(head: &Parts) -> bool {
+    let is_close = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"close");
+    head.headers.contains_key(header::CONTENT_LENGTH)
+        || head.headers.contains_key(header::TRANSFER_ENCODING)
+        || head.headers.get_all(header::CONNECTION).iter().any(is_close)
+        || head.status == StatusCode::NO_CONTENT
+}
+
+/// The outcome that the head of a response states.
+pub fn classify(head: &Parts) -> Outcome {
+    let is_not_processed =
+        head.headers.get(NOT_PROCESSED_HEADER).is_some_and(|value| value.as_bytes() == b"1");
+    match head.status {
+        StatusCode::OK => Outcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_not_processed => {
+            Outcome::Rejected
+        }
+        StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
+        status if status.is_client_error() => Outcome::InvalidRequest,
+        _ => Outcome::Error,
+    }
+}
+
+/// Streams the rest of a body to the client, each chunk once the one before has been taken. It ends early only if the
+/// endpoint stalls or the client disconnects.
+pub async fn forward_chunks(
+    connection: &mut UpstreamConnection,
+    metrics: &Metrics,
+    mut body: Incoming,
+    chunks: mpsc::Sender<BodyChunk>,
+) -> Outcome {
+    loop {
+        // After the last byte it does not matter whether the client is still there.
+        let is_last = body.is_end_stream();
+        let next_frame = tokio::time::timeout(MAX_STALL, body.frame());
+        let frame = tokio::select! {
+            biased;
+            frame = connection.drive(metrics, next_frame) => frame,
+            () = chunks.closed(), if !is_last => return Outcome::Cancelled,
+        };
+        let chunk = match frame {
+            Some(Ok(Some(Ok(frame)))) => match frame.into_data() {
+                Ok(data) => BodyChunk::Data(data),
+                Err(_) => continue,
+            },
+            Some(Ok(None)) => BodyChunk::End,
+            Some(Ok(Some(Err(_)))) | None => return Outcome::Reset,
+            Some(Err(_)) => return Outcome::TimedOut,
+        };
+        let is_end = matches!(chunk, BodyChunk::End);
+        // The connection is driven meanwhile: a part of the request may still have to be written.
+        match connection.drive_alongside(metrics, chunks.reserve()).await {
+            Ok(permit) => permit.send(chunk),
+            Err(_) if !is_end => return Outcome::Cancelled,
+            Err(_) => {}
+        }
+        if is_end {
+            return Outcome::Served;
+        }
+    }
+}
