--- a/crates/proxy/src/call_table/tests.rs
+++ b/crates/proxy/src/call_table/tests.rs
@@ -1,22 +1,7 @@
 //! Calls and attempts at their deadlines.
 
 use super::*;
-use crate::downstream::connection::ClientPresence;
-use bytes::Bytes;
-use hyper::http::{HeaderMap, Method, Uri};
-
-fn request(client_timeout: Micros) -> Request {
-    Request {
-        method: Method::GET,
-        uri: Uri::from_static("/a"),
-        headers: HeaderMap::new(),
-        body: Bytes::new(),
-        upload: None,
-        length: Some(0),
-        client_timeout,
-        client: ClientPresence::default(),
-    }
-}
+use crate::upstream::test_support::request;
 
 /// The balancer ends each call by itself; if it does not, the client still gets its answer.
 #[test]
--- a/crates/proxy/src/upstream/attempt/tests.rs
+++ b/crates/proxy/src/upstream/attempt/tests.rs
@@ -1,14 +1,8 @@
 //! Attempts at a stub endpoint.
 
 use super::*;
-use crate::body::MemoryLimit;
 use crate::clock::Clock;
-use crate::descriptors::Descriptors;
-use crate::downstream::connection::ClientPresence;
-use bytes::Bytes;
-use hyper::header::HeaderMap;
-use hyper::http::{Method, Uri};
-use oakport_core::settings_wire::TransportSettings;
+use crate::upstream::test_support::{pool, request};
 use oakport_core::{EndpointId, LoadReport};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -41,32 +35,9 @@
             stream.write_all(text.as_bytes()).expect("an open connection");
         }
     });
-    let transport = TransportSettings {
-        max_open_requests: 9,
-        idle_connection_timeout: 60_000_000,
-        connect_timeout: Duration::from_secs(9).as_micros() as Micros,
-        handshake_charge: 0.0,
-        shortest_latency_objective: 400_000,
-    };
-    let pool = ConnectionPool::new(
-        transport,
-        1,
-        Descriptors::new(9),
-        Clock::start(),
-        Rc::default(),
-        MemoryLimit::new(64),
-    );
+    let pool = pool(Clock::start(), Rc::default());
     let target = Target { endpoint: EndpointId(0), address, generation: 0 };
-    let request = Request {
-        method: Method::GET,
-        uri: Uri::from_static("/a"),
-        headers: HeaderMap::new(),
-        body: Bytes::new(),
-        upload: None,
-        length: Some(0),
-        client_timeout: 1_000,
-        client: ClientPresence::default(),
-    };
+    let request = request(1_000);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(attempt(&pool, target, &request, &StubOwner { may_start }))
 }
--- a/crates/proxy/src/upstream/endpoint_connections.rs
+++ b/crates/proxy/src/upstream/endpoint_connections.rs
@@ -71,6 +71,21 @@
         (1..limits.max_preconnected).contains(&open) && open < self.justified(limits)
     }
 
+    /// Whether to preconnect as a call waits for the reuse cooldown, which ends after `remaining_cooldown` microseconds:
+    /// the calls are more than one short burst, too many of them have waited, and a new connection is expected before
+    /// the end of the cooldown. Bursts to several endpoints, as `total_demand` shows, are more than one, too.
+    pub fn waits_need_another(
+        &self,
+        total_demand: &ConnectionDemand,
+        remaining_cooldown: Micros,
+        limits: &ConnectionLimits,
+    ) -> bool {
+        let is_more_than_a_burst = self.demand.is_sustained() || total_demand.waits_exceed_burst();
+        let too_many_waits = self.demand.waits_exceed(limits.affordable_waits);
+        let connects_before = self.connect_duration < remaining_cooldown;
+        is_more_than_a_burst && too_many_waits && connects_before
+    }
+
     /// Whether a connection may be preconnected now.
     pub fn may_preconnect(&self, now: Micros, limits: &ConnectionLimits) -> bool {
         self.open.open_count() < limits.max_preconnected && self.preconnect_from <= now
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -8,3 +8,5 @@
 pub mod pool;
 mod preconnect;
 mod response;
+#[cfg(test)]
+pub mod test_support;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -138,7 +138,8 @@
         self.total_demand.borrow_mut().record_call(now);
         let mut has_waited = false;
         loop {
-            match self.take_reusable(target) {
+            let now = self.clock.now();
+            match self.take_reusable(target, now) {
                 Ok(mut connection) => {
                     if self.is_usable(&mut connection, target).await {
                         return Some(connection);
@@ -148,7 +149,7 @@
                 Err(Unavailable::CoolingDown(cooldown)) => {
                     if !has_waited {
                         has_waited = true;
-                        self.record_cooldown_wait(target, cooldown.until);
+                        self.record_cooldown_wait(target, cooldown.until, now);
                     }
                     tokio::select! {
                         () = tokio::time::sleep_until(self.clock.instant(cooldown.until)) => {}
@@ -159,8 +160,7 @@
         }
     }
 
-    fn take_reusable(&self, target: &Target) -> Result<UpstreamConnection, Unavailable> {
-        let now = self.clock.now();
+    fn take_reusable(&self, target: &Target, now: Micros) -> Result<UpstreamConnection, Unavailable> {
         let mut endpoints = self.endpoints.borrow_mut();
         let connections = endpoints.get_mut(&target.endpoint).ok_or(Unavailable::NoneIdle)?;
         if let Some(connection) = connections.take_reusable(now, &self.limits.get()) {
@@ -181,21 +181,16 @@
             && connection.is_alive().await
     }
 
-    /// Records that a call waits for the reuse cooldown until this moment. Preconnects if too many calls have waited
-    /// and a new connection is expected before that moment.
-    fn record_cooldown_wait(self: &Rc<Self>, target: &Target, until: Micros) {
-        let now = self.clock.now();
+    /// Records that a call waits for the reuse cooldown until this moment, and preconnects if that is worth it.
+    fn record_cooldown_wait(self: &Rc<Self>, target: &Target, until: Micros, now: Micros) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(connections) = endpoints.get_mut(&target.endpoint) else { return };
         self.metrics.count_cooldown_wait();
         connections.demand.record_wait(now);
         let mut total_demand = self.total_demand.borrow_mut();
         total_demand.record_wait(now);
-        // Bursts to several endpoints are more than a single one, too.
-        let is_sustained = connections.demand.is_sustained() || total_demand.waits_exceed_burst();
-        let too_many_waits = connections.demand.waits_exceed(self.limits.get().affordable_waits);
-        let arrives_before = connections.connect_duration < until.saturating_sub(now);
-        if is_sustained && too_many_waits && arrives_before {
+        let remaining_cooldown = until.saturating_sub(now);
+        if connections.waits_need_another(&total_demand, remaining_cooldown, &self.limits.get()) {
             self.preconnect(target, connections);
         }
     }
