--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, between small stub peers.
+//! The program on loopback sockets, between stub clients, endpoints and discovery.
 
 mod peers;
 
@@ -14,8 +14,9 @@
 }
 
 #[test]
-fn a_call_passes_unchanged_and_its_answer_too() {
-    let (discovery, host) = (Discovery::start(), Host::serving("done"));
+fn a_call_and_its_answer_are_forwarded_unchanged() {
+    let discovery = Discovery::start();
+    let host = Host::serving("done");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let mut client = proxy.client();
     client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn connections_are_kept_and_one_that_died_idle_is_replaced_before_writing() {
+fn connections_are_pooled_and_one_that_closed_while_idle_is_replaced_before_writing() {
     let discovery = Discovery::start();
     // The third answer ends its connection without saying so.
     let host = Host::start(|n| match n {
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
+fn a_non_idempotent_call_that_may_have_run_fails_and_is_not_retried() {
     let whole = answer("200 OK", "", "whole");
     let half = whole[..whole.len() - 2].to_owned();
     let unframed = "HTTP/1.1 200 OK\r\n\r\nhalf".to_owned();
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_request_that_its_host_finds_at_fault_goes_nowhere_else() {
+fn a_request_answered_400_is_not_retried() {
     let discovery = Discovery::start();
     let hosts = [0, 1].map(|_| Host::start(|_| Reply::Write(answer("400 Bad Request", "", ""))));
     let proxy = Proxy::start(&discovery, &[up("s-1", &hosts[0]), up("s-2", &hosts[1])]);
@@ -86,33 +87,40 @@
 }
 
 #[test]
-fn what_never_ran_goes_to_another_host() {
-    let turned_away = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
+fn an_attempt_that_never_ran_is_retried_at_another_endpoint() {
+    let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
-    let (full, good) = (Host::start(move |_| Reply::Write(turned_away.clone())), Host::serving("ok"));
-    let entries = [up("s-1", &full), up("s-2", &good), entry("s-3", nobody(), "up", 0)];
+    let rejecting = Host::start(move |_| Reply::Write(rejection.clone()));
+    let good = Host::serving("ok");
+    let entries = [up("s-1", &rejecting), up("s-2", &good), entry("s-3", nobody(), "up", 0)];
     let proxy = Proxy::start(&discovery, &entries);
     for _ in 0..12 {
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     }
-    assert!(full.further_requests() > 0, "the host that turns away was tried");
+    assert!(rejecting.further_requests() > 0, "the endpoint that rejects was attempted");
 }
 
 #[test]
-fn a_silent_host_costs_the_call_its_time_and_no_more() {
-    let (discovery, host) = (Discovery::start(), Host::start(|_| Reply::Silence));
+fn a_call_to_a_silent_endpoint_ends_at_its_timeout() {
+    let discovery = Discovery::start();
+    let host = Host::start(|_| Reply::Silence);
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
-    let asked = Instant::now();
+    let started_at = Instant::now();
     let answer = proxy.call("unsafe", "400m");
     assert!(![200, 429, 503].contains(&answer.status()), "it may have run: {}", answer.head);
-    assert!(asked.elapsed().as_millis() >= 300 && asked.elapsed() < LONG / 4, "{:?}", asked.elapsed());
-    // The attempt that was given up closes its own connection.
+    assert!(
+        started_at.elapsed().as_millis() >= 300 && started_at.elapsed() < LONG / 4,
+        "{:?}",
+        started_at.elapsed()
+    );
+    // The attempt that timed out closes its own connection.
     assert_eq!(host.closed(), 0);
 }
 
 #[test]
-fn a_connect_under_way_is_dropped_when_its_call_ends() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
+fn a_pending_connect_is_dropped_when_its_call_ends() {
+    let discovery = Discovery::start();
+    let deaf = Deaf::start();
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[entry("s-1", deaf.address, "up", 0)]);
     let text = text.replace(r#""connect_timeout_us":1000000"#, r#""connect_timeout_us":60000000"#);
@@ -123,18 +131,20 @@
 }
 
 #[test]
-fn a_connect_that_hangs_ends_in_the_settings_time_and_never_ran() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
+fn a_connect_that_hangs_ends_after_the_connect_timeout_and_the_call_is_rejected() {
+    let discovery = Discovery::start();
+    let deaf = Deaf::start();
     let proxy = Proxy::start(&discovery, &[entry("s-1", deaf.address, "up", 0)]);
-    let asked = Instant::now();
+    let started_at = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
-    assert_eq!(answer.status(), 503, "refused, as nothing has run: {}", answer.head);
-    assert!(asked.elapsed() < LONG, "{:?}", asked.elapsed());
+    assert_eq!(answer.status(), 503, "rejected, as nothing has run: {}", answer.head);
+    assert!(started_at.elapsed() < LONG, "{:?}", started_at.elapsed());
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
-    let (discovery, host) = (Discovery::start(), Host::start(|_| Reply::Silence));
+fn the_attempt_of_a_disconnected_client_is_cancelled() {
+    let discovery = Discovery::start();
+    let host = Host::start(|_| Reply::Silence);
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let mut client = proxy.client();
     client.send("unsafe", "60000m");
@@ -144,21 +154,22 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_return() {
+fn a_rejection_comes_at_once_with_retry_after() {
     let discovery = Discovery::start();
     let proxy = Proxy::start(&discovery, &[entry("s-1", nobody(), "up", 0), entry("s-2", nobody(), "up", 0)]);
-    // Calls that found nobody are refused when their tries are used up; none has run.
-    let asked = Instant::now();
+    // Calls that reach no endpoint are rejected when their attempts are used up; none has run.
+    let started_at = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
     assert_eq!(answer.status(), 503);
     let advice: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
     assert!(advice > 0.0);
-    assert!(asked.elapsed() < LONG / 2, "far from its deadline: {:?}", asked.elapsed());
+    assert!(started_at.elapsed() < LONG / 2, "far from its deadline: {:?}", started_at.elapsed());
 }
 
 #[test]
-fn bad_input_gets_a_plain_answer_and_hurts_nobody_else() {
-    let (discovery, host) = (Discovery::start(), Host::serving("ok"));
+fn invalid_requests_are_answered_4xx_and_affect_no_other_client() {
+    let discovery = Discovery::start();
+    let host = Host::serving("ok");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let head = "POST /safe HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n";
     let big = format!("{head}X-Timeout: 900m\r\nContent-Length: 60000000\r\n\r\n{}", "x".repeat(70_000));
@@ -184,18 +195,19 @@
         let _ = client.stream.get_mut().write_all(text.as_bytes());
         if let Some(answer) = client.answer() {
             assert!((400..500).contains(&answer.status()), "{shown}: {}", answer.head);
-            let asked = Instant::now();
+            let started_at = Instant::now();
             assert!(client.answer().is_none(), "{shown}");
-            assert!(asked.elapsed() < SHORT, "{shown}: its place is free at once");
+            assert!(started_at.elapsed() < SHORT, "{shown}: its connection is closed at once");
         }
     }
-    assert_eq!(host.further_requests(), 0, "nothing of it reached the host");
+    assert_eq!(host.further_requests(), 0, "nothing of it reached the endpoint");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
 }
 
 #[test]
-fn peers_that_never_come_to_a_whole_request_lose_their_places() {
-    let (discovery, host) = (Discovery::start(), Host::serving("ok"));
+fn clients_that_never_complete_a_request_are_disconnected() {
+    let discovery = Discovery::start();
+    let host = Host::serving("ok");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(&config(listen, discovery.address, 64, &[up("s-1", &host)]));
     let head =
@@ -210,18 +222,18 @@
             peer
         })
         .collect();
-    let asked = Instant::now();
+    let started_at = Instant::now();
     for peer in &mut peers {
         assert!(peer.answer().is_none_or(|a| (400..500).contains(&a.status())));
         // It takes 3 s at the most; the peers themselves would have stayed on.
-        assert!(asked.elapsed() < LONG / 2, "{:?}", asked.elapsed());
+        assert!(started_at.elapsed() < LONG / 2, "{:?}", started_at.elapsed());
     }
-    assert_eq!(proxy.call("safe", "2000m").status(), 200, "the places are free again");
-    assert_eq!(host.further_requests(), 1, "only the whole request reached the host");
+    assert_eq!(proxy.call("safe", "2000m").status(), 200, "there is capacity again");
+    assert_eq!(host.further_requests(), 1, "only the complete request reached the endpoint");
 }
 
 #[test]
-fn odd_load_reports_are_skipped() {
+fn invalid_load_reports_are_skipped() {
     let discovery = Discovery::start();
     let host = Host::start(|n| {
         let report =
@@ -235,26 +247,30 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_host_that_drains_or_is_gone() {
-    let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
+fn no_call_goes_to_a_draining_or_removed_endpoint() {
+    let discovery = Discovery::start();
+    let one = Host::serving("1");
+    let two = Host::serving("2");
     let proxy = Proxy::start(&discovery, &[up("s-1", &one), up("s-2", &two)]);
     assert!(discovery.asked().starts_with("GET /catalog/members?index=41&wait="));
     let all_from = |body: &[u8]| (0..20).all(|_| proxy.call("safe", "2000m").body == body);
     discovery.tell(&list(42, false, &[entry("s-1", one.address, "draining", 0)]));
-    // The next watch follows the answer; by then the news has been taken in.
+    // The next watch follows the answer; by then the update has been applied.
     assert!(discovery.asked().contains("index=42&"));
     assert!(all_from(b"2"));
     discovery.tell(&list(43, true, &[up("s-1", &one)]));
     assert!(discovery.asked().contains("index=43&"));
-    assert!(all_from(b"1"), "a host that a whole list leaves out is gone");
+    assert!(all_from(b"1"), "an endpoint that a complete list leaves out is removed");
     discovery.tell(&list(44, false, &[entry("s-1", one.address, "removed", 0), up("s-2", &two)]));
     assert!(discovery.asked().contains("index=44&"));
     assert!(all_from(b"2"));
 }
 
 #[test]
-fn the_list_is_watched_also_where_the_settings_say_that_changes_are_pushed() {
-    let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
+fn the_endpoint_list_is_watched_also_where_changes_are_pushed() {
+    let discovery = Discovery::start();
+    let one = Host::serving("1");
+    let two = Host::serving("2");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &one)]);
     let proxy = Proxy::with(&text.replace(r#""discovery":"ask""#, r#""discovery":"push""#));
@@ -263,12 +279,14 @@
     assert!(discovery.asked().contains("index=42&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
     discovery.say(String::new());
-    assert!(discovery.asked().contains("index=42&"), "a watch that breaks is taken up again");
+    assert!(discovery.asked().contains("index=42&"), "a watch that breaks is opened again");
 }
 
 #[test]
-fn a_new_start_or_address_of_a_host_closes_what_led_to_the_old_one() {
-    let (discovery, old, new) = (Discovery::start(), Host::serving("old"), Host::serving("new"));
+fn a_new_start_or_address_of_an_endpoint_closes_the_connections_to_the_old_one() {
+    let discovery = Discovery::start();
+    let old = Host::serving("old");
+    let new = Host::serving("new");
     let proxy = Proxy::start(&discovery, &[up("s-1", &old)]);
     discovery.asked();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
@@ -283,8 +301,9 @@
 }
 
 #[test]
-fn a_host_that_drains_finishes_its_call_and_keeps_no_connection() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
+fn a_draining_endpoint_finishes_its_call_and_keeps_no_connection() {
+    let (arrived, arrivals) = channel();
+    let (open, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
         let _ = arrived.send(());
@@ -296,17 +315,18 @@
     discovery.asked();
     let mut client = proxy.client();
     client.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the call at the host");
+    arrivals.recv_timeout(LONG).expect("the call at the endpoint");
     discovery.tell(&list(42, false, &[entry("s-1", host.address, "draining", 0)]));
     discovery.asked();
-    open.send(()).expect("the host waits");
+    open.send(()).expect("the endpoint waits");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(host.closed(), 0);
 }
 
 #[test]
-fn the_connection_used_last_is_used_first() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
+fn the_connection_used_last_is_reused_first() {
+    let (arrived, arrivals) = channel();
+    let (open, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let host = Host::start(move |n| {
         let _ = arrived.send(());
@@ -319,23 +339,24 @@
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let mut slow = proxy.client();
     slow.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the first call at the host");
+    arrivals.recv_timeout(LONG).expect("the first call at the endpoint");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     assert_eq!(host.request().0, 1, "a second connection while the first is in use");
-    open.send(()).expect("the host waits");
+    open.send(()).expect("the endpoint waits");
     assert_eq!(slow.answer().expect("an answer").status(), 200);
     assert_eq!(host.request().0, 0);
     for _ in 0..3 {
-        // One that has just come back rests for 10 ms first, and the other would go before it.
+        // One just returned is in its reuse cooldown of 10 ms, and the other would be used before it.
         std::thread::sleep(SHORT / 6);
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
-        assert_eq!(host.request().0, 0, "it came back last");
+        assert_eq!(host.request().0, 0, "it was returned last");
     }
 }
 
 #[test]
-fn a_watch_that_fails_is_asked_again_and_calls_go_on() {
-    let (discovery, host) = (Discovery::start(), Host::serving("ok"));
+fn a_failed_watch_is_retried_and_calls_go_on() {
+    let discovery = Discovery::start();
+    let host = Host::serving("ok");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     for fault in [
         answer("503 Service Unavailable", "", ""),
@@ -343,7 +364,7 @@
         answer("200 OK", "", "{\"index\":42,\"endpoints\":7}"),
         String::new(),
     ] {
-        assert!(discovery.asked().contains("index=41&"), "what it knows stands");
+        assert!(discovery.asked().contains("index=41&"), "the known list stays in force");
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
         discovery.say(fault);
     }
@@ -352,13 +373,15 @@
     assert!(discovery.asked().contains("index=42&"));
 }
 
-/// The last good list stays in force, a line names the address and the reason, and the list is asked for again.
+/// The last valid list stays in force, a log line names the address and the reason, and the list is polled again.
 #[test]
-fn odd_lists_change_nothing() {
-    let (discovery, host, other) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
+fn invalid_endpoint_lists_change_nothing() {
+    let discovery = Discovery::start();
+    let host = Host::serving("1");
+    let other = Host::serving("2");
     let mut proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let good = list(42, true, &[up("s-2", &other)]);
-    let odd = [
+    let invalid = [
         (good[..good.len() - 9].to_owned(), "EOF while parsing"),
         ("<html>".to_owned(), "expected value"),
         (good.replace(r#""index":42,"#, ""), "missing field `index`"),
@@ -367,29 +390,31 @@
         (list(42, true, &[up("s-2", &other), up("s-2", &host)]), "s-2 twice"),
         (format!("{good}{}", " ".repeat(5 << 20)), "length limit exceeded"),
         (list(40, true, &[up("s-2", &other)]), "version 40 after 41"),
-        // Asked for the whole list.
+        // In answer to a poll for the complete list.
         (list(42, false, &[up("s-2", &other)]), "changes where the whole list was asked for"),
     ];
-    let mut whole = false;
-    for (text, reason) in odd {
+    let mut polls_complete = false;
+    for (text, reason) in invalid {
         let question = discovery.asked();
-        assert_eq!(question.contains("index=41&"), !whole, "{question} before {reason}");
+        assert_eq!(question.contains("index=41&"), !polls_complete, "{question} before {reason}");
         discovery.tell(&text);
         proxy.log_tells(&format!("discovery failed address={}", discovery.address), reason);
         assert_eq!(proxy.call("safe", "2000m").body, b"1", "{reason}");
-        // What a service that has begun anew has is asked for whole.
-        whole |= reason.starts_with("version");
+        // A service that has restarted is polled for its complete list.
+        polls_complete |= reason.starts_with("version");
     }
     discovery.asked();
     discovery.tell(&list(40, true, &[up("s-2", &other)]));
     assert!(discovery.asked().contains("index=40&"));
-    assert_eq!(proxy.call("safe", "2000m").body, b"2", "a whole list is taken whatever its version");
+    assert_eq!(proxy.call("safe", "2000m").body, b"2", "a complete list is applied whatever its version");
 }
 
-/// Indented, a byte at a time, with entries that nothing can go to: what can be used of it is.
+/// Indented, a byte at a time, with entries that cannot be used: the others are.
 #[test]
-fn lists_that_come_in_odd_ways_are_taken() {
-    let (discovery, host, other) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
+fn unusual_but_valid_endpoint_lists_are_applied() {
+    let discovery = Discovery::start();
+    let host = Host::serving("1");
+    let other = Host::serving("2");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let drained = entry("s-1", host.address, "draining", 0);
     let nowhere = entry("s-0", host.address, "up", 0).replace(&host.address.to_string(), "nowhere");
@@ -402,28 +427,30 @@
     discovery.say(text.replace("\r\n\r\n", "\r\n\r\n|"));
     assert!(discovery.asked().contains("index=42&"));
     assert!((0..20).all(|_| proxy.call("safe", "2000m").body == b"2"));
-    // One that never ends is given up; what it knows stands.
+    // One that never ends is abandoned; the known list stays in force.
     discovery.say(text[..text.len() - 9].to_owned());
     assert!(discovery.asked().contains("index=42&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
 }
 
 #[test]
-fn a_hangup_moves_the_watch_to_where_discovery_is_now() {
-    let (old, new) = (Discovery::start(), Discovery::start());
-    let (one, two) = (Host::serving("1"), Host::serving("2"));
+fn a_reload_moves_the_watch_to_the_new_discovery_address() {
+    let old = Discovery::start();
+    let new = Discovery::start();
+    let one = Host::serving("1");
+    let two = Host::serving("2");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let at = |discovery: &Discovery| config(listen, discovery.address, 1_024, &[up("s-1", &one)]);
     let mut proxy = Proxy::with(&at(&old));
     assert!(old.asked().contains("index=41&"));
-    // Half a file, and one that names the same address, change nothing: the open watch goes on.
+    // An incomplete file, and one that names the same address, change nothing: the open watch goes on.
     proxy.reload("{\"name\":");
     proxy.reload(&at(&old));
     old.tell(&list(42, false, &[]));
     assert!(old.asked().contains("index=42&"));
     proxy.reload(&at(&new));
-    assert!(new.asked().starts_with("GET /catalog/members HTTP"), "the whole list, asked for at once");
-    assert_eq!(proxy.call("safe", "2000m").body, b"1", "what it knows stands meanwhile");
+    assert!(new.asked().starts_with("GET /catalog/members HTTP"), "the complete list, polled at once");
+    assert_eq!(proxy.call("safe", "2000m").body, b"1", "the known list stays in force meanwhile");
     new.tell(&list(7, true, &[up("s-2", &two)]));
     assert!(new.asked().contains("index=7&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
@@ -431,7 +458,7 @@
 }
 
 #[test]
-fn a_stop_finishes_what_is_taken_and_a_start_binds_at_once() {
+fn a_graceful_shutdown_finishes_open_calls_and_a_restart_binds_at_once() {
     let discovery = Discovery::start();
     let host = Host::start(|n| match n {
         0 => Reply::Silence,
@@ -445,15 +472,16 @@
     let mut slow = proxy.client();
     slow.send("unsafe", "1200m");
     host.request();
-    // Neither a connection that is never used nor one with half a request holds the stop up.
-    let (_unused, mut half) = (proxy.client(), proxy.client());
+    // Neither a connection that is never used nor one with half a request delays the shutdown.
+    let _unused = proxy.client();
+    let mut half = proxy.client();
     half.write("POST /safe HTTP/1.1\r\nHost:");
     proxy.terminate();
-    assert!(idle.answer().is_none(), "an idle connection closes when the stop begins");
-    // New connections are still taken then, and each answer closes its own.
+    assert!(idle.answer().is_none(), "an idle connection closes when the shutdown begins");
+    // New connections are still accepted then, and each answer closes its own.
     let answer = proxy.call("safe", "1000m");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let answer = slow.answer().expect("what was taken is answered");
+    let answer = slow.answer().expect("an open call is answered");
     assert_eq!(answer.header("connection"), Some("close"));
     assert!(proxy.ended(), "it exits 0");
     let again = Proxy::with(&config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]));
@@ -462,36 +490,38 @@
 }
 
 #[test]
-fn short_of_descriptors_it_refuses_and_lives() {
+fn calls_beyond_the_descriptor_limit_are_rejected_and_the_process_recovers() {
     let discovery = Discovery::start();
-    // The calls that have the places stay open until their time is up.
-    let (stuck, well) = (Arc::new(AtomicBool::new(true)), Reply::Write(answer("200 OK", "", "ok")));
-    let seen = Arc::clone(&stuck);
-    let host = Host::start(move |_| if seen.load(Ordering::SeqCst) { Reply::Silence } else { well.clone() });
+    // The calls that were accepted stay open until their timeout.
+    let is_stalled = Arc::new(AtomicBool::new(true));
+    let reply = Reply::Write(answer("200 OK", "", "ok"));
+    let seen = Arc::clone(&is_stalled);
+    let host = Host::start(move |_| if seen.load(Ordering::SeqCst) { Reply::Silence } else { reply.clone() });
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(&config(listen, discovery.address, 64, &[up("s-1", &host)]));
     let mut clients: Vec<Client> = (0..40).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send("unsafe", "2000m"));
     let answers: Vec<Message> = clients.iter_mut().map(|c| c.answer().expect("a final answer")).collect();
-    // The module refuses some too, but keeps their connections.
-    let crowded = |a: &&Message| a.status() == 503 && a.header("connection") == Some("close");
-    let refused = answers.iter().find(crowded).expect("one was too many");
-    assert!(refused.header("retry-after").is_some(), "{}", refused.head);
+    // The balancer rejects some too, but keeps their connections.
+    let at_capacity = |a: &&Message| a.status() == 503 && a.header("connection") == Some("close");
+    let rejected = answers.iter().find(at_capacity).expect("one was too many");
+    assert!(rejected.header("retry-after").is_some(), "{}", rejected.head);
     drop(clients);
-    stuck.store(false, Ordering::SeqCst);
-    // Room comes back as connections end.
-    let asked = Instant::now();
+    is_stalled.store(false, Ordering::SeqCst);
+    // There is capacity again as connections end.
+    let started_at = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(started_at.elapsed() < LONG);
     }
 }
 
 #[test]
-fn a_crowd_that_keeps_its_connections_does_not_keep_others_out() {
-    let (discovery, host) = (Discovery::start(), Host::serving("ok"));
+fn idle_client_connections_at_capacity_are_closed_for_new_ones() {
+    let discovery = Discovery::start();
+    let host = Host::serving("ok");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(&config(listen, discovery.address, 64, &[up("s-1", &host)]));
-    let mut kept: Vec<Client> = (0..8)
+    let mut idle: Vec<Client> = (0..8)
         .map(|_| {
             let mut client = proxy.client();
             client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -499,19 +529,20 @@
             client
         })
         .collect();
-    let asked = Instant::now();
+    let started_at = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {}
-    // One of the eight has made room; without that all would have stayed for 2 s.
-    assert!(asked.elapsed() < SHORT * 5, "{:?}", asked.elapsed());
-    assert!(kept[0].answer().is_none(), "the one that had rested longest");
+    // One of the eight was closed for it; otherwise all would have stayed for 2 s.
+    assert!(started_at.elapsed() < SHORT * 5, "{:?}", started_at.elapsed());
+    assert!(idle[0].answer().is_none(), "the one that had been idle longest");
 }
 
 #[test]
-fn out_of_descriptors_it_waits_for_some_and_lives() {
-    let (discovery, host) = (Discovery::start(), Host::serving("ok"));
+fn the_process_recovers_from_exhausted_descriptors() {
+    let discovery = Discovery::start();
+    let host = Host::serving("ok");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &host)]);
-    // The system gives far fewer than the configuration promises.
+    // The system permits far fewer than the configuration assumes.
     let mut proxy = Proxy::within(&text, Some(24));
     discovery.asked();
     let clients: Vec<Client> = (0..40)
@@ -522,15 +553,15 @@
         })
         .collect();
     drop(clients);
-    let asked = Instant::now();
+    let started_at = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(started_at.elapsed() < LONG);
     }
     assert!(proxy.child.try_wait().expect("a child").is_none(), "it still runs");
 }
 
 #[test]
-fn bad_configuration_is_one_line_and_a_failure() {
+fn an_invalid_configuration_exits_1_with_one_line() {
     let address = nobody();
     let good = config(address, address, 1_024, &[]);
     for text in ["", "{", "{}", &good.replace("8c1f", "seed"), &good.replace("\"cold_from\"", "\"warm\"")] {
