--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -183,10 +183,10 @@
             self.pool.close_outdated(outdated.endpoint, outdated.generation);
         }
         // Most watches end without a change.
-        if kind != ListUpdateKind::Delta || !update.changed.is_empty() {
-            log_update(kind, &update.changed);
+        if kind != ListUpdateKind::Delta || !update.entries.is_empty() {
+            log_update(kind, &update.entries);
         }
-        self.notify_balancer(Event::EndpointList { kind, endpoints: update.changed });
+        self.notify_balancer(Event::EndpointList { kind, endpoints: update.entries });
     }
 
     /// The endpoint list at this moment, under this version.
@@ -340,8 +340,8 @@
     }
 }
 
-fn log_update(kind: ListUpdateKind, changed: &[EndpointInfo]) {
-    let count = |state| changed.iter().filter(|endpoint| endpoint.state == state).count();
+fn log_update(kind: ListUpdateKind, entries: &[EndpointInfo]) {
+    let count = |state| entries.iter().filter(|endpoint| endpoint.state == state).count();
     let ready = count(EndpointState::Ready);
     let draining = count(EndpointState::Draining);
     let removed = count(EndpointState::Removed);
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -30,11 +30,11 @@
     pub generation: u64,
 }
 
-/// What an update of the endpoint list has changed.
+/// What follows from an update of the endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
-    /// The entries for the balancer.
-    pub changed: Vec<EndpointInfo>,
+    /// The entries of the update, for the balancer.
+    pub entries: Vec<EndpointInfo>,
     /// Connections that must be closed.
     pub outdated: Vec<OutdatedConnections>,
 }
@@ -83,7 +83,7 @@
             if endpoint.update(entry) {
                 update.outdated.push(OutdatedConnections { endpoint: id, generation: endpoint.generation });
             }
-            update.changed.push(endpoint.info(id));
+            update.entries.push(endpoint.info(id));
         }
         update
     }
--- a/crates/proxy/src/endpoints/tests.rs
+++ b/crates/proxy/src/endpoints/tests.rs
@@ -24,12 +24,12 @@
         ("removed", two, 6, EndpointState::Removed, 1),
     ] {
         let update = endpoints.update(ListUpdateKind::Delta, &reported(status, address, since));
-        let found = (update.changed[0].state, update.outdated.len());
+        let found = (update.entries[0].state, update.outdated.len());
         assert_eq!(found, (state, outdated_count), "{status} {address} {since}");
-        assert_eq!(update.changed[0].started_at, since * 1_000, "on the clock's own scale");
+        assert_eq!(update.entries[0].started_at, since * 1_000, "on the clock's own scale");
     }
     endpoints.update(ListUpdateKind::Snapshot, &reported("up", one, 7));
     let update = endpoints.update(ListUpdateKind::Snapshot, &[]);
-    let found = (update.changed.len(), update.outdated.len(), endpoints.listed().count());
+    let found = (update.entries.len(), update.outdated.len(), endpoints.listed().count());
     assert_eq!(found, (0, 1, 0), "not in the list: removed");
 }
