--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy within a scope: reconciles two views that differ.
 //!
-//! A member that notices a differing digest sends the digests of its ranges, and receives the members of the ranges
-//! that differ, in their order, so that a view is completed range by range.
+//! A member that finds its digest to differ from another member's sends its range digests to that member, and
+//! receives the members of the differing ranges ordered by position, so that a view is completed range by range.
 
 use crate::envelope::DatagramError;
 use crate::identity::Identity;
@@ -11,32 +11,32 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Datagrams in a response at the most; a member that lacks more requests again.
-const MAX_RESPONSES: usize = 2;
-/// Room for content in a datagram.
-const CONTENT_BYTES: usize = 1_380;
-/// What a response takes beside its members.
-const RESPONSE_HEAD_BYTES: usize = 36;
-/// What a member takes beside its address and texts.
-const MEMBER_HEAD_BYTES: usize = 16;
-/// What an address takes at the most.
+/// Maximum number of response datagrams per request; a member that lacks more sends another request.
+const MAX_RESPONSE_DATAGRAMS: usize = 2;
+/// Maximum size of a response, without the envelope.
+const MAX_CONTENT_BYTES: usize = 1_380;
+/// Upper bound of the encoded size of a response without its members.
+const RESPONSE_OVERHEAD_BYTES: usize = 36;
+/// Upper bound of the encoded size of a member without its address and texts.
+const MEMBER_OVERHEAD_BYTES: usize = 16;
+/// Upper bound of the encoded size of an address.
 const IPV4_ADDRESS_BYTES: usize = 8;
 const IPV6_ADDRESS_BYTES: usize = 20;
-/// So many new members from one datagram show that this process lacks many, and is catching up.
+/// This number of new members in one datagram indicates that the process lacks many more; it starts to catch up.
 const CATCH_UP_MIN_MEMBERS: usize = 3;
-/// Interval of the requests of a process that is catching up.
+/// Request interval of a process that is catching up.
 const CATCH_UP_INTERVAL_US: Micros = 200_000;
-/// Catching up ends when no such datagram has come for so long.
+/// Catching up ends when no such datagram has been received for this time.
 const CATCH_UP_TIMEOUT_US: Micros = 2_000_000;
-/// Each so many-th exchange requests a feed of `foca`, as older releases know no ranges.
-const FEED_PER_EXCHANGES: u32 = 3;
+/// One exchange in this many requests a `foca` feed instead, because older releases do not support range digests.
+const EXCHANGES_PER_FEED: u32 = 3;
 
-/// What two members send each other. The order of variants and fields is the order on the wire.
+/// An anti-entropy message. The order of variants and fields defines the wire format.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AntiEntropyMessage {
-    /// Requests the members of ranges whose digests differ, from a position on.
+    /// Requests the members of the ranges whose digests differ, starting at a position.
     Request { from: SocketAddr, start: u64, digests: Vec<RangeDigest> },
-    /// Some of these members, and the position from which on there are more.
+    /// Some of these members, and the position at which the remaining ones start; 0 if there are none.
     Response { from: SocketAddr, next_start: u64, members: Vec<Identity> },
 }
 
@@ -44,17 +44,17 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// [`DatagramError::Content`] if it cannot be decoded.
+    /// [`DatagramError::Content`] if the content cannot be decoded.
     pub(crate) fn decode(content: &[u8]) -> Result<AntiEntropyMessage, DatagramError> {
         Ok(postcard::from_bytes(content)?)
     }
 
-    /// Encodes the message; `None` if that fails, then the next exchange repeats it.
+    /// Encodes the message; `None` if encoding fails, in which case the next exchange retries.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_allocvec(self).ok()
     }
 
-    /// The sender.
+    /// The address of the sender, as the message states it.
     pub(crate) fn sender(&self) -> SocketAddr {
         match self {
             AntiEntropyMessage::Request { from, .. } | AntiEntropyMessage::Response { from, .. } => *from,
@@ -62,13 +62,13 @@
     }
 }
 
-/// The requests of one process: where to go on, and when.
+/// Schedules the anti-entropy requests of one process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AntiEntropy {
-    /// The position at which the next response is to begin.
+    /// The position at which the next response starts.
     next_start: u64,
     exchanges: u32,
-    /// The next request while catching up; [`Micros::MAX`] otherwise.
+    /// The time of the next request while catching up; [`Micros::MAX`] otherwise.
     next_request_at: Micros,
     catch_up_until: Micros,
 }
@@ -80,21 +80,21 @@
 }
 
 impl AntiEntropy {
-    /// When the next request of a process that is catching up is due.
+    /// The time of the next request while catching up; [`Micros::MAX`] otherwise.
     pub(crate) fn next_deadline(&self) -> Micros {
         self.next_request_at
     }
 
-    /// So many members were learned from one datagram.
-    pub(crate) fn members_learned(&mut self, now: Micros, members: usize) {
-        if members >= CATCH_UP_MIN_MEMBERS {
+    /// Records the number of members learned from one datagram.
+    pub(crate) fn members_learned(&mut self, now: Micros, member_count: usize) {
+        if member_count >= CATCH_UP_MIN_MEMBERS {
             self.next_request_at = self.next_request_at.min(now + CATCH_UP_INTERVAL_US);
             self.catch_up_until = now + CATCH_UP_TIMEOUT_US;
         }
     }
 
-    /// Whether a request is due now; if so, sets when the next one is. Requests and responses may be lost or held
-    /// back by the rate limit, so they are repeated until the timeout.
+    /// Whether a request is due now; if so, schedules the next one. Requests and responses may be lost or dropped
+    /// by the rate limit, so requests are repeated until the timeout.
     pub(crate) fn take_due_request(&mut self, now: Micros) -> bool {
         if now < self.next_request_at {
             return false;
@@ -104,32 +104,32 @@
         true
     }
 
-    /// The request to a member with a differing view; `None` if a feed of `foca` is due instead.
-    /// `reported_members` is the size of the scope as others report it.
+    /// The request to a member whose view differs; `None` if a `foca` feed is due instead.
+    /// `reported_member_count` is the size of the scope as other members report it.
     pub(crate) fn next_request(
         &mut self,
         local: SocketAddr,
         members: &MemberTable,
-        reported_members: usize,
+        reported_member_count: usize,
     ) -> Option<AntiEntropyMessage> {
         self.exchanges = self.exchanges.wrapping_add(1);
-        if self.exchanges.is_multiple_of(FEED_PER_EXCHANGES) {
+        if self.exchanges.is_multiple_of(EXCHANGES_PER_FEED) {
             return None;
         }
-        let digests = members.range_digests().digests(members.size().max(reported_members));
+        let digests = members.range_digests().digests(members.size().max(reported_member_count));
         Some(AntiEntropyMessage::Request { from: local, start: self.next_start, digests })
     }
 
-    /// A response ended before this position.
+    /// Records the position at which the next response starts.
     pub(crate) fn response_received(&mut self, next_start: u64) {
         self.next_start = next_start;
     }
 }
 
-/// The responses to a request.
+/// The responses to a request: the members of the differing ranges, starting at `start`.
 ///
 /// # Errors
-/// [`DatagramError::Content`] if there cannot be that many ranges.
+/// [`DatagramError::Content`] if the number of range digests is invalid.
 pub(crate) fn responses(
     local: SocketAddr,
     table: &MemberTable,
@@ -139,9 +139,9 @@
     let differing = table.range_digests().differing(digests, start);
     let mut differing = differing.ok_or(DatagramError::Content)?.peekable();
     let mut responses = Vec::new();
-    while responses.len() < MAX_RESPONSES && differing.peek().is_some() {
+    while responses.len() < MAX_RESPONSE_DATAGRAMS && differing.peek().is_some() {
         let mut members = Vec::new();
-        let mut available_bytes = CONTENT_BYTES - RESPONSE_HEAD_BYTES;
+        let mut available_bytes = MAX_CONTENT_BYTES - RESPONSE_OVERHEAD_BYTES;
         while let Some(next) = differing.peek() {
             let member = table.get(next.address).map(|known| &known.identity);
             let member_bytes = member.map_or(0, max_encoded_bytes);
@@ -158,8 +158,8 @@
     Ok(responses)
 }
 
-/// Bytes that a member takes at the most.
+/// Upper bound of the encoded size of a member.
 fn max_encoded_bytes(member: &Identity) -> usize {
     let address_bytes = if member.address.is_ipv4() { IPV4_ADDRESS_BYTES } else { IPV6_ADDRESS_BYTES };
-    MEMBER_HEAD_BYTES + address_bytes + member.name.len() + member.release.len() + member.zone.len()
+    MEMBER_OVERHEAD_BYTES + address_bytes + member.name.len() + member.release.len() + member.zone.len()
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,18 +1,19 @@
-//! Frames each datagram: magic, version, fleet and checksum, so that only complete datagrams of this fleet are
-//! read.
+//! The envelope of each datagram: magic bytes, kind and version, fleet hash, view digest and checksum. Only intact
+//! datagrams of the local fleet are processed.
 
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The first bytes of each datagram; the byte of the kind follows.
+/// The first bytes of each datagram, followed by the kind byte.
 const MAGIC: [u8; 3] = *b"oak";
 /// Length of an envelope.
 pub(crate) const ENVELOPE_BYTES: usize = 16;
-/// The part of an envelope that the checksum covers.
-const CHECKED_BYTES: Range<usize> = 0..12;
+/// The bytes of an envelope that the checksum covers in addition to the content.
+const CHECKSUMMED_BYTES: Range<usize> = 0..12;
 
-/// What a datagram holds: its fourth byte, with the kind in the upper half and the kind's version in the lower
-/// one. A release that knows only the first kind takes the others for another version, and discards them.
+/// The kind of a datagram, encoded in its fourth byte: the kind in the upper four bits, the version of that kind
+/// in the lower four. A release that supports only SWIM treats the other kinds as an unknown version and discards
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// SWIM messages of `foca` among the members of one scope.
@@ -31,48 +32,48 @@
     }
 }
 
-/// What precedes a datagram's content.
+/// The fields of an envelope that the sender sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// Hash of the fleet's name, or of fleet and scope.
+    /// Hash of the fleet name, or of the fleet and scope names.
     pub fleet_hash: u32,
     /// Digest of the sender's view.
     pub digest: u32,
 }
 
-/// A datagram that was checked.
+/// A datagram whose envelope has been verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// Its envelope.
+    /// The envelope.
     pub envelope: Envelope,
-    /// What its content is.
+    /// The kind of the content.
     pub kind: DatagramKind,
-    /// What follows the envelope.
+    /// The bytes after the envelope.
     pub content: &'a [u8],
 }
 
 /// Why a datagram is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// It does not begin with the magic bytes.
+    /// The datagram does not begin with the magic bytes.
     #[error("not a membership datagram")]
     Magic,
-    /// Its kind or the kind's version is unknown here.
-    #[error("unknown kind or version")]
+    /// The kind, or its version, is not supported.
+    #[error("unknown datagram kind or version")]
     Version,
-    /// It was damaged or truncated.
-    #[error("checksum mismatch")]
+    /// The datagram was damaged or truncated.
+    #[error("datagram truncated, or checksum mismatch")]
     Checksum,
-    /// It belongs to another fleet or scope.
+    /// The datagram belongs to another fleet or scope.
     #[error("datagram of another fleet or scope")]
     Fleet,
-    /// Its content cannot be decoded.
-    #[error("invalid content")]
+    /// The content cannot be decoded.
+    #[error("invalid datagram content")]
     Content,
 }
 
 impl DatagramError {
-    /// The key under which operators see how many were discarded.
+    /// The metric key under which datagrams discarded for this reason are counted.
     pub(crate) fn metric_key(self) -> &'static str {
         match self {
             DatagramError::Magic => "mark",
@@ -90,7 +91,7 @@
     }
 }
 
-/// The hashes by which a member tells datagrams of its fleet and scope from others.
+/// The hashes that identify datagrams of the local fleet and scope.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetHashes {
     fleet: u32,
@@ -98,7 +99,7 @@
 }
 
 impl FleetHashes {
-    /// Hashes for a scope of a fleet; an empty scope is the one of the members without a scope.
+    /// Hashes for a scope of a fleet; the scope name is empty for members without a scope.
     pub(crate) fn new(fleet_name: &str, scope: &str) -> Self {
         let fleet = Envelope::fleet_hash(fleet_name);
         let scope = match scope {
@@ -108,7 +109,7 @@
         FleetHashes { fleet, scope }
     }
 
-    /// The hash that datagrams of a kind carry: only scope gossip crosses scopes.
+    /// The expected hash for a kind of datagram: only scope gossip is exchanged between scopes.
     pub(crate) fn for_kind(&self, kind: DatagramKind) -> u32 {
         match kind {
             DatagramKind::Swim | DatagramKind::AntiEntropy => self.scope,
@@ -116,27 +117,27 @@
         }
     }
 
-    /// Opens a datagram of any kind.
+    /// Verifies a datagram of any kind.
     ///
     /// # Errors
-    /// Why the datagram is discarded.
+    /// The reason for discarding the datagram.
     pub(crate) fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
         Envelope::open_any(|kind| Some(self.for_kind(kind)), datagram)
     }
 }
 
 impl Envelope {
-    /// The hash of a fleet's name, the same in all builds.
+    /// The hash of a fleet name, which is the same in all builds.
     pub fn fleet_hash(name: &str) -> u32 {
         xxh3_64(name.as_bytes()) as u32
     }
 
-    /// A complete SWIM datagram.
+    /// Encodes a SWIM datagram.
     pub fn seal(&self, content: &[u8]) -> Vec<u8> {
         self.seal_as(DatagramKind::Swim, content)
     }
 
-    /// A complete datagram of a kind.
+    /// Encodes a datagram of the given kind.
     pub fn seal_as(&self, kind: DatagramKind, content: &[u8]) -> Vec<u8> {
         let mut datagram = Vec::with_capacity(ENVELOPE_BYTES + content.len());
         datagram.extend_from_slice(&MAGIC);
@@ -149,18 +150,18 @@
         datagram
     }
 
-    /// Opens a SWIM datagram of a fleet.
+    /// Verifies a SWIM datagram with the given fleet hash.
     ///
     /// # Errors
-    /// Why the datagram is discarded.
+    /// The reason for discarding the datagram.
     pub fn open(fleet_hash: u32, datagram: &[u8]) -> Result<OpenedDatagram<'_>, DatagramError> {
         Envelope::open_any(|kind| (kind == DatagramKind::Swim).then_some(fleet_hash), datagram)
     }
 
-    /// Opens a datagram of any kind for which a hash is expected.
+    /// Verifies a datagram of any kind for which `expected_hash` returns a hash.
     ///
     /// # Errors
-    /// Why the datagram is discarded.
+    /// The reason for discarding the datagram.
     pub fn open_any(
         expected_hash: impl Fn(DatagramKind) -> Option<u32>,
         datagram: &[u8],
@@ -174,7 +175,7 @@
         let (fleet_hash, rest) = split_u32(rest)?;
         let (digest, rest) = split_u32(rest)?;
         let (expected_checksum, content) = split_u32(rest)?;
-        if checksum(&datagram[CHECKED_BYTES], content) != expected_checksum {
+        if checksum(&datagram[CHECKSUMMED_BYTES], content) != expected_checksum {
             return Err(DatagramError::Checksum);
         }
         if fleet_hash != expected_hash {
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,13 +1,13 @@
-//! Identifies a member: its name, address and incarnation.
+//! The identity of a member: name, address and incarnation.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name, release, zone or scope: an identity fits a datagram many times.
+/// Maximum length of a name, release, zone or scope, so that many identities fit into a datagram.
 pub(crate) const MAX_TEXT_BYTES: usize = 64;
-/// The first step by which an incarnation is renewed; each further one is twice as large.
+/// The first renewal increases an incarnation by this step; each further step is twice as large.
 const FIRST_RENEWAL_STEP_MS: u64 = 1_000;
-/// Limit on the doublings of that step: more than a hundred years.
+/// Maximum number of doublings; the step is then more than a hundred years.
 const MAX_RENEWAL_DOUBLINGS: u8 = 32;
 
 /// The longest prefix of a text that fits [`MAX_TEXT_BYTES`].
@@ -17,27 +17,28 @@
     text[..end].to_owned()
 }
 
-/// A member of the fleet. The order of the fields is the order on the wire.
+/// The identity of a member of the fleet. The order of the fields defines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, the same after a restart.
+    /// The name, which does not change when the member restarts.
     pub name: String,
-    /// Where other members reach it; the key by which it is known.
+    /// The address at which other members reach this one; the key in their member tables.
     pub address: SocketAddr,
-    /// When it started, in milliseconds of Unix time; of two members at one address the greater one wins.
+    /// Start time in milliseconds since the Unix epoch, increased by renewals. If two members have the same
+    /// address, the one with the greater incarnation takes precedence.
     pub incarnation: u64,
-    /// The release it runs.
+    /// The release that the member runs.
     pub release: String,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: String,
-    /// It has announced that it leaves.
+    /// Whether the member has announced its departure.
     pub leaving: bool,
-    /// How often it has renewed its incarnation.
+    /// How often the incarnation has been renewed.
     renewals: u8,
 }
 
 impl Identity {
-    /// A member that starts; texts that are too long are truncated.
+    /// The identity of a member that starts; texts longer than 64 bytes are truncated.
     pub fn new(name: &str, address: SocketAddr, incarnation: u64, release: &str, zone: &str) -> Self {
         Identity {
             name: truncate_text(name),
@@ -50,12 +51,12 @@
         }
     }
 
-    /// A placeholder for the member at an address of which only the address is known.
+    /// A placeholder for a member of which only the address is known.
     pub fn unidentified(address: SocketAddr) -> Self {
         Identity::new("", address, 0, "", "")
     }
 
-    /// The same member in a last incarnation, marked as leaving.
+    /// The same member, marked as leaving, in its last incarnation.
     pub fn into_leaving(&self) -> Self {
         Identity { leaving: true, incarnation: self.incarnation + 1, ..self.clone() }
     }
@@ -64,8 +65,8 @@
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
 
-    /// A member that was declared dead comes back in a new incarnation. The steps double, so that they overtake
-    /// the incarnation of a predecessor whose clock was ahead.
+    /// A member that was declared dead rejoins in a new incarnation. The step doubles with each renewal, so that
+    /// the incarnation eventually exceeds that of a predecessor whose clock was ahead.
     fn renew(&self) -> Option<Self> {
         if self.leaving {
             return None;
@@ -83,7 +84,7 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        // Names break the tie of two that started in the same millisecond, so that all members prefer the same.
+        // The name breaks the tie if both started in the same millisecond, so that all members agree.
         (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Cluster membership: which client proxies are alive, and how many share the endpoints (`docs/membership.md`).
+//! Cluster membership: which client proxies are alive, and how many of them share the endpoints
+//! (`docs/membership.md`).
 //!
-//! The crate is a state machine without sockets and clock: datagrams and the time go in, datagrams and
-//! [`MembershipEvent`]s come out of a [`Node`].
+//! The crate is a state machine without sockets or clock: a [`Node`] is passed datagrams and the current time, and
+//! produces datagrams and [`MembershipEvent`]s.
 
 mod anti_entropy;
 mod envelope;
@@ -32,5 +33,5 @@
 pub use scope_summary::ScopeSummary;
 pub use scope_table::ScopeTable;
 
-/// An instant or a duration, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/membership/src/outbox.rs
+++ b/crates/membership/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The datagrams that wait to be sent, admitted by the rate limit.
+//! The queue of outgoing datagrams, subject to the rate limit.
 
 use crate::envelope::{DatagramKind, Envelope, FleetHashes, ENVELOPE_BYTES};
 use crate::foca_packet;
@@ -6,15 +6,15 @@
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// The content of a datagram, and its receiver.
+/// The content of a datagram, and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OutgoingMessage {
     pub(crate) to: SocketAddr,
     pub(crate) content: Vec<u8>,
 }
 
-/// Seals messages and keeps them until they are taken. What the rate limit rejects is dropped: SWIM, gossip and
-/// anti-entropy bear losses.
+/// Encodes messages as datagrams and queues these. Messages that the rate limit rejects are dropped: SWIM, gossip
+/// and anti-entropy tolerate losses.
 pub(crate) struct Outbox {
     hashes: FleetHashes,
     rate_limit: RateLimit,
@@ -23,7 +23,7 @@
 }
 
 impl Outbox {
-    /// Starts empty.
+    /// Creates an empty queue.
     pub(crate) fn new(now: Micros, hashes: FleetHashes) -> Self {
         Outbox { hashes, rate_limit: RateLimit::new(now), datagrams: Vec::new(), bytes_sent: 0 }
     }
@@ -33,17 +33,17 @@
         self.hashes
     }
 
-    /// Bytes of all datagrams so far, without the headers of UDP and IP.
+    /// Total bytes of all datagrams queued so far, without UDP and IP headers.
     pub(crate) fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Takes the datagrams and their receivers.
+    /// Removes and returns the datagrams, with their destinations.
     pub(crate) fn take(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.datagrams)
     }
 
-    /// Sends a message of scope gossip or anti-entropy, complete or not at all.
+    /// Queues a scope gossip or anti-entropy message, or drops all of it if it exceeds the rate limit.
     pub(crate) fn send(&mut self, now: Micros, kind: DatagramKind, digest: u32, message: &OutgoingMessage) {
         let priority = match kind {
             DatagramKind::ScopeGossip => SendPriority::ScopeGossip,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Sends a packet of `foca`, with as many of its membership updates as the rate limit permits. The packets by
-    /// which this process announces that it leaves are sent only once, and take precedence.
+    /// Queues a `foca` packet with as many of its membership updates as the rate limit permits. The packets that
+    /// announce the departure of this process are sent only once, and therefore get the highest priority.
     pub(crate) fn send_swim(
         &mut self,
         now: Micros,
@@ -64,11 +64,11 @@
         mut message: OutgoingMessage,
         leaving: bool,
     ) {
-        // `foca` has just encoded it.
+        // `foca` has just encoded the packet, so it can be decoded.
         let Ok(head) = foca_packet::read_head(&message.content) else { return };
-        let disseminates_only = head.is_dissemination && !leaving;
+        let only_disseminates = head.is_dissemination && !leaving;
         let priority =
-            if disseminates_only { SendPriority::Dissemination } else { SendPriority::FailureDetection };
+            if only_disseminates { SendPriority::Dissemination } else { SendPriority::FailureDetection };
         let min_bytes = ENVELOPE_BYTES + head.bytes;
         let wanted_bytes = ENVELOPE_BYTES + message.content.len();
         let permitted = self.rate_limit.permitted_bytes(now, priority, min_bytes, wanted_bytes);
--- a/crates/membership/src/range_digest.rs
+++ b/crates/membership/src/range_digest.rs
@@ -1,24 +1,25 @@
-//! Digests of ranges of the member table, by which two members find where their views differ (one level of a Merkle
-//! tree).
+//! Digests of ranges of the member table, which two members compare to find where their views differ (one level of a
+//! Merkle tree).
 //!
-//! The live members are ordered by the hash of their address. The sums are kept as members come and go; only a
-//! difference walks the members of a range.
+//! The live members are ordered by the hash of their address. The sums are updated as members are added and removed;
+//! only a request for differing ranges iterates over members.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bits of the position that tell the finest ranges apart.
+/// Number of position bits that distinguish the finest ranges.
 const MAX_RANGE_BITS: u32 = 8;
 /// The number of the finest ranges.
 const MAX_RANGES: usize = 1 << MAX_RANGE_BITS;
-/// Members in a range, about: a third of a datagram, so that a difference of one member costs no more.
-const RANGE_MEMBERS: usize = 8;
+/// Approximate number of members per range: they fill a third of a datagram, so that a difference of one member
+/// costs no more than that.
+const MEMBERS_PER_RANGE: usize = 8;
 
-/// The digest of one range, as it is on the wire.
+/// The digest of one range, as encoded on the wire.
 pub(crate) type RangeDigest = [u8; 4];
 
-/// A position in the order of the address hashes, and the member there.
+/// A member, ordered by its position: the hash of its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PositionedMember {
     pub(crate) position: u64,
@@ -30,13 +31,13 @@
         PositionedMember { position: position(address), address }
     }
 
-    /// The first that could be at a position.
+    /// The lowest possible value at a position.
     fn first_at(position: u64) -> Self {
         PositionedMember { position, address: SocketAddr::from(([0, 0, 0, 0], 0)) }
     }
 }
 
-/// The hash of an address and port.
+/// A hasher that has been fed an IP address and port.
 pub(crate) fn address_hasher(address: SocketAddr) -> Xxh3 {
     let mut hasher = Xxh3::new();
     match address.ip() {
@@ -47,20 +48,20 @@
     hasher
 }
 
-/// Where a member lies in the order of the ranges.
+/// The position of a member in the order of the ranges: the hash of its address.
 pub(crate) fn position(address: SocketAddr) -> u64 {
     address_hasher(address).digest()
 }
 
-/// The range of a position among so many of equal size.
+/// The index of the range that contains a position, among `ranges` ranges of equal size.
 fn range_index(position: u64, ranges: usize) -> usize {
     ((u128::from(position) * ranges as u128) >> u64::BITS) as usize
 }
 
-/// The ranges of one view.
+/// The range digests of one view.
 #[derive(Clone, Debug)]
 pub(crate) struct RangeDigests {
-    /// Wrapping sum of the digest terms of each of the finest ranges.
+    /// Wrapping sum of the digest terms in each of the finest ranges.
     sums: Vec<u64>,
     members: BTreeSet<PositionedMember>,
 }
@@ -86,20 +87,20 @@
         self.members.remove(&member);
     }
 
-    /// Adds a term to the sum of the range of a position.
+    /// Adds a term to the sum of the range that contains a position.
     pub(crate) fn add_term(&mut self, position: u64, digest_term: u64) {
         let sum = &mut self.sums[range_index(position, MAX_RANGES)];
         *sum = sum.wrapping_add(digest_term);
     }
 
-    /// The digests of as many ranges as a view of so many members needs: a power of two.
+    /// The digests of as many ranges as a view of `members` members needs: a power of two.
     pub(crate) fn digests(&self, members: usize) -> Vec<RangeDigest> {
-        let ranges = (members / RANGE_MEMBERS).clamp(1, MAX_RANGES).next_power_of_two();
+        let ranges = (members / MEMBERS_PER_RANGE).clamp(1, MAX_RANGES).next_power_of_two();
         self.sums.chunks(self.sums.len() / ranges).map(range_digest).collect()
     }
 
-    /// The members in ranges whose digests differ from those of another view, from a position on and then from
-    /// the beginning; `None` if there cannot be that many ranges.
+    /// The members in ranges whose digests differ from those of another view, starting at a position and wrapping
+    /// around at the end; `None` if the number of digests is not a power of two or exceeds that of the finest ranges.
     pub(crate) fn differing(
         &self,
         digests: &[RangeDigest],
@@ -108,7 +109,7 @@
         if !digests.len().is_power_of_two() || digests.len() > self.sums.len() {
             return None;
         }
-        let local = self.digests(digests.len() * RANGE_MEMBERS);
+        let local = self.digests(digests.len() * MEMBERS_PER_RANGE);
         let differs: Vec<bool> = local.iter().zip(digests).map(|(local, remote)| local != remote).collect();
         let first = PositionedMember::first_at(start);
         let from_start = self.members.range(first..);
