--- a/crates/membership/src/live_count.rs
+++ b/crates/membership/src/live_count.rs
@@ -1,42 +1,42 @@
-//! The live proxy count: how many client proxies share the endpoints, estimated on the safe side.
+//! The live proxy count: a conservative estimate of how many client proxies share the endpoints.
 //!
-//! Counting too few lets the fleet overload the endpoints, so the count rises at once and falls slowly, and stays
-//! as it is while a network partition is suspected.
+//! If the count is too low, the fleet overloads the endpoints. The count therefore rises at once and falls slowly;
+//! when a network partition is suspected, it is frozen, and only confirmed departures lower it.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Members that fall silent within this span are taken as one event.
+/// Suspicions of several members within this window count as one event.
 const CORRELATION_WINDOW_US: Micros = 3_000_000;
-/// The share of the count that falls silent together from which on a partition is suspected.
+/// A network partition is suspected if at least this share of the count is suspected within the window.
 const PARTITION_RATIO: f64 = 1.0 / 3.0;
-/// How long the count does not fall after a start, a suspected partition or a disagreement of views.
+/// How long the count is frozen after a start, a suspected partition, a death or a disagreement of views.
 const FREEZE_US: Micros = 60_000_000;
-/// Share of the count by which it falls at a time, and by one at the least.
+/// Maximum share of the count by which one decrease lowers it; a decrease by one is always permitted.
 const MAX_DECREASE_RATIO: f64 = 0.1;
-/// Shortest time between two decreases.
+/// Minimum time between two decreases.
 const DECREASE_INTERVAL_US: Micros = 1_000_000;
 
-/// The live proxy count in force.
+/// The current live proxy count.
 #[derive(Clone, Debug)]
 pub struct LiveCount {
     /// The count from the configuration.
     configured: usize,
     count: usize,
-    /// When members were suspected, within the correlation window.
+    /// The times at which members were suspected, within the correlation window.
     suspected_at: VecDeque<Micros>,
-    /// When deaths are confirmed, unless a partition is suspected before.
+    /// The times at which deaths are confirmed unless a partition is suspected before.
     pending_deaths: VecDeque<Micros>,
-    /// Departures by which the count may fall although it is frozen.
+    /// Number of departures by which the count may fall although it is frozen.
     confirmed_departures: usize,
-    /// Until then the count falls by confirmed departures only.
+    /// Before this time, only confirmed departures lower the count.
     frozen_until: Micros,
     last_decrease_at: Micros,
     partition_suspected: bool,
 }
 
 impl LiveCount {
-    /// Starts with the configured count, frozen.
+    /// Starts with the configured count, frozen; zero counts as one.
     pub fn new(now: Micros, configured: usize) -> Self {
         let configured = configured.max(1);
         LiveCount {
@@ -51,22 +51,22 @@
         }
     }
 
-    /// The count in force.
+    /// The current count.
     pub fn get(&self) -> usize {
         self.count
     }
 
-    /// So many members fell silent together that a network partition is suspected.
+    /// Whether so many members were suspected together that a network partition is suspected.
     pub fn suspects_partition(&self) -> bool {
         self.partition_suspected
     }
 
-    /// Takes a new count from the configuration; zero counts as one.
+    /// Sets the configured count; zero counts as one.
     pub fn set_configured(&mut self, configured: usize) {
         self.configured = configured.max(1);
     }
 
-    /// A member fell silent.
+    /// Records that a member is suspected.
     pub fn member_suspected(&mut self, now: Micros) {
         self.suspected_at.push_back(now);
         while self.suspected_at.front().is_some_and(|at| at + CORRELATION_WINDOW_US < now) {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// A member announced that it leaves.
+    /// Records that a member announced its departure.
     pub fn member_left(&mut self) {
         self.confirmed_departures += 1;
     }
 
-    /// A member was declared dead. The death is confirmed only after the correlation window, as others may be
-    /// silent with it.
+    /// Records that a member was declared dead. The death is confirmed only after the correlation window, because
+    /// other members may have become unreachable at the same time.
     pub fn member_died(&mut self, now: Micros) {
         self.freeze(now);
         if !self.partition_suspected {
@@ -93,24 +93,24 @@
         }
     }
 
-    /// Adds departures that another part of the fleet has announced or confirmed.
+    /// Adds departures that have already been announced or confirmed in their scopes.
     pub fn confirm_departures(&mut self, departures: usize) {
         self.confirmed_departures += departures;
     }
 
-    /// From now on the count falls by confirmed departures only, for the freeze time.
+    /// Freezes the count for the freeze time: only confirmed departures lower it.
     pub fn freeze(&mut self, now: Micros) {
         self.frozen_until = self.frozen_until.max(now + FREEZE_US);
     }
 
-    /// Brings the count up to date with the view: `live` members, this process included, of whom `unsuspected`
-    /// are not suspected; `views_agree` says whether the other members hold the same view.
+    /// Updates the count from the view: `live` members, this process included, of whom `unsuspected` are not
+    /// suspected. `views_agree` is whether the other members have the same view.
     pub fn update(&mut self, now: Micros, live: usize, unsuspected: usize, views_agree: bool) {
-        // A process that knows nobody else serves as one without membership does.
+        // A process without other members uses the configured count, as it does without membership.
         let live = if live <= 1 { self.configured } else { live };
         self.confirm_pending_deaths(now);
         if !views_agree {
-            // A member that disagrees may know of some that are not seen from here.
+            // A member with another view may know live members that are unknown here.
             self.freeze(now);
         }
         if live >= self.count {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,6 +1,7 @@
-//! The member table: one process's view of the members of its scope.
+//! The member table: the view that a process has of the members of its scope.
 //!
-//! Counts, digest and names are kept as members change; no datagram and no periodic check walks all members.
+//! Counts, digests and names are updated incrementally, so that no datagram and no periodic check iterates over all
+//! members.
 
 use crate::identity::Identity;
 use crate::range_digest::{address_hasher, position, RangeDigests};
@@ -10,9 +11,9 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time a membership update takes to reach all members; a digest that differs within it needs no exchange.
+/// Time that a membership update takes to reach all members; a digest that differs within it needs no exchange.
 const PROPAGATION_US: Micros = 300_000;
-/// A differing digest that was reported longer ago may have changed since.
+/// Maximum age of a differing digest that leads to an exchange; an older one may be out of date.
 const DIFFERENCE_RETENTION_US: Micros = 2_000_000;
 /// How long a member that has left or died stays in the table.
 const DEPARTED_RETENTION_US: Micros = 600_000_000;
@@ -20,18 +21,18 @@
 /// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// It answers.
+    /// The member responds to probes.
     Alive,
-    /// It is silent, and may refute the suspicion.
+    /// The member does not respond, and may still refute the suspicion.
     Suspected,
-    /// It announced that it leaves.
+    /// The member announced its departure.
     Left,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
 }
 
 impl MemberStatus {
-    /// It counts as a member: alive or only suspected.
+    /// Whether a member with this status counts as live: alive or suspected.
     pub fn is_live(self) -> bool {
         matches!(self, MemberStatus::Alive | MemberStatus::Suspected)
     }
@@ -40,11 +41,11 @@
 /// A member as this process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// The identity of the member.
     pub identity: Identity,
-    /// Its status.
+    /// The status of the member.
     pub status: MemberStatus,
-    /// Since when it has that status.
+    /// When the identity or the status last changed.
     pub since: Micros,
 }
 
@@ -58,7 +59,7 @@
     address: SocketAddr,
 }
 
-/// All members of the scope but this process itself.
+/// All members of the scope except this process.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     members: BTreeMap<SocketAddr, MemberRecord>,
@@ -71,12 +72,12 @@
     live_members: usize,
     unsuspected_members: usize,
     names: BTreeSet<NameKey>,
-    /// In the order of the departures.
+    /// Departed members, ordered by the time of departure.
     departures: VecDeque<Departure>,
     reported_digests: ReportedDigests,
 }
 
-/// What a member adds to the digest. A hash, so that no two differences cancel out.
+/// The term that a member adds to the digest. It is hashed so that no two differences cancel out.
 fn digest_term(member: &Identity) -> u64 {
     let mut hasher = address_hasher(member.address);
     hasher.update(&member.incarnation.to_be_bytes());
@@ -88,7 +89,7 @@
 }
 
 impl MemberTable {
-    /// Sets the status of a member. False if nothing is new.
+    /// Sets the identity and status of a member; false if neither changes.
     pub(crate) fn set(&mut self, now: Micros, member: &Identity, status: MemberStatus) -> bool {
         let known = self.members.get(&member.address);
         if known.is_some_and(|known| known.identity == *member && known.status == status) {
@@ -131,7 +132,7 @@
                 break;
             }
             self.departures.pop_front();
-            // Unless it has rejoined since.
+            // The member may have rejoined since.
             let known = self.members.get(&departure.address);
             if known.is_some_and(|known| known.since == departure.at && !known.status.is_live()) {
                 self.remove(departure.address);
@@ -140,14 +141,14 @@
         self.reported_digests.expire(now);
     }
 
-    /// Records the view digest that a member reported; that of a member that is not live does not count.
+    /// Records the view digest that a member reported; ignored if the member is not live.
     pub(crate) fn record_digest(&mut self, now: Micros, member: SocketAddr, digest: u32) {
         if self.is_live(member) {
             self.reported_digests.record(now, member, digest);
         }
     }
 
-    /// Sets what this process itself adds to the digest.
+    /// Sets the identity of this process, whose term is part of the digest.
     pub(crate) fn set_local(&mut self, local: &Identity) {
         let digest_term = digest_term(local);
         self.digest_sum = self.digest_sum.wrapping_sub(self.local_digest_term).wrapping_add(digest_term);
@@ -171,7 +172,7 @@
         self.get(address).is_some_and(|known| known.status.is_live())
     }
 
-    /// Another alive member that has the same name.
+    /// The address of another alive member with the same name.
     pub(crate) fn name_conflict(&self, member: &Identity) -> Option<SocketAddr> {
         let (name_hash, address) = name_key(member);
         let lowest_address = SocketAddr::from(([0, 0, 0, 0], 0));
@@ -196,12 +197,12 @@
         1 + self.unsuspected_members
     }
 
-    /// A hash that is the same for all processes that hold the same members to be live.
+    /// A hash of the live members, equal in all processes that have the same view.
     pub fn digest(&self) -> u32 {
         (self.digest_sum >> 32) as u32
     }
 
-    /// For how long the view has not changed, in microseconds.
+    /// Time since the view last changed, in microseconds.
     pub fn age(&self, now: Micros) -> Micros {
         now.saturating_sub(self.changed_at)
     }
@@ -225,13 +226,13 @@
         &self.range_digests
     }
 
-    /// A member that reported lately, chosen by a random number; `None` if that one has departed since.
+    /// A random one of the members that reported a digest recently; `None` if it has departed since.
     pub(crate) fn random_member(&self, random: u64) -> Option<SocketAddr> {
         let member = self.reported_digests.random_member(random)?;
         self.is_live(member).then_some(member)
     }
 
-    /// Share of the other members whose last reported digest is the one held here, 0 to 1; 1 if none reported.
+    /// Share of the other members whose last reported digest equals the local one, 0 to 1; 1 if none reported.
     pub fn agreement_ratio(&self, now: Micros) -> f64 {
         let agreement = self.reported_digests.agreement(now, self.digest());
         if agreement.total == 0 {
