--- a/crates/membership/src/membership_event.rs
+++ b/crates/membership/src/membership_event.rs
@@ -1,52 +1,52 @@
-//! Membership events: what a node reports to the process that runs it.
+//! Membership events, which a node reports to the process that runs it.
 
 use crate::identity::Identity;
 use crate::member_table::MemberStatus;
 use crate::remote_scope::ScopeStatus;
 use std::net::SocketAddr;
 
-/// A change that the process is notified of.
+/// A change that a node reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member has another status, or is new.
+    /// A member is new, or its identity or status has changed.
     MemberChanged {
         /// The member.
         member: Identity,
-        /// Its status from now on.
+        /// The new status.
         status: MemberStatus,
     },
-    /// Two live members have the same name.
+    /// Two alive members have the same name.
     NameConflict {
-        /// The name.
+        /// The name that both have.
         name: String,
-        /// The member that was known before.
+        /// Address of the member that was known before.
         known: SocketAddr,
-        /// The member that has joined.
+        /// Address of the member that has joined.
         joined: SocketAddr,
     },
     /// Other members had declared this process dead, and it has rejoined.
     Rejoined,
-    /// Whether so many members fell silent together that a network partition is suspected.
+    /// A network partition is suspected because so many members were suspected together, or the suspicion ended.
     PartitionSuspected {
-        /// False: the suspicion is over.
+        /// Whether a partition is suspected now.
         suspected: bool,
     },
-    /// The live count in force has changed.
+    /// The live count has changed.
     LiveCountChanged {
-        /// Client proxies that share the endpoints.
+        /// Number of client proxies that share the endpoints.
         count: usize,
     },
-    /// Another scope has gone silent, or is heard from again.
+    /// Another scope has become silent, or its summaries are received again.
     ScopeChanged {
-        /// Its name.
+        /// Name of the scope.
         scope: String,
-        /// Its status from now on.
+        /// The new status.
         status: ScopeStatus,
     },
 }
 
 impl MembershipEvent {
-    /// It reports a state in force, which must not be lost when the queue of events is full.
+    /// Whether the event reports a current state; such an event must not be lost when the event queue is full.
     pub(crate) fn is_state(&self) -> bool {
         match self {
             MembershipEvent::LiveCountChanged { .. }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! One member of the fleet: its state, and how it handles datagrams and the time.
+//! One member of the fleet: its state, and the handling of datagrams and deadlines.
 
 use crate::anti_entropy::{self, AntiEntropy, AntiEntropyMessage};
 use crate::envelope::{DatagramError, DatagramKind, FleetHashes};
@@ -17,28 +17,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Interval at which the seeds are polled by a member that knows no other.
+/// Interval of seed polls by a member that knows no other member of its scope.
 const ALONE_SEED_POLL_INTERVAL_US: Micros = 500_000;
-/// Interval at which the seeds are polled by the others: both parts of a long partition may have forgotten each
-/// other.
+/// Interval of seed polls by other members: after a long partition, both sides may have removed each other from their
+/// member tables.
 const SEED_POLL_INTERVAL_US: Micros = 10_000_000;
-/// Interval of the periodic check, and of requests to members with a differing view.
+/// Interval of the periodic check, which also sends a request to a member whose view differs.
 const CHECK_INTERVAL_US: Micros = 500_000;
-/// Shortest time between announcements to members of the own scope that other members report.
+/// Minimum time between announcements to unknown members of the local scope that other members report.
 const CONTACT_INTERVAL_US: Micros = 200_000;
-/// Share of the other members that must hold the same view for the views to agree.
-const AGREEMENT_RATIO: f64 = 0.9;
-/// Events that wait to be taken; beyond them only states in force are kept.
+/// The views agree if at least this share of the other members have the same view.
+const MIN_AGREEMENT_RATIO: f64 = 0.9;
+/// Maximum number of queued events; beyond it, only events that report a current state are queued.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// What a node is configured with.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet_name: String,
-    /// Addresses that are polled first.
+    /// Addresses that the node polls to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The number of client proxies that the configuration names.
+    /// The configured number of client proxies.
     pub configured_count: usize,
 }
 
@@ -47,10 +47,11 @@
     swim: Swim,
     config: NodeConfig,
     members: MemberTable,
-    /// Addresses of members whose suspicion is to be looked up in the next check.
+    /// Addresses of members reported as suspected, whose state the next check looks up.
     suspects: BTreeSet<SocketAddr>,
     counts: FleetCount,
     scope_gossip: ScopeGossip,
+    /// Seeds that belong to another scope.
     remote_seeds: BTreeSet<SocketAddr>,
     next_contact_at: Micros,
     anti_entropy: AntiEntropy,
@@ -64,12 +65,12 @@
 }
 
 impl Node {
-    /// Starts in a fleet that is one scope, knowing no other member.
+    /// Creates a node without a scope, which knows no other member.
     pub fn new(now: Micros, seed: u64, local: Identity, config: NodeConfig) -> Self {
         Node::with_scope(now, seed, local, config, "")
     }
 
-    /// Starts in a scope, knowing no other member; a name that is too long is truncated.
+    /// Creates a node in a scope, which knows no other member; a scope name longer than 64 bytes is truncated.
     pub fn with_scope(now: Micros, seed: u64, local: Identity, config: NodeConfig, scope: &str) -> Self {
         let scope = truncate_text(scope);
         let hashes = FleetHashes::new(&config.fleet_name, &scope);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Who this process is.
+    /// The identity of this process.
     pub fn identity(&self) -> &Identity {
         self.swim.identity()
     }
@@ -105,7 +106,7 @@
         &self.members
     }
 
-    /// How many client proxies share the endpoints.
+    /// The number of client proxies that share the endpoints.
     pub fn live_count(&self) -> &LiveCount {
         self.counts.fleet()
     }
@@ -115,32 +116,32 @@
         &self.scope_gossip.scopes
     }
 
-    /// The scope of this process; empty if the whole fleet is one.
+    /// The name of the local scope; empty for a member without a scope.
     pub fn scope(&self) -> &str {
         &self.scope_gossip.scope
     }
 
-    /// So many members fell silent together that a network partition is suspected.
+    /// Whether so many members were suspected together that a network partition is suspected.
     pub fn suspects_partition(&self) -> bool {
         self.counts.suspects_partition()
     }
 
-    /// No other member is known to be live.
+    /// Whether no other member is known to be live.
     pub fn is_alone(&self) -> bool {
         self.members.size() == 1 && self.scopes().live_count() == 0
     }
 
-    /// Bytes of all datagrams so far, without the headers of UDP and IP.
+    /// Total bytes of all datagrams sent so far, without UDP and IP headers.
     pub fn bytes_sent(&self) -> u64 {
         self.outbox.bytes_sent()
     }
 
-    /// Datagrams that were discarded, by reason: `mark`, `version`, `damaged`, `fleet` or `content`.
+    /// Number of discarded datagrams by reason: `mark`, `version`, `damaged`, `fleet` or `content`.
     pub fn discarded_datagrams(&self) -> &BTreeMap<&'static str, u64> {
         &self.discarded_datagrams
     }
 
-    /// When [`Node::handle_time`] must be called next.
+    /// The time at which [`Node::handle_time`] must be called next.
     pub fn next_deadline(&self) -> Micros {
         let next_check_at = self.last_check_at + CHECK_INTERVAL_US;
         let always = self.swim.next_deadline().min(next_check_at);
@@ -154,22 +155,22 @@
         always.min(unless_leaving)
     }
 
-    /// Takes the datagrams to send, with their receivers.
+    /// Removes and returns the datagrams to send, with their destinations.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.outbox.take()
     }
 
-    /// Takes the events since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The configuration names another number of client proxies.
+    /// Sets the configured number of client proxies.
     pub fn set_configured_count(&mut self, configured_count: usize) {
         self.counts.set_configured(configured_count);
     }
 
-    /// Handles a datagram; one that cannot be read is counted and discarded.
+    /// Handles a datagram; an invalid one is counted and discarded.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if let Err(error) = self.dispatch_datagram(now, datagram) {
             *self.discarded_datagrams.entry(error.metric_key()).or_default() += 1;
@@ -199,7 +200,7 @@
                 self.members.record_digest(now, source.sender, digest);
                 Ok(())
             }
-            // From a member that was declared dead, or from a former incarnation of this process: valid.
+            // Valid: sent by a member that was declared dead, or by a former incarnation of this process.
             Some(foca::Error::DataFromOurselves | foca::Error::NotConnected) => Ok(()),
             Some(_) => Err(DatagramError::Content),
         }
@@ -207,7 +208,7 @@
 
     fn handle_scope_gossip(&mut self, now: Micros, content: &[u8]) -> Result<(), DatagramError> {
         let message = ScopeGossipMessage::decode(content)?;
-        let knew_no_scope = self.scopes().is_empty();
+        let had_no_scopes = self.scopes().is_empty();
         let live_count = self.counts.local();
         let reply = self.scope_gossip.handle_message(now, &message, &self.members, live_count);
         self.classify_seed(&message);
@@ -220,13 +221,13 @@
                 self.announce(now, Identity::unidentified(address));
             }
         }
-        if knew_no_scope != self.scopes().is_empty() {
+        if had_no_scopes != self.scopes().is_empty() {
             self.check_members(now);
         }
         Ok(())
     }
 
-    /// Remembers whether a seed belongs to another scope.
+    /// If a seed sent the message, records whether that seed belongs to another scope.
     fn classify_seed(&mut self, message: &ScopeGossipMessage) {
         if !self.config.seeds.contains(&message.from) {
             return;
@@ -241,7 +242,8 @@
     fn handle_anti_entropy(&mut self, now: Micros, digest: u32, content: &[u8]) -> Result<(), DatagramError> {
         let message = AntiEntropyMessage::decode(content)?;
         let sender = message.sender();
-        // A response is longer than its request, and a stranger may name any address as the sender.
+        // A response is longer than its request, and an unknown sender can forge the address in `from`; answering
+        // it would allow amplification attacks.
         if self.leaving || !self.members.is_live(sender) {
             return Ok(());
         }
@@ -272,11 +274,11 @@
         self.outbox.send(now, kind, self.members.digest(), message);
     }
 
-    /// Reconciles the view with that of a member.
+    /// Requests the members by which the view of another member differs.
     fn request_differences(&mut self, now: Micros, member: SocketAddr) {
-        let reported_members = self.scopes().reported_local_member_count(now);
+        let reported_member_count = self.scopes().reported_local_member_count(now);
         let local = self.identity().address;
-        let request = self.anti_entropy.next_request(local, &self.members, reported_members);
+        let request = self.anti_entropy.next_request(local, &self.members, reported_member_count);
         if let Some(request) = request {
             self.send_anti_entropy(now, member, &request);
         } else if let Some(record) = self.members.get(member) {
@@ -289,7 +291,7 @@
         self.apply_swim_output(now, output);
     }
 
-    /// Runs all that is due.
+    /// Runs all timers and periodic tasks that are due.
     pub fn handle_time(&mut self, now: Micros) {
         while let Some(output) = self.swim.run_due_timer(now) {
             self.apply_swim_output(now, output);
@@ -355,13 +357,13 @@
         if self.leaving {
             return;
         }
-        // Piggybacked updates are transmitted only so often; a view that still differs is reconciled.
+        // Each update is piggybacked a limited number of times; a view that still differs is reconciled.
         if let Some(member) = self.members.settled_differing_member(now) {
             self.request_differences(now, member);
         }
     }
 
-    /// Announces that this process leaves.
+    /// Announces the departure of this process.
     pub fn leave(&mut self, now: Micros) {
         let output = self.swim.leave(now);
         self.leaving = true;
@@ -374,11 +376,12 @@
         }
     }
 
-    /// Takes in what `foca` reports, and sends what it wrote.
+    /// Applies the changes that `foca` reports, and sends its messages.
     fn apply_swim_output(&mut self, now: Micros, output: SwimOutput) {
         let previous_digest = self.members.digest();
-        let joined = output.changes.iter().filter(|change| matches!(change, MemberChange::Up(_))).count();
-        self.anti_entropy.members_learned(now, joined);
+        let joined_count =
+            output.changes.iter().filter(|change| matches!(change, MemberChange::Up(_))).count();
+        self.anti_entropy.members_learned(now, joined_count);
         for change in output.changes {
             self.apply_change(now, change);
         }
@@ -402,7 +405,7 @@
                 let status = if member.leaving { MemberStatus::Left } else { MemberStatus::Dead };
                 self.set_status(now, &member, status);
             }
-            // A member that was not live is reported as up as well, if it is.
+            // `foca` reports a member that becomes live as up as well.
             MemberChange::Renamed(member) => {
                 let known = self.members.get(member.address).map(|known| known.status);
                 if let Some(status) = known.filter(|status| status.is_live()) {
@@ -413,7 +416,7 @@
         }
     }
 
-    /// Sets the status of a member, with what follows for the live counts, and reports it.
+    /// Sets the status of a member, records it in the live counts, and reports it.
     fn set_status(&mut self, now: Micros, member: &Identity, status: MemberStatus) {
         let previous = self.members.get(member.address).map(|known| known.status);
         if !self.members.set(now, member, status) {
@@ -424,14 +427,14 @@
             MemberStatus::Suspected => self.counts.member_suspected(now),
             MemberStatus::Left => self.counts.member_left(),
             MemberStatus::Dead => {
-                // A suspicion that was not seen from here.
+                // The suspicion before the death was not observed by this process.
                 if previous == Some(MemberStatus::Alive) {
                     self.counts.member_suspected(now);
                 }
                 self.counts.member_died(now);
             }
         }
-        // The name of a member that was only suspected has been checked before.
+        // The name of a member that was live before has already been checked.
         if status == MemberStatus::Alive && !previous.is_some_and(MemberStatus::is_live) {
             self.report_name_conflict(member);
         }
@@ -448,7 +451,7 @@
         }
     }
 
-    /// Takes in suspicions, expires what is old, and brings the live counts up to date.
+    /// Applies suspicions, removes expired entries, and updates the live counts.
     fn check_members(&mut self, now: Micros) {
         self.check_suspects(now);
         self.members.expire(now);
@@ -474,7 +477,7 @@
 
     fn update_live_counts(&mut self, now: Micros) {
         let previous_count = self.counts.fleet().get();
-        let views_agree = self.members.agreement_ratio(now) >= AGREEMENT_RATIO;
+        let views_agree = self.members.agreement_ratio(now) >= MIN_AGREEMENT_RATIO;
         self.counts.update_local(now, &self.members, views_agree);
         for change in self.scope_gossip.scopes.update(now, previous_count) {
             self.report(MembershipEvent::ScopeChanged { scope: change.scope, status: change.status });
--- a/crates/membership/src/rate_limit.rs
+++ b/crates/membership/src/rate_limit.rs
@@ -1,36 +1,36 @@
-//! Limits the bytes that a node sends, by a token bucket with an overdraft for failure detection.
+//! Limits the bytes that a node sends: a token bucket that failure detection may overdraw.
 //!
-//! The limit holds in any second: refill rate, burst and overdraft together are the most that one second sees.
+//! In any second, a node sends at most the refill of one second, the burst and the overdraft together.
 
 use crate::Micros;
 
-/// What IP and UDP add to a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const UDP_IP_HEADER_BYTES: usize = 28;
-/// Refill rate. With burst and overdraft one second sees at most 21,500 bytes.
+/// Refill rate. Together with burst and overdraft, it permits at most 21,500 bytes in any second.
 const REFILL_BYTES_PER_SECOND: f64 = 14_000.0;
 /// Capacity of the bucket.
 const BURST_BYTES: f64 = 4_000.0;
-/// How far failure detection alone may overdraw the bucket.
+/// Maximum overdraft, for failure detection only.
 const OVERDRAFT_BYTES: f64 = 3_500.0;
-/// What dissemination leaves in the bucket for scope gossip and the next pings and acks.
+/// Bytes that dissemination leaves in the bucket for scope gossip and the next pings and acks.
 const RESERVED_BYTES: f64 = 1_000.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Which datagrams go first when the bucket is short.
+/// The priority of a datagram when few bytes are available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendPriority {
     /// Pings and acks decide whether a member is alive; membership updates are piggybacked on them.
     FailureDetection,
-    /// Scope summaries: without them a living scope would be held silent.
+    /// Scope summaries: without them, other members would consider a live scope silent.
     ScopeGossip,
-    /// Gossip, feeds and anti-entropy: repeated or requested again.
+    /// Gossip, feeds and anti-entropy: if dropped, they are repeated or requested again.
     Dissemination,
 }
 
 /// A token bucket of bytes.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
-    /// Negative while failure detection has overdrawn it.
+    /// Negative while failure detection has overdrawn the bucket.
     available_bytes: f64,
     refilled_at: Micros,
 }
@@ -48,8 +48,8 @@
         self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// How long a datagram may be that needs `min_bytes` and would like `wanted_bytes`, envelope included; `None`
-    /// if it must not be sent now. Only failure detection is given less than it wants.
+    /// The permitted size of a datagram of at least `min_bytes` and at most `wanted_bytes`, envelope included; `None`
+    /// if it must not be sent now. Only for failure detection may it be less than `wanted_bytes`.
     pub(crate) fn permitted_bytes(
         &mut self,
         now: Micros,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Accounts for a datagram that is sent.
+    /// Deducts the bytes of a sent datagram, headers included.
     pub(crate) fn consume(&mut self, datagram_bytes: usize) {
         self.available_bytes -= (datagram_bytes + UDP_IP_HEADER_BYTES) as f64;
     }
--- a/crates/membership/src/rate_limit/tests.rs
+++ b/crates/membership/src/rate_limit/tests.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// Sends as much of a datagram as is permitted; tells whether any of it was.
+/// Sends as much of a datagram as is permitted; false if none of it is.
 fn send(rate_limit: &mut RateLimit, now: Micros, priority: SendPriority, bytes: usize) -> bool {
     let permitted = rate_limit.permitted_bytes(now, priority, bytes.min(60), bytes);
     permitted.map(|permitted| rate_limit.consume(permitted)).is_some()
 }
 
-/// A member sends its scope five summaries a second, however much else waits: without them the others would hold a
-/// living scope silent after 5 s.
+/// A member sends five summaries per second to its scope, even when other traffic exceeds the limit: without them,
+/// other members would consider a live scope silent after 5 s.
 #[test]
 fn scope_gossip_is_sent_while_dissemination_exceeds_the_limit() {
     let mut rate_limit = RateLimit::new(0);
     let mut summaries_sent = 0;
     for now in (0..10_000_000).step_by(10_000) {
-        // More than the limit permits.
+        // Dissemination uses all that the limit permits.
         while send(&mut rate_limit, now, SendPriority::Dissemination, 1_400) {}
         send(&mut rate_limit, now, SendPriority::FailureDetection, 1_400);
         if now % 200_000 == 0 && send(&mut rate_limit, now, SendPriority::ScopeGossip, 760) {
             summaries_sent += 1;
         }
     }
-    assert!(summaries_sent >= 45, "{summaries_sent} of 50");
+    assert!(summaries_sent >= 45, "{summaries_sent} of 50 summaries were sent, at least 45 expected");
 }
 
-/// The limit holds in any second, whatever waits to be sent.
+/// No combination of priorities may exceed the limit in any second.
 #[test]
 fn no_second_exceeds_the_limit() {
     let mut rate_limit = RateLimit::new(0);
@@ -42,10 +42,10 @@
             }
         }
     }
-    for (begin, _) in &sent {
-        let second = sent.iter().filter(|(at, _)| (*begin..begin + 1_000_000).contains(at));
+    for (start, _) in &sent {
+        let second = sent.iter().filter(|(at, _)| (*start..start + 1_000_000).contains(at));
         let bytes: usize = second.map(|(_, bytes)| bytes).sum();
         let limit = REFILL_BYTES_PER_SECOND + BURST_BYTES + OVERDRAFT_BYTES;
-        assert!(bytes as f64 <= limit, "{bytes} in the second from {begin}");
+        assert!(bytes as f64 <= limit, "{bytes} bytes in the second from {start} us, limit {limit}");
     }
 }
