--- a/crates/membership/src/remote_scope.rs
+++ b/crates/membership/src/remote_scope.rs
@@ -1,26 +1,26 @@
-//! What is known of one other scope: the views that its members reported, its contacts, and its part of the live
-//! count.
+//! The state of one other scope: the views reported by its members, its contacts, and its share of the count.
 //!
-//! A summary is made by a member of its scope and passed on; each member that passes it on adds the time that it
-//! kept it, and what the way may have taken. Of two summaries with the same digest the younger one counts; among
-//! different digests the one with the greatest live count.
+//! A summary is created by a member of its scope and forwarded by other members; each of them adds to its age
+//! the time for which it stored the summary, and an allowance for the network. Of two summaries with the same
+//! digest, the newer one applies; among different digests, the one with the greatest live count.
 
 use crate::scope_summary::{ScopeSummary, MAX_CONTACTS};
 use crate::Micros;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A scope of which no younger summary is known is silent.
+/// A scope is silent if its newest summary is older than this.
 const SILENCE_TIMEOUT_US: Micros = 5_000_000;
-/// How long a summary is kept, and the count of a silent scope stays: silence may be a network partition.
+/// How long a summary is retained, and how long the count of a silent scope does not fall: the scope may only
+/// be unreachable because of a network partition.
 pub(crate) const SUMMARY_RETENTION_US: Micros = 60_000_000;
-/// Share of the live count by which the count of a silent scope then falls at a time.
+/// Share of the live count by which the count of a silent scope then falls per step.
 const MAX_DECREASE_RATIO: f64 = 0.1;
-/// Shortest time between two decreases.
+/// Minimum time between two decreases.
 const DECREASE_INTERVAL_US: Micros = 1_000_000;
-/// What one hop adds to a summary's age, so that none grows younger by circulating.
+/// Age that one hop adds to a summary, so that no summary becomes newer by circulating.
 const HOP_AGE_US: Micros = 100_000;
-/// Views that differ, of which the youngest are kept.
+/// Maximum number of differing views; the newest are retained.
 const MAX_REPORTED_VIEWS: usize = 8;
 
 /// The view of a scope that one of its members reported.
@@ -30,25 +30,25 @@
     live_count: usize,
     member_count: usize,
     unsuspected_count: usize,
-    made_at: Micros,
+    created_at: Micros,
 }
 
 impl ReportedView {
     fn is_fresh(&self, now: Micros) -> bool {
-        now <= self.made_at + SILENCE_TIMEOUT_US
+        now <= self.created_at + SILENCE_TIMEOUT_US
     }
 }
 
-/// Whether a scope is heard from.
+/// Whether recent summaries of a scope are received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScopeStatus {
-    /// It is.
+    /// The newest summary is recent.
     Fresh,
-    /// It is not for some seconds; its count stays, and later falls step by step.
+    /// No summary has been received for some seconds; the count of the scope stays, and later falls in steps.
     Silent,
 }
 
-/// Another scope as it is seen from here.
+/// Another scope as this process sees it.
 #[derive(Clone, Debug)]
 pub struct RemoteScope {
     views: Vec<ReportedView>,
@@ -59,7 +59,7 @@
 }
 
 impl RemoteScope {
-    /// A scope of which nothing has been reported.
+    /// A scope for which no summary has been received.
     pub(crate) fn new(now: Micros) -> Self {
         RemoteScope {
             views: Vec::new(),
@@ -70,36 +70,36 @@
         }
     }
 
-    fn youngest(&self) -> Option<&ReportedView> {
-        self.views.iter().max_by_key(|view| view.made_at)
+    fn newest(&self) -> Option<&ReportedView> {
+        self.views.iter().max_by_key(|view| view.created_at)
     }
 
-    /// Its part of the live count.
+    /// The share of this scope in the live count.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// Live members by the youngest summary.
+    /// Number of live members in the newest summary.
     pub fn member_count(&self) -> usize {
-        self.youngest().map_or(0, |view| view.member_count)
+        self.newest().map_or(0, |view| view.member_count)
     }
 
-    /// Live members that are not suspected, by the youngest summary.
+    /// Number of live members that are not suspected, in the newest summary.
     pub(crate) fn unsuspected_count(&self) -> usize {
-        self.youngest().map_or(0, |view| view.unsuspected_count)
+        self.newest().map_or(0, |view| view.unsuspected_count)
     }
 
-    /// The digest of the youngest summary.
+    /// The digest of the newest summary.
     pub fn digest(&self) -> u32 {
-        self.youngest().map_or(0, |view| view.digest)
+        self.newest().map_or(0, |view| view.digest)
     }
 
-    /// How old the youngest summary is, in microseconds; [`Micros::MAX`] if there is none.
+    /// Age of the newest summary, in microseconds; [`Micros::MAX`] if there is none.
     pub fn age(&self, now: Micros) -> Micros {
-        self.youngest().map_or(Micros::MAX, |view| now.saturating_sub(view.made_at))
+        self.newest().map_or(Micros::MAX, |view| now.saturating_sub(view.created_at))
     }
 
-    /// Whether it is heard from.
+    /// Whether recent summaries of the scope are received.
     pub fn status(&self) -> ScopeStatus {
         self.status
     }
@@ -118,19 +118,19 @@
         self.fresh_views(now).map(|view| view.member_count).max()
     }
 
-    /// Forgets the summaries that are no longer fresh.
+    /// Removes the views that are no longer fresh.
     pub(crate) fn expire_views(&mut self, now: Micros) {
         self.views.retain(|view| view.is_fresh(now));
     }
 
-    /// Takes in a summary that was made at an instant.
-    pub(crate) fn apply(&mut self, summary: &ScopeSummary, made_at: Micros) {
+    /// Adds the view and the contacts of a summary that was created at the given time.
+    pub(crate) fn apply(&mut self, summary: &ScopeSummary, created_at: Micros) {
         self.add_view(ReportedView {
             digest: summary.digest,
             live_count: summary.live_count as usize,
             member_count: summary.member_count as usize,
             unsuspected_count: summary.unsuspected_count as usize,
-            made_at,
+            created_at,
         });
         for contact in &summary.contacts {
             self.add_contact(*contact);
@@ -139,17 +139,17 @@
 
     fn add_view(&mut self, view: ReportedView) {
         match self.views.iter_mut().find(|known| known.digest == view.digest) {
-            Some(known) if known.made_at >= view.made_at => {}
+            Some(known) if known.created_at >= view.created_at => {}
             Some(known) => *known = view,
             None => self.views.push(view),
         }
         if self.views.len() > MAX_REPORTED_VIEWS {
-            let oldest = (0..self.views.len()).min_by_key(|index| self.views[*index].made_at);
+            let oldest = (0..self.views.len()).min_by_key(|index| self.views[*index].created_at);
             oldest.map(|index| self.views.swap_remove(index));
         }
     }
 
-    /// Remembers a member of the scope.
+    /// Adds the address of a member; if there are too many, the oldest is removed.
     pub(crate) fn add_contact(&mut self, address: SocketAddr) {
         if self.contacts.contains(&address) {
             return;
@@ -160,14 +160,14 @@
         }
     }
 
-    /// One of its members, chosen by a random number.
+    /// A contact selected by a random number.
     pub(crate) fn random_contact(&self, random: u64) -> Option<SocketAddr> {
         let contacts = self.contacts.len() as u64;
         let index = random.checked_rem(contacts)? as usize;
         self.contacts.get(index).copied()
     }
 
-    /// Removes up to `max_contacts` contacts that are wanted, the last ones first, and returns them.
+    /// Removes up to `max_contacts` contacts for which `wanted` is true, newest first, and returns them.
     pub(crate) fn take_contacts(
         &mut self,
         wanted: impl Fn(SocketAddr) -> bool,
@@ -180,20 +180,20 @@
         taken
     }
 
-    /// Brings its status and count up to date, and returns the status if it changed. `total_live_count` is the
-    /// count in force; this process has been running without a stall since `awake_since`.
+    /// Updates the status and the live count; returns the status if it changed. `total_live_count` is the
+    /// live count of the fleet; this process has been running without a stall since `no_stall_since`.
     pub(crate) fn update(
         &mut self,
         now: Micros,
         total_live_count: usize,
-        awake_since: Micros,
+        no_stall_since: Micros,
     ) -> Option<ScopeStatus> {
-        let last_made_at = self.youngest().map_or(0, |view| view.made_at);
-        let last_report_at = last_made_at.max(awake_since);
+        let newest_created_at = self.newest().map_or(0, |view| view.created_at);
+        let last_report_at = newest_created_at.max(no_stall_since);
         let status =
             if now <= last_report_at + SILENCE_TIMEOUT_US { ScopeStatus::Fresh } else { ScopeStatus::Silent };
         match status {
-            ScopeStatus::Fresh => self.take_reported_count(now),
+            ScopeStatus::Fresh => self.apply_reported_count(now),
             ScopeStatus::Silent => self.decrease_silent_count(now, total_live_count, last_report_at),
         }
         let changed = self.status != status;
@@ -201,8 +201,8 @@
         changed.then_some(status)
     }
 
-    /// After this process itself stalled there may be no fresh summary; then the count stays.
-    fn take_reported_count(&mut self, now: Micros) {
+    /// After a stall of this process there may be no fresh summary; the count then stays.
+    fn apply_reported_count(&mut self, now: Micros) {
         if let Some(live_count) = self.reported_live_count(now) {
             self.live_count = live_count;
             self.expire_views(now);
@@ -219,8 +219,8 @@
         self.last_decrease_at = now;
     }
 
-    /// The summaries to pass on: the youngest with up to `max_contacts` contacts, beginning at the `rotation`th,
-    /// and the one with the greatest live count if that is another.
+    /// The summaries to forward: the newest, with up to `max_contacts` contacts starting at index `rotation`,
+    /// and the one with the greatest live count if that count is greater than the count of the newest.
     pub(crate) fn summaries(
         &self,
         now: Micros,
@@ -228,22 +228,22 @@
         rotation: usize,
         max_contacts: usize,
     ) -> Vec<ScopeSummary> {
-        let youngest = self.youngest();
-        let greatest = self.fresh_views(now).max_by_key(|view| (view.live_count, view.made_at));
-        let greatest = greatest
-            .filter(|greatest| youngest.is_some_and(|youngest| greatest.live_count > youngest.live_count));
+        let newest = self.newest();
+        let greatest = self.fresh_views(now).max_by_key(|view| (view.live_count, view.created_at));
+        let greatest =
+            greatest.filter(|greatest| newest.is_some_and(|newest| greatest.live_count > newest.live_count));
         let contacts = self.contacts.iter().cycle().skip(rotation % self.contacts.len().max(1));
         let contacts: Vec<SocketAddr> =
             contacts.take(max_contacts.min(self.contacts.len())).copied().collect();
-        let youngest = youngest.and_then(|view| summary(view, now, name, contacts));
+        let newest = newest.and_then(|view| summary(view, now, name, contacts));
         let greatest = greatest.and_then(|view| summary(view, now, name, Vec::new()));
-        youngest.into_iter().chain(greatest).collect()
+        newest.into_iter().chain(greatest).collect()
     }
 }
 
-/// The summary of a view, one hop older; `None` if it is older than the retention time.
+/// The summary of a view, with the age of one hop added; `None` if it is then older than the retention time.
 fn summary(view: &ReportedView, now: Micros, name: &str, contacts: Vec<SocketAddr>) -> Option<ScopeSummary> {
-    let age = now.saturating_sub(view.made_at) + HOP_AGE_US;
+    let age = now.saturating_sub(view.created_at) + HOP_AGE_US;
     if age > SUMMARY_RETENTION_US {
         return None;
     }
--- a/crates/membership/src/reported_digests.rs
+++ b/crates/membership/src/reported_digests.rs
@@ -1,10 +1,10 @@
-//! Keeps the view digests that the other members reported lately, and counts how many agree.
+//! Stores the view digests that other members reported recently, and counts how many of them agree.
 
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How long a reported digest counts.
+/// How long a reported digest is retained.
 const RETENTION_US: Micros = 10_000_000;
 
 /// The last digest that a member reported.
@@ -14,29 +14,30 @@
     at: Micros,
 }
 
-/// One report, in the order in which they came.
+/// An entry of the report queue, which is ordered by time.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     at: Micros,
     member: SocketAddr,
 }
 
-/// How many members lately reported a digest.
+/// How many of the recently reported digests equal a given one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DigestAgreement {
-    /// Members whose digest is the one asked for.
+    /// Number of members that reported the given digest.
     pub(crate) matching: usize,
-    /// Members that reported any.
+    /// Number of members that reported any digest.
     pub(crate) total: usize,
 }
 
-/// The digests that were reported lately, the last one of each member.
+/// The last digest of each member that reported one recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedDigests {
     latest: BTreeMap<SocketAddr, ReportedDigest>,
-    /// All reports within the retention time; those that a later one replaced are no longer in `latest`.
+    /// All reports within the retention time, including those that a later report of the same member replaced
+    /// in `latest`.
     reports: VecDeque<Report>,
-    /// How many members reported each digest last.
+    /// Number of members by the digest that they reported last.
     member_counts: BTreeMap<u32, usize>,
 }
 
@@ -50,7 +51,7 @@
         self.expire(now);
     }
 
-    /// Removes what a member reported.
+    /// Removes the digest that a member reported.
     pub(crate) fn remove(&mut self, member: SocketAddr) {
         let Some(reported) = self.latest.remove(&member) else { return };
         if let Some(count) = self.member_counts.get_mut(&reported.digest) {
@@ -71,13 +72,13 @@
         }
     }
 
-    /// The digest of a report, unless a later one of the same member replaced it.
+    /// The digest of a report, unless a later report of the same member replaced it.
     fn digest_of(&self, report: &Report) -> Option<u32> {
         let reported = self.latest.get(&report.member)?;
         (reported.at == report.at).then_some(reported.digest)
     }
 
-    /// The member that was the last to report another digest, if since the given instant.
+    /// The member that most recently reported another digest, at `since` or later.
     pub(crate) fn last_differing(&self, digest: u32, since: Micros) -> Option<SocketAddr> {
         let mut recent = self.reports.iter().rev().take_while(|report| report.at >= since);
         let report =
@@ -85,15 +86,15 @@
         Some(report.member)
     }
 
-    /// A member that reported lately, chosen by a random number.
+    /// The member of a recent report, selected by a random number.
     pub(crate) fn random_member(&self, random: u64) -> Option<SocketAddr> {
         let index = random.checked_rem(self.reports.len() as u64)? as usize;
         self.reports.get(index).map(|report| report.member)
     }
 
-    /// How many members agree with a digest.
+    /// How many members reported a digest equal to the given one.
     pub(crate) fn agreement(&self, now: Micros, digest: u32) -> DigestAgreement {
-        // Reports that have expired since they were last removed.
+        // Reports that have expired but have not been removed yet.
         let expired = self.reports.iter().take_while(|report| is_expired(report, now));
         let expired: Vec<u32> = expired.filter_map(|report| self.digest_of(report)).collect();
         let expired_matching = expired.iter().filter(|reported| **reported == digest).count();
--- a/crates/membership/src/scope_gossip.rs
+++ b/crates/membership/src/scope_gossip.rs
@@ -1,5 +1,5 @@
-//! Scope gossip: summaries of scopes spread among the members of one scope, and between scopes by a few of them at
-//! a time.
+//! Scope gossip: disseminates the summaries of scopes among the members of one scope and, by a few members
+//! per round, between scopes.
 
 use crate::envelope::DatagramError;
 use crate::identity::MAX_TEXT_BYTES;
@@ -13,38 +13,38 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Interval at which a member sends its summaries to another of its scope: about ten rounds reach all members, and a
-/// scope is silent after five seconds.
+/// Interval at which a member sends its summaries to another member of its scope: about ten rounds reach all
+/// members, and a scope is considered silent only after five seconds.
 const GOSSIP_INTERVAL_US: Micros = 200_000;
-/// Polls of each other scope, by all members of a scope together.
+/// Polls of each other scope per second, by all members of the local scope together.
 const SCOPE_POLLS_PER_SECOND: f64 = 2.0;
-/// Room for summaries in a message within the scope.
-const LOCAL_SUMMARIES_BYTES: usize = 700;
-/// Room for summaries in a message between scopes.
-const REMOTE_SUMMARIES_BYTES: usize = 1_000;
-/// What a summary takes beside its name and contacts, at the most.
-const SUMMARY_HEAD_BYTES: usize = 24;
-/// What a contact takes at the most.
-const IPV4_CONTACT_BYTES: usize = 10;
-const IPV6_CONTACT_BYTES: usize = 22;
-/// Bound on the replies.
+/// Maximum size of the summaries in a message within the scope.
+const MAX_LOCAL_SUMMARIES_BYTES: usize = 700;
+/// Maximum size of the summaries in a message between scopes.
+const MAX_REMOTE_SUMMARIES_BYTES: usize = 1_000;
+/// Upper bound of the encoded size of a summary without its name and contacts.
+const SUMMARY_OVERHEAD_BYTES: usize = 24;
+/// Upper bound of the encoded size of a contact.
+const MAX_IPV4_CONTACT_BYTES: usize = 10;
+const MAX_IPV6_CONTACT_BYTES: usize = 22;
+/// Rate limit of replies; up to one second of it may be sent in a burst.
 const REPLY_BYTES_PER_SECOND: f64 = 6_000.0;
-/// Contacts of its own scope that a reply names to the member that polls.
-const MAX_REPLY_CONTACTS: usize = 12;
-/// Contacts in each other summary.
+/// Maximum number of contacts in a reply that belong to the scope of the polling member.
+const MAX_POLLER_SCOPE_CONTACTS: usize = 12;
+/// Maximum number of contacts in each other summary.
 const MAX_SUMMARY_CONTACTS: usize = 1;
-/// Contacts of the sender's scope in its own summary between scopes.
+/// Maximum number of contacts of the local scope in its own summary sent to other scopes.
 const MAX_LOCAL_CONTACTS: usize = 2;
-/// Unknown members of the own scope that are contacted at a time.
+/// Maximum number of unknown members of the local scope that are contacted at once.
 const MAX_NEW_CONTACTS: usize = 2;
-/// The first pause between the polls of the seeds by a member that is alone; it doubles up to the longest one.
-const MIN_SEED_PAUSE_US: Micros = 500_000;
-const MAX_SEED_PAUSE_US: Micros = 4_000_000;
+/// Initial backoff between seed polls by a member that is alone; it doubles up to the maximum.
+const MIN_SEED_BACKOFF_US: Micros = 500_000;
+const MAX_SEED_BACKOFF_US: Micros = 4_000_000;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Random numbers of 53 bits are compared with a probability, as a float holds no more.
+/// Scale of the 53-bit random numbers that are compared with a probability: an `f64` holds no more bits.
 const RANDOM_53_BITS: f64 = (1_u64 << 53) as f64;
 
-/// What members of scopes send each other. The order of the fields is the order on the wire.
+/// A scope gossip message. The order of the fields defines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ScopeGossipMessage {
     pub(crate) from: SocketAddr,
@@ -54,10 +54,11 @@
 }
 
 impl ScopeGossipMessage {
-    /// Decodes a valid message.
+    /// Decodes and validates a message.
     ///
     /// # Errors
-    /// [`DatagramError::Content`] if it cannot be decoded, is longer than its content or holds an invalid summary.
+    /// [`DatagramError::Content`] if the message cannot be decoded, is followed by further bytes, or contains
+    /// a scope name that is too long or an invalid summary.
     pub(crate) fn decode(content: &[u8]) -> Result<ScopeGossipMessage, DatagramError> {
         let (message, rest) = postcard::take_from_bytes::<ScopeGossipMessage>(content)?;
         let valid = rest.is_empty()
@@ -83,14 +84,14 @@
     }
 }
 
-/// When a member that is alone polls its seeds.
+/// The backoff state of a member that is alone and polls its seeds.
 #[derive(Clone, Copy, Debug)]
 struct SeedBackoff {
     next_poll_at: Micros,
-    pause: Micros,
+    delay: Micros,
 }
 
-/// The part that one member takes in scope gossip.
+/// The scope gossip state of one member.
 pub(crate) struct ScopeGossip {
     /// The name of the local scope.
     pub(crate) scope: String,
@@ -98,16 +99,16 @@
     address: SocketAddr,
     random: Pcg64,
     next_round_at: Micros,
-    /// Counts the rounds, so that each scope comes first in its turn.
+    /// Number of rounds, which rotates the order of the scopes in messages.
     round: usize,
     reply_budget: ReplyBudget,
     seed_backoff: SeedBackoff,
 }
 
 impl ScopeGossip {
-    /// Starts without knowing other scopes; the first round is at a random instant.
+    /// Starts without other scopes; the first round is due at a random time within the gossip interval.
     pub(crate) fn new(now: Micros, seed: u64, scope: &str, address: SocketAddr) -> Self {
-        // Other random numbers than those of SWIM, which has the same seed.
+        // SWIM uses the same seed; the XOR makes the random numbers differ.
         let mut random = Pcg64::seed_from_u64(seed ^ 0x5c0_9e5);
         let next_round_at = now + random.next_u64() % GOSSIP_INTERVAL_US;
         ScopeGossip {
@@ -118,11 +119,11 @@
             next_round_at,
             round: 0,
             reply_budget: ReplyBudget { available_bytes: REPLY_BYTES_PER_SECOND, refilled_at: now },
-            seed_backoff: SeedBackoff { next_poll_at: now, pause: MIN_SEED_PAUSE_US },
+            seed_backoff: SeedBackoff { next_poll_at: now, delay: MIN_SEED_BACKOFF_US },
         }
     }
 
-    /// When the next round is due; never as long as no other scope is known.
+    /// The time of the next round; [`Micros::MAX`] while no other scope is known.
     pub(crate) fn next_deadline(&self) -> Micros {
         if self.scopes.is_empty() {
             return Micros::MAX;
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Encodes a message with the first summaries that fit; `None` if that fails, then the next round repeats it.
+    /// Encodes a message with the first candidates that fit into `max_bytes`; `None` if encoding fails, in
+    /// which case the next round retries.
     fn encode(
         &self,
         wants_reply: bool,
@@ -170,7 +172,8 @@
         postcard::to_allocvec(&message).ok()
     }
 
-    /// The messages of a round, if one is due: to a member of the local scope, and sometimes to one of another.
+    /// The messages of a round, if one is due: one to a member of the local scope, and sometimes one to a
+    /// member of another scope.
     pub(crate) fn take_due_round(
         &mut self,
         now: Micros,
@@ -197,12 +200,12 @@
         let to = members.random_member(self.random.next_u64())?;
         let remote_summaries = self.scopes.summaries(now, self.round, MAX_SUMMARY_CONTACTS);
         let summaries = std::iter::once(local_summary).chain(remote_summaries);
-        let content = self.encode(false, summaries, LOCAL_SUMMARIES_BYTES)?;
+        let content = self.encode(false, summaries, MAX_LOCAL_SUMMARIES_BYTES)?;
         Some(OutgoingMessage { to, content })
     }
 
-    /// Polls a random scope with a probability such that each is polled as often, whatever the size of the local
-    /// one.
+    /// Polls a random scope, with a probability that makes the poll rate of each scope independent of the
+    /// size of the local scope.
     fn remote_round(
         &mut self,
         now: Micros,
@@ -225,7 +228,8 @@
         Some(OutgoingMessage { to, content })
     }
 
-    /// A message to a member of another scope: a poll, or the reply to a member of the scope `reply_to`.
+    /// A message to a member of another scope: the reply to a member of the scope `reply_to`, or a poll if
+    /// that is `None`.
     fn remote_message(
         &mut self,
         now: Micros,
@@ -237,38 +241,40 @@
             local_summary.contacts.extend(members.random_member(self.random.next_u64()));
         }
         let poller_scope = reply_to
-            .map(|scope| self.scopes.summaries_of(now, &self.scope, scope, MAX_REPLY_CONTACTS))
+            .map(|scope| self.scopes.summaries_of(now, &self.scope, scope, MAX_POLLER_SCOPE_CONTACTS))
             .unwrap_or_default();
         let others = self.scopes.summaries(now, self.round, MAX_SUMMARY_CONTACTS);
         let others = others.filter(|summary| reply_to != Some(summary.scope.as_str()));
         let summaries = std::iter::once(local_summary).chain(poller_scope).chain(others);
-        self.encode(reply_to.is_none(), summaries, REMOTE_SUMMARIES_BYTES)
+        self.encode(reply_to.is_none(), summaries, MAX_REMOTE_SUMMARIES_BYTES)
     }
 
-    /// Whether the seeds may be polled now. A member that is alone backs off, with jitter, so that those that
-    /// started together do not stay in step.
+    /// Whether the seeds may be polled now. A member that is alone backs off with jitter, so that members
+    /// that started together do not remain synchronized.
     pub(crate) fn may_poll_seeds(&mut self, now: Micros, alone: bool) -> bool {
         if !alone {
-            self.seed_backoff.pause = MIN_SEED_PAUSE_US;
+            self.seed_backoff.delay = MIN_SEED_BACKOFF_US;
             return true;
         }
-        let SeedBackoff { next_poll_at, pause } = self.seed_backoff;
+        let SeedBackoff { next_poll_at, delay } = self.seed_backoff;
         if now < next_poll_at {
             return false;
         }
-        let jitter = self.random.next_u64() % pause;
-        self.seed_backoff =
-            SeedBackoff { next_poll_at: now + pause / 2 + jitter, pause: (2 * pause).min(MAX_SEED_PAUSE_US) };
+        let jitter = self.random.next_u64() % delay;
+        self.seed_backoff = SeedBackoff {
+            next_poll_at: now + delay / 2 + jitter,
+            delay: (2 * delay).min(MAX_SEED_BACKOFF_US),
+        };
         true
     }
 
-    /// The message by which a seed is polled.
+    /// The message that polls a seed.
     pub(crate) fn seed_poll(&self, members: &MemberTable, live_count: usize) -> Option<Vec<u8>> {
         let local_summary = self.local_summary(members, live_count);
-        self.encode(true, std::iter::once(local_summary), REMOTE_SUMMARIES_BYTES)
+        self.encode(true, std::iter::once(local_summary), MAX_REMOTE_SUMMARIES_BYTES)
     }
 
-    /// Takes in a message, and returns the reply if one is wanted.
+    /// Applies a message, and returns the reply if the message requests one.
     pub(crate) fn handle_message(
         &mut self,
         now: Micros,
@@ -286,7 +292,7 @@
             self.scopes.apply(now, &self.scope, summary);
         }
         self.reply_budget.refill(now);
-        // A fleet of one scope needs no reply; a poll beyond the budget is repeated.
+        // A fleet of one scope needs no reply; a poll that exceeds the reply budget is repeated later.
         if !message.wants_reply || self.reply_budget.available_bytes <= 0.0 || self.scopes.is_empty() {
             return None;
         }
@@ -296,11 +302,11 @@
         Some(OutgoingMessage { to: message.from, content })
     }
 
-    /// Takes some members of the local scope that others reported and the view does not know. Departed ones are
-    /// taken only if this process knows fewer members than the others report.
+    /// Removes and returns some contacts of the local scope that others reported and the member table lacks.
+    /// Departed members are included only if this process knows no other member or fewer than reported.
     pub(crate) fn take_unknown_members(&mut self, now: Micros, members: &MemberTable) -> Vec<SocketAddr> {
-        let reported_members = self.scopes.reported_local_member_count(now);
-        let knows_fewer = members.size() == 1 || members.size() < reported_members;
+        let reported_member_count = self.scopes.reported_local_member_count(now);
+        let knows_fewer = members.size() == 1 || members.size() < reported_member_count;
         let local = self.address;
         let is_unknown = |address: SocketAddr| match members.get(address).map(|known| known.status) {
             None => address != local,
@@ -312,11 +318,11 @@
     }
 }
 
-/// Bytes that a summary takes at the most.
+/// Upper bound of the encoded size of a summary.
 fn max_encoded_bytes(summary: &ScopeSummary) -> usize {
     let contact_bytes = |contact: &SocketAddr| match contact {
-        SocketAddr::V4(_) => IPV4_CONTACT_BYTES,
-        SocketAddr::V6(_) => IPV6_CONTACT_BYTES,
+        SocketAddr::V4(_) => MAX_IPV4_CONTACT_BYTES,
+        SocketAddr::V6(_) => MAX_IPV6_CONTACT_BYTES,
     };
-    SUMMARY_HEAD_BYTES + summary.scope.len() + summary.contacts.iter().map(contact_bytes).sum::<usize>()
+    SUMMARY_OVERHEAD_BYTES + summary.scope.len() + summary.contacts.iter().map(contact_bytes).sum::<usize>()
 }
--- a/crates/membership/src/scope_summary.rs
+++ b/crates/membership/src/scope_summary.rs
@@ -1,35 +1,35 @@
-//! The summary by which members tell other scopes of their own: counts with their age, not who the members are.
+//! The summary of a scope that its members send to other scopes: counts and their age, but no identities.
 
 use crate::identity::MAX_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The largest scope that a summary may report; one that reports more is invalid.
+/// Maximum scope size that a summary may report; a summary with a greater count is invalid.
 const MAX_SCOPE_MEMBERS: u32 = 1 << 20;
-/// Contacts in a summary at the most.
+/// Maximum number of contacts in a summary.
 pub(crate) const MAX_CONTACTS: usize = 16;
 
-/// What is passed on about a scope. The order of the fields is the order on the wire.
+/// The summary of a scope. The order of the fields defines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeSummary {
-    /// Its name; empty for the members without a scope.
+    /// Name of the scope; empty for members without a scope.
     pub scope: String,
-    /// Client proxies that share the endpoints, by the safe estimate of the member that made the summary.
+    /// Number of client proxies that share the endpoints: a conservative estimate of the summary's creator.
     pub live_count: u32,
-    /// Live members.
+    /// Number of live members.
     pub member_count: u32,
-    /// Live members that are not suspected.
+    /// Number of live members that are not suspected.
     pub unsuspected_count: u32,
-    /// The digest of the view of the member that made the summary.
+    /// Digest of the view of the member that created the summary.
     pub digest: u32,
-    /// How old the summary is, in milliseconds.
+    /// Age of the summary, in milliseconds.
     pub age_ms: u32,
-    /// Addresses of some of its members.
+    /// Addresses of some members of the scope.
     pub contacts: Vec<SocketAddr>,
 }
 
 impl ScopeSummary {
-    /// Its numbers and lengths are within what a member can report.
+    /// Whether counts and lengths are within the limits and consistent.
     pub(crate) fn is_valid(&self) -> bool {
         let counts_valid = self.unsuspected_count <= self.member_count
             && self.member_count <= MAX_SCOPE_MEMBERS
--- a/crates/membership/src/scope_table.rs
+++ b/crates/membership/src/scope_table.rs
@@ -1,18 +1,18 @@
-//! The scope table: all other scopes that are known, and what other members report of the local scope.
+//! The scope table: all known other scopes, and the local scope as other members report it.
 
 use crate::remote_scope::{RemoteScope, ScopeStatus, SUMMARY_RETENTION_US};
 use crate::scope_summary::ScopeSummary;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Without a check for so long this process itself has stalled, and missed what was sent meanwhile.
-const STALL_US: Micros = 1_000_000;
-/// How long a silent scope without a count stays in the table.
+/// If this time passes between two updates, the process has stalled and may have missed datagrams.
+const STALL_THRESHOLD_US: Micros = 1_000_000;
+/// How long a silent scope stays in the table after its last summary, provided its live count is 0.
 const SCOPE_RETENTION_US: Micros = 600_000_000;
-/// Scopes that are kept at the most.
+/// Maximum number of other scopes in the table.
 const MAX_SCOPES: usize = 256;
 
-/// A scope that is silent, or heard from again.
+/// A change of the status of a scope.
 pub(crate) struct ScopeChange {
     pub(crate) scope: String,
     pub(crate) status: ScopeStatus,
@@ -22,15 +22,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct ScopeTable {
     remote: BTreeMap<String, RemoteScope>,
-    /// What other members reported of the local scope.
+    /// The local scope as other members report it.
     local: Option<RemoteScope>,
     last_update_at: Micros,
-    /// Since when this process has not stalled.
-    awake_since: Micros,
+    /// The end of the last stall of this process.
+    no_stall_since: Micros,
 }
 
 impl ScopeTable {
-    /// No other scope is known.
+    /// Whether no other scope is known.
     pub fn is_empty(&self) -> bool {
         self.remote.is_empty()
     }
@@ -40,7 +40,7 @@
         self.remote.iter().map(|(name, scope)| (name.as_str(), scope))
     }
 
-    /// How many other scopes are known.
+    /// The number of known other scopes.
     pub fn len(&self) -> usize {
         self.remote.len()
     }
@@ -50,7 +50,7 @@
         self.local.get_or_insert_with(|| RemoteScope::new(now))
     }
 
-    /// The scope of a name, added if it is new; `None` if there are too many.
+    /// The scope with a name, added if it is new; `None` if the table is full.
     pub(crate) fn entry(&mut self, now: Micros, local_name: &str, name: &str) -> Option<&mut RemoteScope> {
         if local_name == name {
             return Some(self.local_mut(now));
@@ -61,7 +61,7 @@
         Some(self.remote.entry(name.to_owned()).or_insert_with(|| RemoteScope::new(now)))
     }
 
-    /// Takes in a summary; one that is too old does not count.
+    /// Applies a summary; one that is older than the retention time is ignored.
     pub(crate) fn apply(&mut self, now: Micros, local_name: &str, summary: &ScopeSummary) {
         let age = Micros::from(summary.age_ms) * 1_000;
         let Some(scope) = self.entry(now, local_name, &summary.scope) else { return };
@@ -70,25 +70,25 @@
         }
     }
 
-    /// The live count of the local scope that others reported lately; 0 if none did.
+    /// The greatest live count of the local scope that others reported recently; 0 if none did.
     pub(crate) fn reported_local_live_count(&self, now: Micros) -> usize {
         self.local.as_ref().and_then(|local| local.reported_live_count(now)).unwrap_or(0)
     }
 
-    /// The number of members of the local scope that others reported lately; 0 if none did.
+    /// The greatest number of members of the local scope that others reported recently; 0 if none did.
     pub(crate) fn reported_local_member_count(&self, now: Micros) -> usize {
         self.local.as_ref().and_then(|local| local.reported_member_count(now)).unwrap_or(0)
     }
 
-    /// What others reported of the local scope.
+    /// The local scope as others report it; `None` if none did.
     pub(crate) fn reported_local(&mut self) -> Option<&mut RemoteScope> {
         self.local.as_mut()
     }
 
-    /// Brings all scopes up to date, with the live count in force; returns the scopes whose status changed.
+    /// Updates all scopes, given the live count of the fleet; returns the scopes whose status changed.
     pub(crate) fn update(&mut self, now: Micros, total_live_count: usize) -> Vec<ScopeChange> {
-        if now > self.last_update_at + STALL_US {
-            self.awake_since = now;
+        if now > self.last_update_at + STALL_THRESHOLD_US {
+            self.no_stall_since = now;
         }
         self.last_update_at = now;
         self.remote.retain(|_, scope| scope.age(now) < SCOPE_RETENTION_US || scope.live_count() > 0);
@@ -97,25 +97,26 @@
         }
         let mut changes = Vec::new();
         for (name, scope) in &mut self.remote {
-            if let Some(status) = scope.update(now, total_live_count, self.awake_since) {
+            if let Some(status) = scope.update(now, total_live_count, self.no_stall_since) {
                 changes.push(ScopeChange { scope: name.clone(), status });
             }
         }
         changes
     }
 
-    /// The live count of all other scopes.
+    /// The sum of the live counts of all other scopes.
     pub(crate) fn live_count(&self) -> usize {
         self.remote.values().map(RemoteScope::live_count).sum()
     }
 
-    /// Live members of the other scopes that are not suspected; those of silent scopes are not counted.
+    /// Number of live members of the other scopes that are not suspected, without those of silent scopes.
     pub(crate) fn unsuspected_count(&self) -> usize {
         let fresh = self.remote.values().filter(|scope| scope.status() == ScopeStatus::Fresh);
         fresh.map(RemoteScope::unsuspected_count).sum()
     }
 
-    /// The summaries of the other scopes, beginning at the `rotation`th, each with up to `max_contacts` contacts.
+    /// The summaries of the other scopes, starting with the scope at index `rotation`, each with up to
+    /// `max_contacts` contacts.
     pub(crate) fn summaries(
         &self,
         now: Micros,
