--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! SWIM failure detection and dissemination by `foca`: its parameters, its timers and the adapter of its runtime.
+//! SWIM failure detection and dissemination with `foca`: parameters, timers and the runtime adapter.
 
 use crate::envelope::ENVELOPE_BYTES;
 use crate::identity::Identity;
@@ -14,30 +14,30 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Longest datagram, envelope included.
+/// Maximum size of a datagram, envelope included.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Protocol period: a random member is pinged this often.
+/// Protocol period: the interval at which a random member is pinged.
 const PROBE_INTERVAL_US: Micros = 180_000;
-/// Time for a direct ack before indirect probes are sent.
+/// Time to wait for a direct ack before indirect probes are sent.
 const PROBE_TIMEOUT_US: Micros = 70_000;
-/// Members that are asked to ping a silent one.
-const INDIRECT_PROBE_MEMBERS: usize = 3;
+/// Number of members that are requested to ping a member that does not respond.
+const INDIRECT_PROBES: usize = 3;
 /// Time in which a suspected member may refute the suspicion.
 const SUSPICION_TIMEOUT_US: Micros = 1_350_000;
-/// Datagrams on which a membership update is piggybacked.
+/// Number of datagrams on which a membership update is piggybacked.
 const MAX_TRANSMISSIONS: u8 = 16;
-/// Updates under way from which on each is transmitted less often: together they still reach all members.
+/// If more updates than this are pending, each is transmitted less often; all members still receive them.
 const MAX_BACKLOG_UPDATES: usize = 100;
-/// Datagrams on which an update is piggybacked while there are that many.
+/// Number of datagrams on which an update is piggybacked while the backlog exceeds that limit.
 const MAX_BACKLOG_TRANSMISSIONS: u8 = 8;
-/// Interval of gossip.
+/// Gossip of pending updates to a random member.
 const GOSSIP: PeriodicTask = PeriodicTask { interval_us: 1_000_000, members: 1 };
-/// Interval at which dead members are contacted, so that healed partitions are found.
-const REVIVAL: PeriodicTask = PeriodicTask { interval_us: 1_000_000, members: 1 };
-/// Interval at which a member is asked for others that it knows.
+/// Announcements to members declared dead, so that healed partitions are detected.
+const ANNOUNCE_TO_DOWN: PeriodicTask = PeriodicTask { interval_us: 1_000_000, members: 1 };
+/// Announcements to live members, which respond with other members that they know.
 const ANNOUNCE: PeriodicTask = PeriodicTask { interval_us: 10_000_000, members: 1 };
 
-/// Something that is sent to a few random members at an interval.
+/// A message that is sent to random members at an interval.
 struct PeriodicTask {
     interval_us: Micros,
     members: usize,
@@ -59,44 +59,44 @@
     }
 }
 
-/// The parameters of `foca`.
+/// The configuration of `foca`.
 fn foca_config(max_transmissions: u8) -> foca::Config {
     foca::Config {
         probe_period: Duration::from_micros(PROBE_INTERVAL_US),
         probe_rtt: Duration::from_micros(PROBE_TIMEOUT_US),
-        num_indirect_probes: non_zero(INDIRECT_PROBE_MEMBERS),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::new(max_transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: Duration::from_micros(SUSPICION_TIMEOUT_US),
         max_packet_size: non_zero(MAX_DATAGRAM_BYTES - ENVELOPE_BYTES),
         notify_down_members: true,
         periodic_announce: Some(ANNOUNCE.params()),
-        periodic_announce_to_down_members: Some(REVIVAL.params()),
+        periodic_announce_to_down_members: Some(ANNOUNCE_TO_DOWN.params()),
         periodic_gossip: Some(GOSSIP.params()),
         ..foca::Config::simple()
     }
 }
 
-/// What `foca` reports of a member.
+/// A change of a member that `foca` reports.
 pub(crate) enum MemberChange {
-    /// It is alive.
+    /// The member is alive.
     Up(Identity),
-    /// It was declared dead, or has left.
+    /// The member was declared dead, or has left.
     Down(Identity),
-    /// It has a new identity at the same address.
+    /// The member has a new identity at the same address.
     Renamed(Identity),
     /// This process had been declared dead, and rejoined in a new incarnation.
     Rejoined,
 }
 
-/// What one operation of `foca` wants done.
+/// The effects that one `foca` operation requests.
 #[derive(Default)]
 pub(crate) struct SwimOutput {
     pub(crate) changes: Vec<MemberChange>,
     pub(crate) messages: Vec<OutgoingMessage>,
-    /// Members of which a suspicion began.
+    /// Members that became suspected.
     pub(crate) suspects: Vec<SocketAddr>,
     timers: Vec<DelayedTimer>,
-    /// Why the operation failed.
+    /// The error with which the operation failed.
     pub(crate) error: Option<foca::Error>,
 }
 
@@ -128,7 +128,7 @@
 
 type FocaNode = Foca<Identity, PostcardCodec, Pcg64, NoCustomBroadcast>;
 
-/// When a timer is due; the sequence number keeps the order of timers of one instant.
+/// The due time of a timer; the sequence number preserves the order of timers that are due at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_at: Micros,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The identity of this process, in its present incarnation.
+    /// The identity of this process, in its current incarnation.
     pub(crate) fn identity(&self) -> &Identity {
         self.foca.identity()
     }
@@ -173,7 +173,7 @@
         Some(identity)
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub(crate) fn next_deadline(&self) -> Micros {
         self.timers.first_key_value().map_or(Micros::MAX, |(key, _)| key.due_at)
     }
@@ -202,27 +202,28 @@
         self.run(now, |foca, output| foca.handle_data(packet, output))
     }
 
-    /// Runs the next timer that is due; `None` if none is. An error needs no action: a timer of a former identity
-    /// has nothing to do, and `foca` recovers from a probe cycle that was cut short.
+    /// Runs the next timer that is due; `None` if none is. An error needs no action: a timer of a former
+    /// identity has no effect, and `foca` recovers from an incomplete probe cycle.
     pub(crate) fn run_due_timer(&mut self, now: Micros) -> Option<SwimOutput> {
         let next = self.timers.first_entry().filter(|next| next.key().due_at <= now)?;
         let timer = next.remove();
         Some(self.run(now, |foca, output| foca.handle_timer(timer, output)))
     }
 
-    /// Announces this process to a member. An error needs no action: it is repeated.
+    /// Announces this process to a member. An error needs no action: announcements are repeated.
     pub(crate) fn announce(&mut self, now: Micros, member: Identity) -> SwimOutput {
         self.run(now, |foca, output| foca.announce(member, output))
     }
 
-    /// Takes in members that anti-entropy delivered. They are not disseminated: whoever else lacks them requests
-    /// them too.
+    /// Adds members received by anti-entropy. They are not disseminated: other members that lack them request
+    /// them as well.
     pub(crate) fn add_members(&mut self, now: Micros, members: Vec<Identity>) -> SwimOutput {
         let members = members.into_iter().map(|member| Member::new(member, 0, State::Alive));
         self.run(now, |foca, output| foca.apply_many(members, false, output))
     }
 
-    /// Announces that this process leaves. An error needs no action: silence is detected as well.
+    /// Announces the departure of this process. An error needs no action: failure detection notices the
+    /// departure as well.
     pub(crate) fn leave(&mut self, now: Micros) -> SwimOutput {
         let leaving = self.identity().into_leaving();
         self.run(now, |foca, output| {
@@ -232,13 +233,14 @@
         })
     }
 
-    /// The members at these addresses, with their states. Walks all members, as `foca` reports no suspicions.
+    /// The members at the given addresses, with their states. Iterates over all members, because `foca`
+    /// reports no suspicions.
     pub(crate) fn members_at(&self, addresses: &BTreeSet<SocketAddr>) -> Vec<Member<Identity>> {
         let members = self.foca.iter_membership_state();
         members.filter(|member| addresses.contains(&member.id().address)).cloned().collect()
     }
 
-    /// Transmits each update less often while many are under way.
+    /// Reduces the number of transmissions per update while many updates are pending.
     pub(crate) fn adapt_transmissions(&mut self) {
         let backlogged = self.foca.updates_backlog() > MAX_BACKLOG_UPDATES;
         let max_transmissions = if backlogged { MAX_BACKLOG_TRANSMISSIONS } else { MAX_TRANSMISSIONS };
@@ -246,7 +248,7 @@
             return;
         }
         self.max_transmissions = max_transmissions;
-        // It fails only for parameters that must not change while `foca` runs; these stay.
+        // Fails only if a parameter changes that must stay constant while `foca` runs; none of them does.
         let _ = self.foca.set_config(foca_config(max_transmissions));
     }
 }
