--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy within a scope: reconciles two views that differ.
 //!
-//! A member that finds its digest to differ from another member's sends its range digests to that member, and
-//! receives the members of the differing ranges ordered by position, so that a view is completed range by range.
+//! A member whose digest differs from that of another member sends it the digests of its ranges, and receives
+//! the members of the differing ranges ordered by position, so that a view is completed range by range.
 
 use crate::envelope::DatagramError;
 use crate::identity::Identity;
@@ -20,15 +20,15 @@
 /// Upper bound of the encoded size of a member without its address and texts.
 const MEMBER_OVERHEAD_BYTES: usize = 16;
 /// Upper bound of the encoded size of an address.
-const IPV4_ADDRESS_BYTES: usize = 8;
-const IPV6_ADDRESS_BYTES: usize = 20;
-/// This number of new members in one datagram indicates that the process lacks many more; it starts to catch up.
+const MAX_IPV4_ADDRESS_BYTES: usize = 8;
+const MAX_IPV6_ADDRESS_BYTES: usize = 20;
+/// With this many new members in one datagram, the process probably lacks many more, and starts catching up.
 const CATCH_UP_MIN_MEMBERS: usize = 3;
 /// Request interval of a process that is catching up.
 const CATCH_UP_INTERVAL_US: Micros = 200_000;
 /// Catching up ends when no such datagram has been received for this time.
 const CATCH_UP_TIMEOUT_US: Micros = 2_000_000;
-/// One exchange in this many requests a `foca` feed instead, because older releases do not support range digests.
+/// One exchange in this many requests a `foca` feed instead: older releases do not support range digests.
 const EXCHANGES_PER_FEED: u32 = 3;
 
 /// An anti-entropy message. The order of variants and fields defines the wire format.
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Whether a request is due now; if so, schedules the next one. Requests and responses may be lost or dropped
-    /// by the rate limit, so requests are repeated until the timeout.
+    /// Whether a request is due now; if so, schedules the next one. Requests and responses may be lost or
+    /// dropped by the rate limit, so requests are repeated until the timeout.
     pub(crate) fn take_due_request(&mut self, now: Micros) -> bool {
         if now < self.next_request_at {
             return false;
@@ -160,6 +160,7 @@
 
 /// Upper bound of the encoded size of a member.
 fn max_encoded_bytes(member: &Identity) -> usize {
-    let address_bytes = if member.address.is_ipv4() { IPV4_ADDRESS_BYTES } else { IPV6_ADDRESS_BYTES };
+    let address_bytes =
+        if member.address.is_ipv4() { MAX_IPV4_ADDRESS_BYTES } else { MAX_IPV6_ADDRESS_BYTES };
     MEMBER_OVERHEAD_BYTES + address_bytes + member.name.len() + member.release.len() + member.zone.len()
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,5 +1,5 @@
-//! The envelope of each datagram: magic bytes, kind and version, fleet hash, view digest and checksum. Only intact
-//! datagrams of the local fleet are processed.
+//! The envelope of each datagram: magic bytes, kind and version, fleet hash, view digest and checksum. Only
+//! intact datagrams of the local fleet are processed.
 
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,9 +11,9 @@
 /// The bytes of an envelope that the checksum covers in addition to the content.
 const CHECKSUMMED_BYTES: Range<usize> = 0..12;
 
-/// The kind of a datagram, encoded in its fourth byte: the kind in the upper four bits, the version of that kind
-/// in the lower four. A release that supports only SWIM treats the other kinds as an unknown version and discards
-/// them.
+/// The kind of a datagram, encoded in its fourth byte: the kind in the upper four bits, the version of that
+/// kind in the lower four. A release that supports only SWIM treats the other kinds as an unknown version and
+/// discards them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// SWIM messages of `foca` among the members of one scope.
--- a/crates/membership/src/fleet_count.rs
+++ b/crates/membership/src/fleet_count.rs
@@ -16,8 +16,8 @@
 }
 
 impl FleetCount {
-    /// Starts with the configured count for the fleet. Other scopes are sent live counts, not configured ones, so
-    /// the count of the local scope starts at 1, for this process.
+    /// Starts with the configured count for the fleet. Other scopes are sent live counts, not configured
+    /// ones, so the count of the local scope starts at 1, for this process.
     pub(crate) fn new(now: Micros, configured_count: usize) -> Self {
         FleetCount {
             fleet: LiveCount::new(now, configured_count),
--- a/crates/membership/src/foca_packet.rs
+++ b/crates/membership/src/foca_packet.rs
@@ -1,4 +1,4 @@
-//! Parses and truncates `foca` packets: a header, the number of membership updates (two bytes) and the updates.
+//! Parses and truncates `foca` packets: a header, the number of membership updates (two bytes), the updates.
 
 use crate::envelope::DatagramError;
 use crate::identity::Identity;
@@ -53,8 +53,8 @@
     Ok(PacketHead { is_dissemination, bytes: packet.len() - rest.len() + count_bytes })
 }
 
-/// Truncates a packet to `max_bytes` by dropping its last updates: `foca` orders updates by how often they were
-/// sent, least often first.
+/// Truncates a packet to `max_bytes` by dropping its last updates: `foca` orders updates by how often they
+/// were sent, least often first.
 ///
 /// # Errors
 /// [`DatagramError::Content`] if the packet cannot be decoded.
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -65,8 +65,8 @@
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
 
-    /// A member that was declared dead rejoins in a new incarnation. The step doubles with each renewal, so that
-    /// the incarnation eventually exceeds that of a predecessor whose clock was ahead.
+    /// A member that was declared dead rejoins in a new incarnation. The step doubles with each renewal, so
+    /// that the incarnation eventually exceeds that of a predecessor whose clock was ahead.
     fn renew(&self) -> Option<Self> {
         if self.leaving {
             return None;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! Cluster membership: which client proxies are alive, and how many of them share the endpoints
 //! (`docs/membership.md`).
 //!
-//! The crate is a state machine without sockets or clock: a [`Node`] is passed datagrams and the current time, and
-//! produces datagrams and [`MembershipEvent`]s.
+//! The crate is a state machine without sockets or clock: a [`Node`] is passed datagrams and the current
+//! time, and produces datagrams and [`MembershipEvent`]s.
 
 mod anti_entropy;
 mod envelope;
--- a/crates/membership/src/live_count.rs
+++ b/crates/membership/src/live_count.rs
@@ -1,7 +1,7 @@
 //! The live proxy count: a conservative estimate of how many client proxies share the endpoints.
 //!
-//! If the count is too low, the fleet overloads the endpoints. The count therefore rises at once and falls slowly;
-//! when a network partition is suspected, it is frozen, and only confirmed departures lower it.
+//! If the count is too low, the fleet overloads the endpoints. The count therefore rises at once and falls
+//! slowly; when a network partition is suspected, it is frozen, and only confirmed departures lower it.
 
 use crate::Micros;
 use std::collections::VecDeque;
@@ -84,8 +84,8 @@
         self.confirmed_departures += 1;
     }
 
-    /// Records that a member was declared dead. The death is confirmed only after the correlation window, because
-    /// other members may have become unreachable at the same time.
+    /// Records that a member was declared dead. The death is confirmed only after the correlation window,
+    /// because other members may have become unreachable at the same time.
     pub fn member_died(&mut self, now: Micros) {
         self.freeze(now);
         if !self.partition_suspected {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,7 +1,7 @@
 //! The member table: the view that a process has of the members of its scope.
 //!
-//! Counts, digests and names are updated incrementally, so that no datagram and no periodic check iterates over all
-//! members.
+//! Counts, digests and names are updated incrementally, so that no datagram and no periodic check iterates
+//! over all members.
 
 use crate::identity::Identity;
 use crate::range_digest::{address_hasher, position, RangeDigests};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time that a membership update takes to reach all members; a digest that differs within it needs no exchange.
+/// Time for a membership update to reach all members; a digest that differs within it needs no exchange.
 const PROPAGATION_US: Micros = 300_000;
 /// Maximum age of a differing digest that leads to an exchange; an older one may be out of date.
 const DIFFERENCE_RETENTION_US: Micros = 2_000_000;
@@ -232,7 +232,7 @@
         self.is_live(member).then_some(member)
     }
 
-    /// Share of the other members whose last reported digest equals the local one, 0 to 1; 1 if none reported.
+    /// Share, 0 to 1, of the other members whose last digest equals the local one; 1 if none reported any.
     pub fn agreement_ratio(&self, now: Micros) -> f64 {
         let agreement = self.reported_digests.agreement(now, self.digest());
         if agreement.total == 0 {
--- a/crates/membership/src/membership_event.rs
+++ b/crates/membership/src/membership_event.rs
@@ -26,7 +26,7 @@
     },
     /// Other members had declared this process dead, and it has rejoined.
     Rejoined,
-    /// A network partition is suspected because so many members were suspected together, or the suspicion ended.
+    /// So many members were suspected together that a network partition is suspected, or no longer is.
     PartitionSuspected {
         /// Whether a partition is suspected now.
         suspected: bool,
@@ -46,7 +46,7 @@
 }
 
 impl MembershipEvent {
-    /// Whether the event reports a current state; such an event must not be lost when the event queue is full.
+    /// Whether the event reports a current state, which must not be lost when the event queue is full.
     pub(crate) fn is_state(&self) -> bool {
         match self {
             MembershipEvent::LiveCountChanged { .. }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -19,8 +19,8 @@
 
 /// Interval of seed polls by a member that knows no other member of its scope.
 const ALONE_SEED_POLL_INTERVAL_US: Micros = 500_000;
-/// Interval of seed polls by other members: after a long partition, both sides may have removed each other from their
-/// member tables.
+/// Interval of seed polls by other members: after a long partition, both sides may have removed each other
+/// from their member tables.
 const SEED_POLL_INTERVAL_US: Micros = 10_000_000;
 /// Interval of the periodic check, which also sends a request to a member whose view differs.
 const CHECK_INTERVAL_US: Micros = 500_000;
@@ -70,7 +70,7 @@
         Node::with_scope(now, seed, local, config, "")
     }
 
-    /// Creates a node in a scope, which knows no other member; a scope name longer than 64 bytes is truncated.
+    /// Creates a node in a scope, which knows no other member. Scope names are truncated to 64 bytes.
     pub fn with_scope(now: Micros, seed: u64, local: Identity, config: NodeConfig, scope: &str) -> Self {
         let scope = truncate_text(scope);
         let hashes = FleetHashes::new(&config.fleet_name, &scope);
@@ -242,8 +242,8 @@
     fn handle_anti_entropy(&mut self, now: Micros, digest: u32, content: &[u8]) -> Result<(), DatagramError> {
         let message = AntiEntropyMessage::decode(content)?;
         let sender = message.sender();
-        // A response is longer than its request, and an unknown sender can forge the address in `from`; answering
-        // it would allow amplification attacks.
+        // A response is longer than its request, and an unknown sender can forge the address in `from`, so
+        // answering unknown senders would allow amplification attacks.
         if self.leaving || !self.members.is_live(sender) {
             return Ok(());
         }
--- a/crates/membership/src/outbox.rs
+++ b/crates/membership/src/outbox.rs
@@ -13,8 +13,8 @@
     pub(crate) content: Vec<u8>,
 }
 
-/// Encodes messages as datagrams and queues these. Messages that the rate limit rejects are dropped: SWIM, gossip
-/// and anti-entropy tolerate losses.
+/// Encodes messages as datagrams and queues these. Messages that the rate limit rejects are dropped: SWIM,
+/// gossip and anti-entropy tolerate losses.
 pub(crate) struct Outbox {
     hashes: FleetHashes,
     rate_limit: RateLimit,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Queues a `foca` packet with as many of its membership updates as the rate limit permits. The packets that
-    /// announce the departure of this process are sent only once, and therefore get the highest priority.
+    /// Queues a `foca` packet with as many of its membership updates as the rate limit permits. The packets
+    /// that announce the departure of this process are sent only once, and therefore have top priority.
     pub(crate) fn send_swim(
         &mut self,
         now: Micros,
--- a/crates/membership/src/range_digest.rs
+++ b/crates/membership/src/range_digest.rs
@@ -1,8 +1,8 @@
-//! Digests of ranges of the member table, which two members compare to find where their views differ (one level of a
-//! Merkle tree).
+//! Digests of ranges of the member table, which two members compare to find where their views differ (one
+//! level of a Merkle tree).
 //!
-//! The live members are ordered by the hash of their address. The sums are updated as members are added and removed;
-//! only a request for differing ranges iterates over members.
+//! The live members are ordered by the hash of their address. The sums are updated as members are added and
+//! removed; only a request for differing ranges iterates over members.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -12,8 +12,8 @@
 const MAX_RANGE_BITS: u32 = 8;
 /// The number of the finest ranges.
 const MAX_RANGES: usize = 1 << MAX_RANGE_BITS;
-/// Approximate number of members per range: they fill a third of a datagram, so that a difference of one member
-/// costs no more than that.
+/// Approximate number of members per range: they fill a third of a datagram, so that a difference of one
+/// member costs no more than that.
 const MEMBERS_PER_RANGE: usize = 8;
 
 /// The digest of one range, as encoded on the wire.
@@ -99,8 +99,9 @@
         self.sums.chunks(self.sums.len() / ranges).map(range_digest).collect()
     }
 
-    /// The members in ranges whose digests differ from those of another view, starting at a position and wrapping
-    /// around at the end; `None` if the number of digests is not a power of two or exceeds that of the finest ranges.
+    /// The members in ranges whose digests differ from those of another view, starting at a position and
+    /// wrapping around at the end; `None` if the number of digests is not a power of two or exceeds that of
+    /// the finest ranges.
     pub(crate) fn differing(
         &self,
         digests: &[RangeDigest],
--- a/crates/membership/src/rate_limit.rs
+++ b/crates/membership/src/rate_limit.rs
@@ -48,8 +48,8 @@
         self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// The permitted size of a datagram of at least `min_bytes` and at most `wanted_bytes`, envelope included; `None`
-    /// if it must not be sent now. Only for failure detection may it be less than `wanted_bytes`.
+    /// The permitted size of a datagram of at least `min_bytes` and at most `wanted_bytes`, envelope
+    /// included; `None` if it must not be sent now. Only failure detection may get less than `wanted_bytes`.
     pub(crate) fn permitted_bytes(
         &mut self,
         now: Micros,
--- a/crates/membership/src/rate_limit/tests.rs
+++ b/crates/membership/src/rate_limit/tests.rs
@@ -6,8 +6,8 @@
     permitted.map(|permitted| rate_limit.consume(permitted)).is_some()
 }
 
-/// A member sends five summaries per second to its scope, even when other traffic exceeds the limit: without them,
-/// other members would consider a live scope silent after 5 s.
+/// A member sends five summaries per second to its scope, even when other traffic exceeds the limit: without
+/// them, other members would consider a live scope silent after 5 s.
 #[test]
 fn scope_gossip_is_sent_while_dissemination_exceeds_the_limit() {
     let mut rate_limit = RateLimit::new(0);
