--- a/crates/membership/examples/cost.rs
+++ b/crates/membership/examples/cost.rs
@@ -1,7 +1,9 @@
-//! Measures what membership costs among many nodes in virtual time: `cost MEMBERS [SECONDS [SCENARIO [SCOPES]]]`.
+//! Measures the processing time and the bytes sent by many membership nodes in virtual time.
 //!
-//! SCENARIO is `started` (all at once, the default), `zone` (the last eleventh is lost), `rack` (forty are) or
-//! `parted` (a third does not reach the others for three minutes); without SCOPES the fleet is one scope.
+//! Usage: `cost MEMBERS [SECONDS [SCENARIO [SCOPES]]]`. SCENARIO is `started` (all nodes start at once, the
+//! default), `zone` (the last eleventh of the nodes stops), `rack` (the last forty nodes stop) or `parted`
+//! (a third of the nodes is partitioned from the others for three minutes). Without SCOPES the fleet is one
+//! scope.
 
 use oakport_membership::{Identity, MemberStatus, Micros, Node, NodeConfig, ScopeStatus};
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
@@ -12,27 +14,27 @@
 use std::time::{Duration, Instant};
 
 const SECOND: Micros = 1_000_000;
-/// Bytes are counted in spans of this length.
-const SPAN_US: Micros = 100_000;
-/// Spans in a second.
-const SPAN_COUNT: usize = 10;
-/// What IP and UDP add to a datagram.
+/// Sent bytes are counted in windows of this length.
+const WINDOW_US: Micros = 100_000;
+/// Number of windows per second.
+const WINDOWS_PER_SECOND: usize = 10;
+/// Size of the IP and UDP headers of a datagram.
 const UDP_IP_HEADER_BYTES: u64 = 28;
 const ZONE_COUNT: usize = 11;
-/// Nodes that are lost in the scenario `rack`.
+/// Number of nodes that stop in the scenario `rack`.
 const RACK_MEMBERS: usize = 40;
-/// Seeds of each node.
+/// Number of seeds of each node.
 const SEED_COUNT: usize = 3;
-/// Latency of the network.
+/// Network latency: the minimum, and the range above it.
 const MIN_LATENCY_US: Micros = 1_000;
 const LATENCY_RANGE_US: Micros = 4_000;
-/// A live count is right within 1 / 20 of the true one.
+/// A live count is accurate if it differs by at most 1 / 20 from the true count.
 const COUNT_TOLERANCE_FACTOR: usize = 20;
 
-struct HollowNode {
+struct SimulatedNode {
     node: Node,
     running: bool,
-    /// The next deadline in the event queue.
+    /// The next deadline of the node in the event queue.
     deadline: Micros,
     sent: SentBytes,
 }
@@ -40,26 +42,26 @@
 /// Bytes that a node sent.
 #[derive(Default)]
 struct SentBytes {
-    /// In each of the last spans.
-    spans: [u64; SPAN_COUNT],
-    last_span: u64,
+    /// Bytes in each of the last windows.
+    windows: [u64; WINDOWS_PER_SECOND],
+    last_window: u64,
     worst_second: u64,
     total: u64,
 }
 
 impl SentBytes {
     fn record(&mut self, now: Micros, bytes: u64) {
-        let span = now / SPAN_US;
-        if span >= self.last_span + SPAN_COUNT as u64 {
-            self.spans = [0; SPAN_COUNT];
+        let window = now / WINDOW_US;
+        if window >= self.last_window + WINDOWS_PER_SECOND as u64 {
+            self.windows = [0; WINDOWS_PER_SECOND];
         } else {
-            for skipped in self.last_span + 1..=span {
-                self.spans[skipped as usize % SPAN_COUNT] = 0;
+            for skipped in self.last_window + 1..=window {
+                self.windows[skipped as usize % WINDOWS_PER_SECOND] = 0;
             }
         }
-        self.last_span = span;
-        self.spans[span as usize % SPAN_COUNT] += bytes;
-        self.worst_second = self.worst_second.max(self.spans.iter().sum());
+        self.last_window = window;
+        self.windows[window as usize % WINDOWS_PER_SECOND] += bytes;
+        self.worst_second = self.worst_second.max(self.windows.iter().sum());
         self.total += bytes;
     }
 }
@@ -69,7 +71,7 @@
     Datagram { to: usize, datagram: Vec<u8> },
 }
 
-/// Orders the events: by time, then by sequence number. The slot is where the event is stored.
+/// Orders the events by time, then by sequence number. `slot` is the index at which the event is stored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Micros,
@@ -80,14 +82,14 @@
 struct Cluster {
     now: Micros,
     random: Pcg64,
-    nodes: Vec<HollowNode>,
+    nodes: Vec<SimulatedNode>,
     queue: BinaryHeap<Reverse<EventKey>>,
     events: Vec<Option<Event>>,
     free_slots: Vec<usize>,
     sequence: u64,
-    /// Time that the nodes themselves took.
+    /// Wall-clock time spent in the nodes.
     node_time: Duration,
-    /// Nothing is delivered between the nodes below this index and the others.
+    /// No datagram is delivered between the nodes below this index and the others.
     partition_index: usize,
 }
 
@@ -105,7 +107,7 @@
 impl Cluster {
     fn new(members: usize, scopes: usize) -> Self {
         let mut random = Pcg64::seed_from_u64(7);
-        let nodes = (0..members).map(|index| hollow_node(index, members, scopes, &mut random)).collect();
+        let nodes = (0..members).map(|index| simulated_node(index, members, scopes, &mut random)).collect();
         Cluster {
             now: SECOND,
             nodes,
@@ -129,15 +131,15 @@
         self.queue.push(Reverse(EventKey { at, sequence: self.sequence, slot }));
     }
 
-    /// Lets a node act, and takes what it sends.
-    fn act(&mut self, index: usize, operation: impl FnOnce(&mut Node)) {
-        let begin = Instant::now();
+    /// Runs an operation of a node, and transmits the datagrams that the node sends.
+    fn run_node(&mut self, index: usize, operation: impl FnOnce(&mut Node)) {
+        let start = Instant::now();
         let node = &mut self.nodes[index].node;
         operation(node);
         let outbox = node.take_outbox();
         let deadline = node.next_deadline();
         node.take_events();
-        self.node_time += begin.elapsed();
+        self.node_time += start.elapsed();
         for (to, datagram) in outbox {
             let bytes = datagram.len() as u64 + UDP_IP_HEADER_BYTES;
             self.nodes[index].sent.record(self.now, bytes);
@@ -172,46 +174,46 @@
         let now = self.now;
         match event {
             Event::Deadline { node } => {
-                // An earlier deadline may have replaced it.
+                // An earlier deadline may have replaced this one.
                 if self.nodes[node].running && self.nodes[node].deadline == now {
-                    self.act(node, |node| node.handle_time(now));
+                    self.run_node(node, |node| node.handle_time(now));
                 }
             }
             Event::Datagram { to, datagram } => {
                 if self.nodes[to].running {
-                    self.act(to, |node| node.handle_datagram(now, &datagram));
+                    self.run_node(to, |node| node.handle_datagram(now, &datagram));
                 }
             }
         }
     }
 
-    fn run_for(&mut self, span: Micros) {
-        self.run_until(self.now + span);
+    fn run_for(&mut self, duration: Micros) {
+        self.run_until(self.now + duration);
     }
 
-    /// Nodes whose live count is right within 5%.
-    fn right_counts(&self, count: usize) -> usize {
-        let is_right = |node: &&HollowNode| {
-            let error = node.node.live_count().get().abs_diff(count);
-            node.running && error * COUNT_TOLERANCE_FACTOR <= count
+    /// Number of running nodes whose live count is accurate within 5%.
+    fn accurate_nodes(&self, true_count: usize) -> usize {
+        let is_accurate = |node: &&SimulatedNode| {
+            let error = node.node.live_count().get().abs_diff(true_count);
+            node.running && error * COUNT_TOLERANCE_FACTOR <= true_count
         };
-        self.nodes.iter().filter(is_right).count()
+        self.nodes.iter().filter(is_accurate).count()
     }
 
     fn lowest_count(&self, nodes: usize) -> Option<usize> {
         self.nodes[..nodes].iter().map(|node| node.node.live_count().get()).min()
     }
 
-    /// Prints what the running nodes have spent since the last report.
-    fn report(&mut self, what: &str, since: Micros) {
+    /// Prints the processing time and the sent bytes of the running nodes since the last report.
+    fn report(&mut self, label: &str, since: Micros) {
         let seconds = (self.now - since) as f64 / SECOND as f64;
-        let running: Vec<&HollowNode> = self.nodes.iter().filter(|node| node.running).collect();
+        let running: Vec<&SimulatedNode> = self.nodes.iter().filter(|node| node.running).collect();
         let worst = running.iter().map(|node| node.sent.worst_second).max().unwrap_or(0);
         let bytes: u64 = running.iter().map(|node| node.sent.total).sum();
         let node_seconds = seconds * running.len() as f64;
-        let share = self.node_time.as_secs_f64() / node_seconds * 100.0;
+        let percent = self.node_time.as_secs_f64() / node_seconds * 100.0;
         let mean = bytes as f64 / node_seconds;
-        println!("{what:>12}: {share:.4} % of a core, {mean:.0} B/s mean, {worst} B in the worst second");
+        println!("{label:>12}: {percent:.4} % of a core, {mean:.0} B/s mean, {worst} B in the worst second");
         self.node_time = Duration::ZERO;
         for node in &mut self.nodes {
             node.sent.worst_second = 0;
@@ -220,41 +222,42 @@
     }
 }
 
-fn hollow_node(index: usize, members: usize, scopes: usize, random: &mut Pcg64) -> HollowNode {
+fn simulated_node(index: usize, members: usize, scopes: usize, random: &mut Pcg64) -> SimulatedNode {
     let zone = format!("zone-{}", index / zone_members(members));
     let identity = Identity::new(&format!("n{index}"), address(index), SECOND, "1", &zone);
     let seeds = (0..SEED_COUNT).map(|_| address(random.next_u64() as usize % members)).collect();
     let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
     let scope = if scopes > 1 { format!("zone-{}", index * scopes / members) } else { String::new() };
     let node = Node::with_scope(SECOND, random.next_u64(), identity, config, &scope);
-    HollowNode { node, running: true, deadline: 0, sent: SentBytes::default() }
+    SimulatedNode { node, running: true, deadline: 0, sent: SentBytes::default() }
 }
 
 fn zone_members(members: usize) -> usize {
     members.div_ceil(ZONE_COUNT)
 }
 
-/// Starts all nodes at once, and runs them until they are quiet.
+/// Starts all nodes at once, and measures the start, the next 20 s, and a quiet period.
 fn start(cluster: &mut Cluster, quiet_seconds: u64) {
     let members = cluster.nodes.len();
     let begin = cluster.now;
     for index in 0..members {
-        cluster.act(index, |node| node.handle_time(SECOND));
+        cluster.run_node(index, |node| node.handle_time(SECOND));
     }
-    let mut took = None;
+    let mut elapsed = None;
     for half_seconds in 1..=120 {
         cluster.run_for(SECOND / 2);
-        let right = cluster.right_counts(members);
+        let accurate = cluster.accurate_nodes(members);
         if half_seconds % 4 == 0 {
-            println!("{} s: {right} of {members} count right", half_seconds / 2);
+            println!("{} s: {accurate} of {members} live counts are accurate", half_seconds / 2);
         }
-        if right == members {
-            took = Some(cluster.now - begin);
+        if accurate == members {
+            elapsed = Some(cluster.now - begin);
             break;
         }
     }
-    let took = took.map_or("not in 60 s".to_owned(), |took| format!("{:.1} s", took as f64 / SECOND as f64));
-    println!("{members} members started at once: all count right within 5% after {took}");
+    let outcome = elapsed
+        .map_or("not within 60 s".to_owned(), |us| format!("after {:.1} s", us as f64 / SECOND as f64));
+    println!("{members} members started at once: all live counts are accurate within 5%: {outcome}");
     cluster.report("started", begin);
     cluster.run_for(20 * SECOND);
     cluster.report("settling", cluster.now - 20 * SECOND);
@@ -270,25 +273,25 @@
     for second in [50, 180] {
         cluster.run_until(begin + second * SECOND);
         let lowest = cluster.lowest_count(members);
-        println!("parted for {second} s: least count {lowest:?}");
+        println!("partitioned for {second} s: lowest live count {lowest:?}");
     }
     cluster.report("parted", begin);
     let begin = cluster.now;
     cluster.partition_index = 0;
-    while cluster.right_counts(members) < members && cluster.now < begin + 60 * SECOND {
+    while cluster.accurate_nodes(members) < members && cluster.now < begin + 60 * SECOND {
         cluster.run_for(SECOND / 2);
     }
     let seconds = (cluster.now - begin) as f64 / SECOND as f64;
-    println!("healed: all count right within 5% after {seconds:.1} s");
+    println!("partition healed: all live counts are accurate within 5% after {seconds:.1} s");
     cluster.run_until(begin + 15 * SECOND);
     let exact = cluster.nodes.iter().filter(|node| node.node.live_count().get() == members).count();
-    println!("15 s after it healed {exact} of {members} count {members}");
+    println!("15 s after healing, {exact} of {members} live counts are exactly {members}");
     cluster.report("healed, 15 s", begin);
 }
 
 /// Stops the last nodes at once.
-fn lose(cluster: &mut Cluster, lost: usize) {
-    let alive = cluster.nodes.len() - lost;
+fn stop_last(cluster: &mut Cluster, stopped: usize) {
+    let alive = cluster.nodes.len() - stopped;
     for node in &mut cluster.nodes[alive..] {
         node.running = false;
     }
@@ -296,16 +299,16 @@
     for second in 1..=10 {
         cluster.run_until(begin + second * SECOND);
         let survivors = &cluster.nodes[..alive];
-        let silent = survivors.iter().filter(|node| holds_scope_silent(&node.node)).count();
-        let all = survivors.iter().filter(|node| dead_members(&node.node) >= lost).count();
-        println!("{second} s: {silent} hold a scope silent, {all} hold {lost} dead");
+        let silent = survivors.iter().filter(|node| reports_silent_scope(&node.node)).count();
+        let all = survivors.iter().filter(|node| dead_members(&node.node) >= stopped).count();
+        println!("{second} s: {silent} nodes report a silent scope, {all} report {stopped} dead members");
     }
     cluster.report("lost, 10 s", begin);
     let lowest = cluster.lowest_count(alive);
-    println!("least count {lowest:?} of {alive}");
+    println!("lowest live count {lowest:?} with {alive} nodes running");
 }
 
-fn holds_scope_silent(node: &Node) -> bool {
+fn reports_silent_scope(node: &Node) -> bool {
     node.scopes().iter().any(|(_, scope)| scope.status() == ScopeStatus::Silent)
 }
 
@@ -323,8 +326,8 @@
     start(&mut cluster, quiet_seconds);
     match scenario.as_str() {
         "parted" => partition(&mut cluster, scopes),
-        "zone" => lose(&mut cluster, zone_members(members)),
-        "rack" => lose(&mut cluster, RACK_MEMBERS),
+        "zone" => stop_last(&mut cluster, zone_members(members)),
+        "rack" => stop_last(&mut cluster, RACK_MEMBERS),
         _ => {}
     }
 }
