--- a/crates/membership/tests/anti_entropy.rs
+++ b/crates/membership/tests/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Differing views converge by the digests of their ranges.
+//! Differing views converge by anti-entropy with range digests.
 
 mod common;
 
@@ -7,17 +7,18 @@
 use rand_pcg_next::rand_core::{Rng, SeedableRng};
 use rand_pcg_next::Pcg64;
 
-/// All running nodes see all nodes.
+/// Whether all running nodes know all nodes.
 fn converged(cluster: &Cluster) -> bool {
     cluster.running().all(|node| node.node.members().size() == cluster.nodes.len())
 }
 
-/// Nodes that learn of the others one by one from two seeds do not depend on chance, but request what they lack.
+/// Guards against convergence that depends on chance: nodes that learn of the others one by one from two
+/// seeds request the members that they lack.
 #[test]
 fn a_large_scope_that_starts_at_once_converges_within_seconds() {
     let mut cluster = Cluster::new(1, 300, 1);
-    let took = cluster.wait_for(15 * SECOND, "converged", converged);
-    println!("300 that start at once know each other after {} ms", took / MILLI);
+    let elapsed = cluster.wait_for(15 * SECOND, "converged", converged);
+    println!("300 nodes that start at once converge after {} ms", elapsed / MILLI);
 }
 
 #[test]
@@ -27,7 +28,7 @@
     cluster.wait_for(15 * SECOND, "converged", converged);
 }
 
-/// Older releases take anti-entropy for another version, and discard it.
+/// Older releases discard anti-entropy datagrams as an unknown version.
 #[test]
 fn a_scope_with_an_older_release_still_converges() {
     let mut cluster = Cluster::new(4, 100, 1);
@@ -38,7 +39,8 @@
     cluster.wait_for(60 * SECOND, "converged", converged);
 }
 
-/// Each half holds the other dead; what they then receive must not make a live member dead.
+/// Each half declares the other dead. After the partition heals, messages with this outdated state must not
+/// mark a live member dead.
 #[test]
 fn healed_halves_converge_and_no_live_member_stays_dead() {
     let mut cluster = Cluster::joined(5, 60, 1);
@@ -47,19 +49,19 @@
         cluster.running().all(|node| node.node.members().size() == 30)
     });
     cluster.partition = Box::new(|_, _| false);
-    let took = cluster.wait_for(15 * SECOND, "healed", converged);
-    println!("halves of 60 know all again {} ms after the cut", took / MILLI);
+    let elapsed = cluster.wait_for(15 * SECOND, "healed", converged);
+    println!("two halves of 60 nodes converge {} ms after healing", elapsed / MILLI);
     let events = cluster.events.len();
     cluster.run_for(10 * SECOND);
-    assert_eq!(cluster.events.len(), events, "nothing changes any more");
+    assert_eq!(cluster.events.len(), events, "no event is reported after convergence");
 }
 
-/// A response is longer than its request and goes to whomever the request names, so strangers get none. Invalid
-/// messages are discarded.
+/// A response is longer than its request and is sent to the address that the request names, so requests from
+/// unknown senders must get none. Invalid messages are discarded.
 #[test]
-fn requests_of_strangers_and_invalid_messages_get_no_response() {
+fn requests_from_unknown_senders_and_invalid_messages_get_no_response() {
     let mut cluster = Cluster::joined(6, 12, 1);
-    // A restarted node lacks all others, and requests them.
+    // A restarted node lacks all other members, and requests them.
     let mut request = None;
     cluster.nodes[3] = cluster.new_node(3, "z0");
     while request.is_none() {
@@ -70,13 +72,13 @@
             .find(|sent| sent.from == 3 && sent.datagram[3] == DatagramKind::AntiEntropy as u8)
             .map(|sent| sent.datagram.clone());
     }
-    let request = request.expect("a request");
+    let request = request.expect("a recorded request");
     // A node of the same fleet and scope that does not know the sender.
     let now = cluster.now;
-    let mut alone = cluster.new_node(20, "z0").node;
-    alone.handle_datagram(now, &request);
-    assert_eq!(alone.take_outbox().len(), 0, "the sender is a stranger");
-    assert_eq!(alone.discarded_datagrams().len(), 0, "the request is valid");
+    let mut isolated = cluster.new_node(20, "z0").node;
+    isolated.handle_datagram(now, &request);
+    assert_eq!(isolated.take_outbox().len(), 0, "a request from an unknown sender gets no response");
+    assert_eq!(isolated.discarded_datagrams().len(), 0, "a valid request is not discarded");
     let mut random = Pcg64::seed_from_u64(8);
     let fleet_hash = u32::from_be_bytes([request[4], request[5], request[6], request[7]]);
     let sizes =
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A test cluster in virtual time: nodes, the network between them and a record of what happened.
+//! A test cluster in virtual time: nodes, the network between them, and recorded events and datagrams.
 
-// Each test file uses a part of it.
+// No test file uses all items of this module.
 #![allow(dead_code)]
 
 use oakport_membership::{DatagramKind, Identity, MemberStatus, MembershipEvent, Micros, Node, NodeConfig};
@@ -11,13 +11,13 @@
 
 pub const SECOND: Micros = 1_000_000;
 pub const MILLI: Micros = 1_000;
-/// What a node may send in any second, headers included.
+/// Maximum bytes that a node may send in any second, headers included.
 pub const MAX_SENT_BYTES_PER_SECOND: usize = 22_000;
-/// What IP and UDP add to each datagram.
+/// Size of the IP and UDP headers of a datagram.
 pub const UDP_IP_HEADER_BYTES: usize = 28;
-/// Longest datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Datagrams that are recorded.
+/// Maximum number of recorded datagrams.
 const MAX_RECORDED_DATAGRAMS: usize = 1_000;
 /// The zone of nodes without a scope.
 const DEFAULT_ZONE: &str = "derby";
@@ -25,9 +25,9 @@
 pub struct TestNode {
     pub node: Node,
     pub running: bool,
-    /// It stands still until then; what arrives meanwhile waits.
+    /// The node is stalled until this time; datagrams that arrive earlier are delivered then.
     pub stalled_until: Micros,
-    /// When it sent how many bytes within the last second.
+    /// Time and size of each datagram sent within the last second.
     sent: VecDeque<(Micros, usize)>,
     sent_bytes: usize,
 }
@@ -46,7 +46,10 @@
             self.sent.pop_front();
         }
         let sent_bytes = self.sent_bytes;
-        assert!(sent_bytes <= MAX_SENT_BYTES_PER_SECOND, "{sent_bytes} bytes in a second at {now}");
+        assert!(
+            sent_bytes <= MAX_SENT_BYTES_PER_SECOND,
+            "{sent_bytes} bytes sent in the second before {now} us"
+        );
     }
 
     fn deadline(&self) -> Micros {
@@ -57,7 +60,7 @@
     }
 }
 
-/// A datagram on its way.
+/// A datagram in transit.
 pub struct InFlightDatagram {
     to: usize,
     datagram: Vec<u8>,
@@ -77,15 +80,15 @@
     pub datagram: Vec<u8>,
 }
 
-/// What the network makes of a datagram from one node to another; `None`: it is not delivered.
+/// Modifies a datagram from one node to another; `None` drops the datagram.
 pub type Transform = fn(from: usize, to: usize, Vec<u8>) -> Option<Vec<u8>>;
 
-/// How the scopes of a cluster are laid out.
+/// The scopes of a cluster.
 #[derive(Clone, Copy)]
 enum Layout {
     /// The fleet is one scope without a name.
     Unnamed,
-    /// The nodes are assigned to this number of scopes in turn.
+    /// The nodes are assigned to this number of scopes round-robin.
     Scopes(usize),
 }
 
@@ -96,19 +99,19 @@
     layout: Layout,
     seeds: Vec<SocketAddr>,
     configured_count: usize,
-    /// Interval at which `wait_for` looks at its condition.
+    /// Interval at which `wait_for` checks its condition.
     check_interval: Micros,
-    /// By arrival and sequence number.
+    /// Datagrams in transit, by arrival time and sequence number.
     in_flight: BTreeMap<(Micros, u64), InFlightDatagram>,
     sent_datagrams: u64,
     pub loss_ratio: f64,
-    /// Whether nothing is delivered from the one to the other.
+    /// Whether datagrams from the first node to the second are dropped.
     pub partition: Box<dyn Fn(usize, usize) -> bool>,
     pub transform: Option<Transform>,
     pub events: Vec<ReportedEvent>,
-    /// The datagrams that were sent last.
+    /// The most recently sent datagrams.
     pub recorded_datagrams: VecDeque<RecordedDatagram>,
-    /// Scope gossip that each node sent to other scopes.
+    /// Number of scope gossip datagrams that each node sent to other scopes.
     pub cross_scope_datagrams: BTreeMap<usize, u64>,
 }
 
@@ -123,14 +126,14 @@
 }
 
 impl Cluster {
-    /// Nodes in scopes `z0`, `z1`, ..., assigned in turn; all know the first two as seeds.
+    /// Nodes assigned round-robin to scopes `z0`, `z1`, ...; the first two nodes are the seeds of all.
     pub fn new(seed: u64, nodes: usize, scopes: usize) -> Self {
         let seeds = vec![address(0), address(1)];
         let cluster = Cluster::empty(seed, Layout::Scopes(scopes), seeds, 1, 50 * MILLI);
         cluster.with_nodes(nodes)
     }
 
-    /// Nodes of a fleet that is one scope without a name; all know the first one as their seed.
+    /// Nodes of a fleet that is one scope without a name; the first node is the seed of all.
     pub fn without_scopes(seed: u64, nodes: usize, configured_count: usize) -> Self {
         let cluster = Cluster::empty(seed, Layout::Unnamed, vec![address(0)], configured_count, 20 * MILLI);
         cluster.with_nodes(nodes)
@@ -173,12 +176,12 @@
         self
     }
 
-    /// A node that starts now in a scope, and is in the zone of that name.
+    /// A node that starts now, in a scope and in a zone of the same name.
     pub fn new_node(&mut self, index: usize, scope: &str) -> TestNode {
         self.start_node(index, scope, scope, self.now)
     }
 
-    /// A node without a scope that starts now in an incarnation.
+    /// A node without a scope that starts now with the given incarnation.
     pub fn new_incarnation(&mut self, index: usize, incarnation: u64) -> TestNode {
         self.start_node(index, "", DEFAULT_ZONE, incarnation)
     }
@@ -204,10 +207,10 @@
         }
     }
 
-    /// Puts the datagrams of a node on the network, and takes its events.
+    /// Transmits the queued datagrams of a node, and records its events.
     pub fn send_outbox(&mut self, from: usize) {
         for (to, datagram) in self.nodes[from].node.take_outbox() {
-            assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
+            assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "datagram of {} bytes", datagram.len());
             self.nodes[from].record_sent(self.now, &datagram);
             let to = index_of(to);
             if datagram[3] == DatagramKind::ScopeGossip as u8 && self.is_cross_scope(from, to) {
@@ -241,11 +244,11 @@
         self.in_flight.insert(arrival, InFlightDatagram { to, datagram });
     }
 
-    /// Runs the cluster until an instant.
+    /// Runs the cluster until a point in time.
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let deadlines = self.nodes.iter().enumerate().map(|(index, node)| (node.deadline(), index));
-            let (deadline, index) = deadlines.min().expect("a node");
+            let (deadline, index) = deadlines.min().expect("a cluster with nodes");
             let arrival = self.in_flight.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
             if deadline.min(arrival) > end {
                 self.now = end;
@@ -276,16 +279,21 @@
         self.send_outbox(next.to);
     }
 
-    /// Runs for a span of time.
-    pub fn run_for(&mut self, span: Micros) {
-        self.run_until(self.now + span);
+    /// Runs the cluster for a duration.
+    pub fn run_for(&mut self, duration: Micros) {
+        self.run_until(self.now + duration);
     }
 
-    /// Runs until a condition holds; returns how long that took.
-    pub fn wait_for(&mut self, timeout: Micros, what: &str, condition: impl Fn(&Cluster) -> bool) -> Micros {
+    /// Runs the cluster until a condition holds, and returns the elapsed time.
+    pub fn wait_for(
+        &mut self,
+        timeout: Micros,
+        expected: &str,
+        condition: impl Fn(&Cluster) -> bool,
+    ) -> Micros {
         let begin = self.now;
         while !condition(self) {
-            assert!(self.now < begin + timeout, "{what}: not within {} s", timeout / SECOND);
+            assert!(self.now < begin + timeout, "{expected}: not reached within {} s", timeout / SECOND);
             self.run_for(self.check_interval);
         }
         self.now - begin
@@ -296,11 +304,11 @@
     }
 
     /// Whether all running nodes have this live count.
-    pub fn all_count(&self, live_count: usize) -> bool {
+    pub fn all_live_counts_are(&self, live_count: usize) -> bool {
         self.running().all(|node| node.node.live_count().get() == live_count)
     }
 
-    /// How often a member was reported dead.
+    /// Number of events that report a member dead.
     pub fn reported_deaths(&self) -> usize {
         let is_death = |event: &MembershipEvent| {
             matches!(event, MembershipEvent::MemberChanged { status: MemberStatus::Dead, .. })
@@ -308,21 +316,21 @@
         self.events.iter().filter(|reported| is_death(&reported.event)).count()
     }
 
-    /// A cluster whose nodes have joined and come to rest.
+    /// A cluster whose nodes have joined and settled.
     pub fn joined(seed: u64, nodes: usize, scopes: usize) -> Self {
         let mut cluster = Cluster::new(seed, nodes, scopes);
-        cluster.wait_for(15 * SECOND, "joined", |cluster| cluster.all_count(nodes));
+        cluster.wait_for(15 * SECOND, "joined", |cluster| cluster.all_live_counts_are(nodes));
         cluster.run_for(5 * SECOND);
         cluster.events.clear();
         cluster
     }
 
-    /// Stops a node without notice.
+    /// Stops a node without announcing its departure.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].running = false;
     }
 
-    /// Lets a node announce that it leaves, and stops it.
+    /// Announces the departure of a node, and stops the node.
     pub fn leave(&mut self, index: usize) {
         let now = self.now;
         self.nodes[index].node.leave(now);
--- a/crates/membership/tests/live_count.rs
+++ b/crates/membership/tests/live_count.rs
@@ -1,4 +1,4 @@
-//! The live proxy count: when it falls, and by how much.
+//! The live proxy count: the conditions and the size of its decreases.
 
 use oakport_membership::{LiveCount, Micros};
 
@@ -14,14 +14,19 @@
 }
 
 #[test]
-fn live_count_falls_by_announced_and_confirmed_departures_only() {
-    // Fewer are live than configured: a departure says nothing of the others.
+fn a_frozen_live_count_falls_by_announced_and_confirmed_departures_only() {
+    // Fewer members are live than configured: one departure does not confirm that others departed.
     let mut count = LiveCount::new(0, 60);
     count.member_left();
     assert_eq!(update_each_second(&mut count, 2, 50, 11), 59);
-    assert_eq!(update_each_second(&mut count, 50, 60, 11), 59, "until the view has agreed for a minute");
+    assert_eq!(
+        update_each_second(&mut count, 50, 60, 11),
+        59,
+        "frozen until the view has agreed for a minute"
+    );
     assert_eq!(update_each_second(&mut count, 60, 120, 11), 11);
-    // A death, a departure, and then the rest of a third within the same three seconds: a partition.
+    // A third of the members is suspected within the same three seconds, with deaths and a departure among
+    // them: a partition.
     let mut count = LiveCount::new(0, 30);
     update_each_second(&mut count, 0, 100, 30);
     for (silent, at) in (0..10).zip(101..) {
@@ -32,9 +37,13 @@
     }
     count.member_left();
     assert!(count.suspects_partition());
-    assert_eq!(update_each_second(&mut count, 103, 150, 19), 29, "the announced departure");
+    assert_eq!(
+        update_each_second(&mut count, 103, 150, 19),
+        29,
+        "only the announced departure lowers the count"
+    );
     assert_eq!(update_each_second(&mut count, 200, 240, 19), 19);
-    // Alone it returns to the configured count, no lower, and not at once.
+    // Without other members, the count returns to the configured count: not below it, and not at once.
     assert_eq!(update_each_second(&mut count, 240, 260, 1), 30);
     let mut count = LiveCount::new(0, 4);
     update_each_second(&mut count, 0, 100, 20);
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the release before: this one writes the same bytes and reads theirs.
+//! Wire compatibility with the previous release: this release writes the same bytes and reads its datagrams.
 
 mod common;
 
@@ -6,9 +6,9 @@
 use oakport_membership::DatagramKind;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of all datagrams of `recorded_fleet`, in their order.
+/// Hash of all datagrams of `run_recorded_fleet`, in the order of sending.
 const DATAGRAMS_HASH: u64 = 0xc092b2c98c6f2c8e;
-/// One datagram of each kind out of `recorded_fleet`, as hexadecimal digits.
+/// One datagram of each kind from `run_recorded_fleet`, as hexadecimal digits.
 const SWIM: &str = concat!(
     "6f616b0156c3db9970c1edcfcafee76e026e30000a000000d836c0843d0131027a30000000026e39000a000009d836c0",
     "843d0131027a30000002036e3138000a000012d836c0843d0131027a3000002d0000",
@@ -27,9 +27,9 @@
     "31027a300001026e36000a000006d836a88c3d0131027a300001",
 );
 
-/// Runs a fleet of three scopes through a start, a partition, a restart and a departure; hands each datagram and its
-/// sender to `observe`.
-fn recorded_fleet(mut observe: impl FnMut(usize, &[u8])) {
+/// Runs a fleet of three scopes through a start, a partition, a restart and a departure; passes each datagram
+/// and its sender to `observe`.
+fn run_recorded_fleet(mut observe: impl FnMut(usize, &[u8])) {
     let mut cluster = Cluster::new(11, 24, 3);
     for milli in 0..30_000 {
         match milli {
@@ -37,7 +37,7 @@
             12_000 => cluster.partition = Box::new(|_, _| false),
             16_000 => cluster.nodes[5] = cluster.new_node(5, "z2"),
             20_000 => {
-                // It goes on running, as it does while it drains.
+                // The node continues to run, as a process does while draining.
                 let now = cluster.now;
                 cluster.nodes[7].node.leave(now);
                 cluster.send_outbox(7);
@@ -57,24 +57,24 @@
 }
 
 #[test]
-fn the_recorded_fleet_writes_the_same_datagrams() {
+fn the_recorded_fleet_sends_the_same_datagrams_as_the_previous_release() {
     let mut hasher = Xxh3::new();
-    recorded_fleet(|from, datagram| {
+    run_recorded_fleet(|from, datagram| {
         hasher.update(&(from as u64).to_be_bytes());
         hasher.update(datagram);
     });
     assert_eq!(format!("{:016x}", hasher.digest()), format!("{DATAGRAMS_HASH:016x}"));
 }
 
-/// What a node knows after a datagram.
+/// The state of a node after it has received a datagram.
 struct Received {
     members: usize,
     scopes: usize,
     sent: usize,
 }
 
-/// The node that received them, started anew, knows their sender and the other scopes, responds to the request and
-/// takes in the response.
+/// A newly started node that receives the recorded datagrams knows their sender and the other scopes,
+/// responds to the request and applies the response.
 #[test]
 fn recorded_datagrams_of_each_kind_are_read() {
     let mut cluster = Cluster::new(11, 24, 3);
@@ -93,11 +93,11 @@
         }
     };
     let members = receive(DatagramKind::Swim, SWIM).members;
-    assert!(members > 1, "its sender is a member");
+    assert!(members > 1, "the sender is a member");
     let scopes = receive(DatagramKind::ScopeGossip, SCOPE_GOSSIP).scopes;
     assert_eq!(scopes, 2, "the other scopes are known");
     let responses = receive(DatagramKind::AntiEntropy, ANTI_ENTROPY_REQUEST).sent;
-    assert!(responses > 0, "the request is answered");
+    assert!(responses > 0, "the request gets a response");
     let grown = receive(DatagramKind::AntiEntropy, ANTI_ENTROPY_RESPONSE).members;
-    assert!(grown > members, "{grown} members, {members} before");
+    assert!(grown > members, "{grown} members after the response, {members} before");
 }
