--- a/crates/proxy/src/dispatcher/state.rs
+++ b/crates/proxy/src/dispatcher/state.rs
@@ -104,8 +104,8 @@
             expected_bytes = response.length,
             reason = %response.error,
             available_memory_bytes = response.available_memory_bytes,
-            held_back_by = response.held_back.map(|held_back| tracing::field::debug(held_back.reason)),
-            held_back_ms_ago = response.held_back.map(|held_back| held_back.until.elapsed().as_millis() as u64),
+            held_back_by = response.last_read_pause.map(|pause| tracing::field::debug(pause.reason)),
+            held_back_ms_ago = response.last_read_pause.map(|pause| pause.until.elapsed().as_millis() as u64),
             "streamed response incomplete"
         );
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from the checkout of its connection to its outcome.
+//! Executes one attempt: obtains a connection, sends the request, and reads or streams the response.
 
 use crate::body::{DetachRequest, MemoryReservation, RequestStream, WriteProgress, MAX_BUFFERED_BODY_BYTES};
 use crate::request::Request;
@@ -7,7 +7,7 @@
 use crate::upstream::load_report;
 use crate::upstream::pool::{ConnectError, ConnectionPool, Target};
 use crate::upstream::response::{classify, read_body, PartialBody, ResponseBody, MAX_STALL};
-use crate::upstream::response_forwarder::{HeldBack, Interruption, Reception, ResponseForwarder};
+use crate::upstream::response_forwarder::{Interruption, ReadPause, ReceiveOutcome, ResponseForwarder};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use oakport_core::{Micros, Outcome};
@@ -15,13 +15,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// An endpoint is given at least this long to take a part of a streamed request.
+/// The least time without progress after which the upload of a streamed request counts as stalled.
 const MIN_UPLOAD_STALL: Duration = Duration::from_secs(1);
 /// How often the progress of a streamed request is checked.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 const TIMEOUT_HEADER: &str = "x-timeout";
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and those that are written anew.
+/// Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the proxy writes itself.
 const HEADERS_NOT_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
@@ -35,56 +35,58 @@
     TIMEOUT_HEADER,
 ];
 
-/// What an attempt needs to know of its call.
+/// The interface of an attempt to the call that it belongs to.
 pub trait AttemptOwner {
-    /// The time that the attempt still has, in microseconds.
+    /// The time left until the attempt times out, in microseconds.
     fn remaining_time(&self) -> Micros;
 
-    /// Whether the first byte may be written now. Asked once the connection is there: meanwhile the call may have
-    /// ended, its time may be up, or its endpoint may be draining or another process.
+    /// Whether the first byte may be written now. Checked once a connection has been obtained, because
+    /// meanwhile the call may have ended or timed out, or its endpoint may have begun to drain or been
+    /// replaced by another process.
     fn may_start(&self) -> bool;
 
-    /// Takes a response that is streamed. Returns false if the call has ended: the response is no longer wanted.
+    /// Starts streaming a response to the client. Returns false if the call has ended and the response is not
+    /// used.
     fn start_response(&self, response: StreamingResponse) -> bool;
 
-    /// Reports a streamed response that its endpoint did not complete.
+    /// Reports a streamed response that ended before its last byte.
     fn report_incomplete(&self, response: &IncompleteResponse);
 }
 
-/// How far a streamed response came that its endpoint did not complete.
+/// A streamed response that ended before its last byte.
 #[derive(Debug)]
 pub struct IncompleteResponse {
-    /// Bytes of its body that were read.
+    /// Bytes of the body read from the endpoint.
     pub received_bytes: u64,
-    /// Bytes of its body that were passed on to the client.
+    /// Bytes of the body forwarded to the client.
     pub forwarded_bytes: u64,
-    /// The length of the complete body in bytes, if its head states it.
+    /// The length of the complete body in bytes, if the response head states it.
     pub length: Option<u64>,
-    /// When and why its reading last waited although the endpoint may have given more.
-    pub held_back: Option<HeldBack>,
-    /// The memory that bodies might still have taken, in bytes.
+    /// The last time that reading paused although the endpoint may have had more data.
+    pub last_read_pause: Option<ReadPause>,
+    /// The memory that was still available for bodies, in bytes.
     pub available_memory_bytes: usize,
-    /// Why it ended.
+    /// Why the response ended early.
     pub error: Interruption,
 }
 
-/// The head of a response, with its body as far as it was read.
+/// The head of a response, and the part of its body read so far.
 struct ReceivedResponse {
     head: Parts,
     body: ResponseBody,
 }
 
-/// What came of a request on one connection.
-enum Exchange {
-    /// The head of a response, with its body as far as it was read.
+/// The outcome of sending a request on a connection and reading its response.
+enum ExchangeOutcome {
+    /// A response has arrived, completely or in part.
     Received(ReceivedResponse),
     /// The connection ended, or the endpoint stalled.
     Failed,
-    /// Nothing was written: the connection, used before, had received unsolicited data.
-    Unsolicited,
+    /// The request was not written, because the reused connection had received unsolicited data.
+    UnsolicitedData,
 }
 
-/// Makes one attempt and returns how it ended.
+/// Makes one attempt and returns its result.
 pub async fn attempt(
     pool: &Rc<ConnectionPool>,
     target: Target,
@@ -92,7 +94,7 @@
     owner: &impl AttemptOwner,
 ) -> AttemptResult {
     if request.upload.as_ref().is_some_and(|upload| !upload.is_unread()) {
-        // What was streamed to one endpoint is not available for another.
+        // A body of which a part has been streamed to an endpoint cannot be sent to another one.
         return Outcome::NotSent.into();
     }
     loop {
@@ -111,11 +113,11 @@
         let Some(message) = message else { return Outcome::NotSent.into() };
         let mut reservation = MemoryReservation::default();
         match exchange(pool, &mut connection, request, message, &mut reservation).await {
-            Exchange::Received(received) => {
+            ExchangeOutcome::Received(received) => {
                 return finish(pool, target, connection, received, reservation, owner).await;
             }
-            Exchange::Failed => return fail(connection, request).await,
-            Exchange::Unsolicited => pool.record_unsolicited_data(&target),
+            ExchangeOutcome::Failed => return fail(connection, request).await,
+            ExchangeOutcome::UnsolicitedData => pool.record_unsolicited_data(&target),
         }
         if request.upload.is_some() {
             return fail(connection, request).await;
@@ -123,7 +125,7 @@
     }
 }
 
-/// Returns a response, or streams it, and returns its connection.
+/// Delivers a response, complete or as a stream, and returns its connection to the pool.
 async fn finish(
     pool: &Rc<ConnectionPool>,
     target: Target,
@@ -150,12 +152,12 @@
                 None => Outcome::Cancelled.into(),
             }
         }
-        // The rest of a response that is not served is dropped with its connection.
+        // The rest of any other response is discarded together with its connection.
         ResponseBody::Partial(_) => AttemptResult { outcome, load, response: None },
     }
 }
 
-/// A pooled connection, else a new one.
+/// Checks out a pooled connection, or opens a new one if none is available.
 async fn obtain_connection(
     pool: &Rc<ConnectionPool>,
     target: &Target,
@@ -174,7 +176,7 @@
     request: &Request,
     message: hyper::Request<RequestStream>,
     reservation: &mut MemoryReservation,
-) -> Exchange {
+) -> ExchangeOutcome {
     let sent = connection.sender.send_request(message);
     let stalled = upload_stalled(Rc::clone(&connection.write_progress), request);
     let received = connection.drive(&pool.metrics, async {
@@ -187,18 +189,19 @@
         () = stalled => None,
     };
     match received {
-        Some(received) => Exchange::Received(received),
+        Some(received) => ExchangeOutcome::Received(received),
         None if connection.has_carried_request() && connection.has_unsolicited_data() => {
-            Exchange::Unsolicited
+            ExchangeOutcome::UnsolicitedData
         }
-        None => Exchange::Failed,
+        None => ExchangeOutcome::Failed,
     }
 }
 
-/// The result of an attempt without a response. It was certainly not executed only if its last byte was not written.
+/// The result of an attempt that got no response. The endpoint has certainly not executed the request only if
+/// its last byte was not written.
 async fn fail(connection: UpstreamConnection, request: &Request) -> AttemptResult {
     if request.upload.as_ref().is_some_and(|upload| upload.has_failed()) {
-        // The client's body broke off: the downstream side ends the call.
+        // The client's upload failed: the downstream side ends the call.
         drop(connection);
         return std::future::pending().await;
     }
@@ -209,7 +212,7 @@
     }
 }
 
-/// Streams a response to the client. `None` if the call has ended.
+/// Streams a response to the client. Returns `None` if the call has ended.
 async fn stream_response(
     pool: &Rc<ConnectionPool>,
     target: &Target,
@@ -232,17 +235,17 @@
     let received = forwarder.receive(&mut connection, &pool.metrics, &mut body.rest, outdated).await;
     let outcome = received.as_ref().map_or_else(Outcome::from, |_| Outcome::Served);
     match received {
-        Ok(Reception::DetachRequested) => {
+        Ok(ReceiveOutcome::DetachRequested) => {
             let detached = forwarder.detach(connection, body.rest).await;
-            return Some(detached.map_or(Outcome::Reset, |is_taken| {
-                if is_taken {
+            return Some(detached.map_or(Outcome::Reset, |is_delivered| {
+                if is_delivered {
                     Outcome::Served
                 } else {
                     Outcome::Cancelled
                 }
             }));
         }
-        Ok(Reception::Complete) => pool.return_after_response(target, connection).await,
+        Ok(ReceiveOutcome::Complete) => pool.return_after_response(target, connection).await,
         Err(Interruption::ClientDisconnected) => return Some(outcome),
         Err(error) => {
             drop(connection);
@@ -250,18 +253,18 @@
                 received_bytes: forwarder.received_bytes(),
                 forwarded_bytes: forwarder.forwarded_bytes(),
                 length,
-                held_back: forwarder.last_held_back(),
+                last_read_pause: forwarder.last_read_pause(),
                 available_memory_bytes: pool.memory.available_bytes(),
                 error,
             });
         }
     }
-    let is_taken = forwarder.finish(outcome == Outcome::Served).await;
-    Some(if is_taken { outcome } else { Outcome::Cancelled })
+    let is_delivered = forwarder.finish(outcome == Outcome::Served).await;
+    Some(if is_delivered { outcome } else { Outcome::Cancelled })
 }
 
-/// Waits until the endpoint has taken nothing of a streamed request for as long as the client would wait for an
-/// answer, within bounds. Never ends for a request that is not streamed.
+/// Waits until the upload of a streamed request has made no progress for the client timeout, clamped to
+/// [`MIN_UPLOAD_STALL`] and [`MAX_STALL`]. Never resolves for a request that is not streamed.
 async fn upload_stalled(write_progress: Rc<WriteProgress>, request: &Request) {
     if request.upload.is_none() {
         return std::future::pending().await;
@@ -272,8 +275,8 @@
     }
 }
 
-/// The request as it goes to an endpoint, with the remaining time in microseconds. `None` if a header cannot be
-/// written.
+/// The request as sent to an endpoint, with the remaining time in microseconds in a header. `None` if that
+/// header value is invalid.
 fn upstream_request(
     request: &Request,
     remaining_time: Micros,
--- a/crates/proxy/src/upstream/attempt/tests.rs
+++ b/crates/proxy/src/upstream/attempt/tests.rs
@@ -27,14 +27,14 @@
     fn report_incomplete(&self, _: &IncompleteResponse) {}
 }
 
-/// One attempt at a stub that reads a little and answers `text`.
-fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+/// Makes one attempt at a stub endpoint that reads once from its connection and responds with `response`.
+fn attempt_at_stub(response: &'static str, may_start: bool) -> AttemptResult {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the address of the listener");
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("a connection from the attempt");
         if stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {
-            stream.write_all(text.as_bytes()).expect("an open connection");
+            stream.write_all(response.as_bytes()).expect("an open connection");
         }
     });
     let pool = pool(Clock::start(), Rc::default());
@@ -45,20 +45,20 @@
 }
 
 #[test]
-fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_protocols_example() {
+fn load_reports_are_parsed_with_both_sets_of_field_names() {
     let expected =
         LoadReport { in_flight: Some(7.0), queued: Some(2.5), utilisation: Some(0.5), error_rate: Some(0.0) };
     for text in [
         "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
     ] {
-        let result = attempt_at(text, true);
+        let result = attempt_at_stub(text, true);
         assert_eq!((result.outcome, result.load), (Outcome::Served, expected), "{text}");
     }
 }
 
 #[test]
-fn an_attempt_that_may_no_longer_start_is_not_sent() {
-    let result = attempt_at("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
+fn an_attempt_that_may_not_start_is_not_sent() {
+    let result = attempt_at_stub("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
     assert_eq!(result.outcome, Outcome::NotSent);
 }
--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -2,21 +2,21 @@
 
 use oakport_core::Micros;
 
-/// The least that a connect slower than the estimate raises it to.
-const MIN_RAISED_ESTIMATE_US: Micros = 1_000;
-/// How much a slower connect raises the estimate at most.
+/// A slow connect may raise the estimate up to this value, however low the estimate was.
+const MIN_ESTIMATE_CAP_US: Micros = 1_000;
+/// A slow connect raises a higher estimate by this factor at most.
 const MAX_RAISE_FACTOR: Micros = 2;
 
-/// An estimate that follows faster connects at once and slower ones in steps: a single slow one may only mean that this
-/// process, or a packet, was late.
+/// An estimate that falls at once after a faster connect but rises in steps after slower ones: a single slow
+/// connect may only mean that this process or a packet was delayed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectTimeEstimate(Micros);
 
 impl ConnectTimeEstimate {
-    /// Takes in how long a connect took, in microseconds.
+    /// Updates the estimate with the duration of a connect, in microseconds.
     pub fn record(&mut self, elapsed: Micros) {
-        let highest = (self.0 * MAX_RAISE_FACTOR).max(MIN_RAISED_ESTIMATE_US);
-        self.0 = elapsed.min(highest);
+        let cap = (self.0 * MAX_RAISE_FACTOR).max(MIN_ESTIMATE_CAP_US);
+        self.0 = elapsed.min(cap);
     }
 
     /// The estimate, in microseconds; 0 before the first connect.
--- a/crates/proxy/src/upstream/connect_time/tests.rs
+++ b/crates/proxy/src/upstream/connect_time/tests.rs
@@ -1,4 +1,4 @@
-//! What the estimate follows from.
+//! How the estimate follows the measured connect times.
 
 use super::*;
 use crate::upstream::preconnect::REUSE_COOLDOWN_US;
@@ -6,7 +6,8 @@
 const FAST_CONNECT_US: Micros = 150;
 const SLOW_CONNECT_US: Micros = 184_000;
 
-/// Guards against calls that wait for the reuse cooldown without end since one connect was slow.
+/// Guards against one slow connect that stops preconnecting for good, so that calls keep waiting for the
+/// reuse cooldown.
 #[test]
 fn one_slow_connect_leaves_the_estimate_below_the_reuse_cooldown() {
     for connects in
@@ -19,14 +20,14 @@
 }
 
 #[test]
-fn connects_that_are_always_slow_raise_the_estimate_to_their_time() {
+fn repeated_slow_connects_raise_the_estimate_to_their_duration() {
     let mut estimate = ConnectTimeEstimate::default();
     (0..10).for_each(|_| estimate.record(SLOW_CONNECT_US));
     assert_eq!(estimate.expected(), SLOW_CONNECT_US);
 }
 
 #[test]
-fn a_fast_connect_counts_at_once() {
+fn a_fast_connect_lowers_the_estimate_at_once() {
     let mut estimate = ConnectTimeEstimate::default();
     (0..10).for_each(|_| estimate.record(SLOW_CONNECT_US));
     estimate.record(FAST_CONNECT_US);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an endpoint. It is driven by the attempt that uses it, without a task of its own: dropping the
-//! attempt closes the connection, and nothing is ever sent twice.
+//! One connection to an endpoint. It is polled by the attempt that uses it, without a separate task: dropping
+//! the attempt closes the connection, and nothing is ever sent twice.
 
 use crate::body::{BodySource, RequestStream, WriteProgress, MAX_CONNECTION_BUFFER_BYTES};
 use crate::descriptors::ConnectionDescriptors;
@@ -19,17 +19,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What a connection and its stream share of the exchange in progress, a request with its response.
+/// State of the current exchange (a request and its response), shared by a connection and its stream.
 #[derive(Debug, Default)]
 struct Exchange {
-    /// The first byte of the request has been written, and the response is not complete.
+    /// The first byte of the request has been written, and the response is not yet complete.
     is_in_progress: Cell<bool>,
     /// Data arrived while no exchange was in progress.
     has_unsolicited_data: Cell<bool>,
 }
 
-/// A stream that records whether all that was to be written has been passed to the socket. It writes no request if
-/// data has arrived before it, which would be taken for the response.
+/// A stream that records whether all pending data has been written to the socket. It refuses to write a
+/// request after unsolicited data, which would be taken for the response.
 struct WatchedStream {
     socket: Socket,
     write_progress: Rc<WriteProgress>,
@@ -37,10 +37,10 @@
 }
 
 impl WatchedStream {
-    /// Begins an exchange.
+    /// Starts an exchange.
     ///
     /// # Errors
-    /// Data has arrived that no request asked for.
+    /// If unsolicited data has arrived.
     fn begin_exchange(&self) -> io::Result<()> {
         if self.exchange.has_unsolicited_data.get() || self.socket.has_unread_bytes() {
             self.exchange.has_unsolicited_data.set(true);
@@ -63,7 +63,7 @@
 }
 
 impl AsyncWrite for WatchedStream {
-    // Not vectored: head and body are joined and go out in one write.
+    // Not vectored, so that hyper joins head and body into one write.
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if !self.exchange.is_in_progress.get() {
             self.begin_exchange()?;
@@ -90,22 +90,22 @@
     pub sender: SendRequest<RequestStream>,
     connection: Connection<TokioIo<WatchedStream>, RequestStream>,
     socket: Socket,
-    /// The connection has ended, and must not be polled again.
+    /// The connection has ended and must not be polled again.
     has_ended: bool,
     exchange: Rc<Exchange>,
-    /// A request has been written to it.
+    /// A request has been sent, and answered, on this connection.
     has_carried_request: bool,
-    /// How far the request has been written.
+    /// How much of the request has been written.
     pub write_progress: Rc<WriteProgress>,
-    /// When its reuse cooldown ends: nothing more of the last response is expected from then on.
+    /// When the reuse cooldown ends. After that, no further data of the last response is expected.
     pub reusable_at: Micros,
-    /// The generation of the endpoint that it leads to.
+    /// The generation of the endpoint that the connection was opened to.
     pub generation: u64,
     descriptors: ConnectionDescriptors,
 }
 
 impl UpstreamConnection {
-    /// Makes a connection of a stream. `None` if it has already ended.
+    /// Sets up HTTP/1.1 on a TCP stream. `None` if the connection has already ended.
     pub async fn open(
         stream: TcpStream,
         generation: u64,
@@ -138,7 +138,7 @@
         opened.is_alive().await.then_some(opened)
     }
 
-    /// Whether it is open and ready for a request. This notices a connection that its endpoint has closed.
+    /// Whether the connection is open and ready for a request. Detects that the endpoint has closed it.
     pub async fn is_alive(&mut self) -> bool {
         if !self.has_ended {
             poll_fn(|cx| {
@@ -150,40 +150,42 @@
         !self.has_ended && self.sender.is_ready()
     }
 
-    /// The response is complete: what arrives from now on was not asked for.
+    /// Ends the exchange after a complete response: all data from now on is unsolicited.
     pub fn end_exchange(&mut self) {
         self.exchange.is_in_progress.set(false);
         self.has_carried_request = true;
     }
 
-    /// Whether a request was written to it. Before that no response is owed, and none can be late.
+    /// Whether a request has been sent, and answered, on this connection. Before that, no response can arrive
+    /// late.
     pub fn has_carried_request(&self) -> bool {
         self.has_carried_request
     }
 
-    /// Whether data has arrived outside an exchange: a part of an extra response, which would be taken for the next one.
-    /// An end of the connection is none.
+    /// Whether data has arrived outside an exchange: part of an extra response, which would be taken for the
+    /// next one. The end of the connection does not count as data.
     pub fn has_unsolicited_data(&self) -> bool {
         self.exchange.has_unsolicited_data.get()
             || (!self.exchange.is_in_progress.get() && self.socket.has_unread_bytes())
     }
 
-    /// Its socket, to wait for what arrives while it is idle.
+    /// The socket, used to wait for data while the connection is idle.
     pub fn socket(&self) -> &Socket {
         &self.socket
     }
 
-    /// Takes the connection out of the HTTP parser, where so many bytes of a body are still to be passed on by that. Returns
-    /// those that the parser has read already, and the source of the others.
+    /// Detaches the connection from the HTTP parser, which has yet to pass on `remaining_bytes` of a body.
+    /// Returns the bytes that the parser has already read, and a source for the others.
     pub fn into_body_source(self, remaining_bytes: u64) -> (Bytes, BodySource) {
         let mut read = self.connection.into_parts().read_buf;
-        // What exceeds the body was not asked for.
+        // Data after the end of the body is unsolicited.
         read.truncate(usize::try_from(remaining_bytes).unwrap_or(usize::MAX));
         let remaining_bytes = remaining_bytes - read.len() as u64;
         (read, BodySource { socket: self.socket, remaining_bytes, _descriptors: self.descriptors })
     }
 
-    /// Drives the connection until `work`, which needs it, is done. `None` if the connection ended first.
+    /// Polls the connection until `work`, which depends on it, completes. `None` if the connection ends
+    /// first.
     pub async fn drive<T>(&mut self, metrics: &Metrics, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         poll_fn(|cx| match self.poll_with(cx, metrics, work.as_mut()) {
@@ -194,13 +196,14 @@
         .await
     }
 
-    /// Drives the connection while it lasts until `work`, which does not need it, is done.
+    /// Polls the connection, as long as it is open, until `work` completes, which does not depend on the
+    /// connection.
     pub async fn drive_alongside<T>(&mut self, metrics: &Metrics, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         poll_fn(|cx| self.poll_with(cx, metrics, work.as_mut())).await
     }
 
-    /// Polls the connection, which has not ended, and records its end.
+    /// Polls the connection and records whether it has ended. It must not have ended before.
     fn poll_connection(&mut self, cx: &mut Context<'_>) {
         let polled = Pin::new(&mut self.connection).poll(cx);
         self.has_ended = polled.is_ready();
@@ -209,8 +212,8 @@
         }
     }
 
-    /// Polls the work, the connection and the work again: the first poll passes the request on, the second writes it,
-    /// the third takes a response that has arrived with the end of the connection.
+    /// Polls `work`, the connection and `work` again: the first poll queues the request, the second writes
+    /// it, and the third receives a response that has arrived together with the end of the connection.
     fn poll_with<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -231,8 +234,8 @@
     }
 }
 
-/// Whether a connection failed because it received more than the response that it waited for. The library has no method
-/// for this kind of its errors, which alone has neither a cause nor a method.
+/// Whether a connection failed because it received more than the expected response. hyper has no predicate
+/// for this kind of error, which is the only kind with neither a source nor a predicate.
 fn is_unsolicited_data(error: &hyper::Error) -> bool {
     let is_other_kind = error.is_incomplete_message()
         || error.is_body_write_aborted()
--- a/crates/proxy/src/upstream/endpoint_connections.rs
+++ b/crates/proxy/src/upstream/endpoint_connections.rs
@@ -14,21 +14,23 @@
 
 /// The connections to one endpoint.
 pub struct EndpointConnections {
-    /// The idle ones, in the order in which their reuse cooldowns end.
+    /// Idle connections, ordered by the end of their reuse cooldown.
     pub idle: VecDeque<UpstreamConnection>,
-    /// Counts all of them: idle, in use, and being connected.
+    /// Counts all connections: idle, in use, and being opened.
     pub open: Rc<Descriptors>,
-    /// Connections of earlier generations are outdated, and not pooled. Those in use may wait for a change.
+    /// Connections of earlier generations are outdated and are not pooled. Attempts can wait for a change of
+    /// this value.
     pub generation: watch::Sender<u64>,
-    /// The recent calls.
+    /// The demand that recent calls show.
     pub demand: ConnectionDemand,
-    /// How long the next connect is expected to take.
+    /// The expected duration of the next connect.
     pub connect_time: ConnectTimeEstimate,
-    /// Nothing is preconnected before this moment, as a connect has failed.
+    /// After a failed connect, no connection is preconnected before this time.
     pub preconnect_from: Micros,
-    /// Notified when a connection is pooled that needs no cooldown.
+    /// Notified when a connection is pooled whose cooldown is over, and when the endpoint becomes less
+    /// trusted.
     pub reusable: Rc<Notify>,
-    /// Whether connections are reused, and how soon.
+    /// Decides whether and how soon connections are reused.
     pub trust: ReuseTrust,
 }
 
@@ -48,8 +50,8 @@
 }
 
 impl EndpointConnections {
-    /// Looks what has arrived on the idle connections, and closes those that have received anything. Returns whether
-    /// one has received unsolicited data.
+    /// Closes the idle connections that have received data or have ended. Returns whether one of them has
+    /// received unsolicited data.
     pub fn observe(&mut self, now: Micros) -> bool {
         let readable = Socket::poll_readable(self.idle.iter().map(UpstreamConnection::socket));
         let mut readable = readable.into_iter();
@@ -65,19 +67,19 @@
         is_unsolicited
     }
 
-    /// Records that a connection has received unsolicited data. If connections are not reused from now on, the idle ones
-    /// are closed. Returns whether the distrust of the endpoint begins now.
+    /// Records that a connection has received unsolicited data. Closes the idle connections that have been
+    /// used, if connections are no longer reused. Returns whether the endpoint was not distrusted until now.
     pub fn distrust(&mut self, now: Micros) -> bool {
-        let begins = self.trust.record_unsolicited_data(now);
+        let is_newly_distrusted = self.trust.record_unsolicited_data(now);
         if self.trust.rule(now) == ReuseRule::Never {
             self.idle.retain(|connection| !connection.has_carried_request());
         }
-        // Calls may wait for a connection that is closed, or must be observed for longer.
+        // Wakes calls that wait for a connection that is now closed or must be observed for longer.
         self.reusable.notify_waiters();
-        begins
+        is_newly_distrusted
     }
 
-    /// When the idle connection that can be reused first can be. `None` if none is idle.
+    /// When the first idle connection becomes reusable. `None` if none is idle.
     pub fn next_reusable_at(&self, now: Micros) -> Option<Micros> {
         let first = self.idle.front()?;
         Some(match self.trust.rule(now) {
@@ -86,7 +88,7 @@
         })
     }
 
-    /// Takes an idle connection that may be reused now.
+    /// Removes and returns an idle connection that may be reused now.
     pub fn take_reusable(&mut self, now: Micros, limits: &ConnectionLimits) -> Option<UpstreamConnection> {
         let rule = self.trust.rule(now);
         if rule == ReuseRule::AfterCooldown {
@@ -96,20 +98,21 @@
             !connection.has_carried_request()
                 || (rule == ReuseRule::AfterObservation && is_observed(connection, now))
         };
-        // The one used last, so that surplus connections expire.
+        // Prefers the most recently used connection, so that surplus connections expire.
         let position = self.idle.iter().rposition(may_reuse)?;
         self.idle.remove(position)
     }
 
-    /// Takes an idle connection whose reuse cooldown is over.
+    /// Removes and returns an idle connection whose reuse cooldown is over.
     ///
-    /// Preferred is the one used last among those whose cooldown has ended at least another cooldown ago, so that
-    /// surplus connections stay unused and expire; else the one that has been idle longest. That one also goes first if
-    /// the demand justifies all connections and it would soon expire: connecting anew costs a handshake.
+    /// Prefers the most recently used connection among those whose cooldown ended at least another cooldown
+    /// ago, so that surplus connections stay unused and expire; otherwise uses the one that has been idle
+    /// longest. The latter is also preferred if the demand justifies all connections and it would soon
+    /// expire, as a new one costs a handshake.
     fn take_cooled_down(&mut self, now: Micros, limits: &ConnectionLimits) -> Option<UpstreamConnection> {
         let longest_idle = self.idle.front().filter(|connection| connection.reusable_at <= now)?;
         let expires_soon = longest_idle.reusable_at + limits.max_idle / 2 <= now;
-        if expires_soon && self.open.open_count() <= self.justified(limits) {
+        if expires_soon && self.open.open_count() <= self.justified_count(limits) {
             return self.idle.pop_front();
         }
         let twice_cooled_down =
@@ -118,31 +121,33 @@
     }
 
     /// The number of connections that the demand justifies.
-    fn justified(&self, limits: &ConnectionLimits) -> usize {
+    fn justified_count(&self, limits: &ConnectionLimits) -> usize {
         self.demand.justified_connections(limits.max_idle, limits.max_preconnected)
     }
 
-    /// Whether to preconnect as a response has come and its connection cools down: the demand justifies more than are
-    /// open. None is open if the endpoint has closed the last; that is no demand of a call.
+    /// Whether to preconnect after a response, while its connection is in its reuse cooldown: the demand
+    /// justifies more connections than are open. False if none is open: the endpoint has closed the last one,
+    /// which shows no demand.
     pub fn needs_another(&self, limits: &ConnectionLimits) -> bool {
         let open = self.open.open_count();
-        // The limit first: without capacity the demand need not be computed.
-        (1..limits.max_preconnected).contains(&open) && open < self.justified(limits)
+        // Checks the limit first, so that the demand is not computed at capacity.
+        (1..limits.max_preconnected).contains(&open) && open < self.justified_count(limits)
     }
 
-    /// Whether to preconnect as a call waits for the reuse cooldown, which ends after `remaining_cooldown` microseconds:
-    /// the calls are more than one short burst, too many of them have waited, and a new connection is expected before
-    /// the end of the cooldown. Bursts to several endpoints, as `total_demand` shows, are more than one, too.
+    /// Whether to preconnect because a call waits for the reuse cooldown, which ends in `remaining_cooldown`
+    /// microseconds: there were more calls than one short burst, too many of them have waited, and a new
+    /// connection is expected to open before the cooldown ends. Bursts to several endpoints, as seen in
+    /// `total_demand`, also count as more than one burst.
     pub fn waits_need_another(
         &self,
         total_demand: &ConnectionDemand,
         remaining_cooldown: Micros,
         limits: &ConnectionLimits,
     ) -> bool {
-        let is_more_than_a_burst = self.demand.is_sustained() || total_demand.waits_exceed_burst();
+        let exceeds_burst = self.demand.is_sustained() || total_demand.waits_exceed_burst();
         let too_many_waits = self.demand.waits_exceed(limits.affordable_waits);
-        let connects_before = self.connect_time.expected() < remaining_cooldown;
-        is_more_than_a_burst && too_many_waits && connects_before
+        let connects_in_time = self.connect_time.expected() < remaining_cooldown;
+        exceeds_burst && too_many_waits && connects_in_time
     }
 
     /// Whether a connection may be preconnected now.
@@ -150,8 +155,8 @@
         self.open.open_count() < limits.max_preconnected && self.preconnect_from <= now
     }
 
-    /// Pools a connection, unless connections to this endpoint are not reused; the one that has been idle longest is
-    /// closed if there are too many.
+    /// Adds a connection to the pool, unless connections to this endpoint are not reused. Closes the
+    /// connection that has been idle longest if the pool exceeds its limit.
     pub fn pool(&mut self, connection: UpstreamConnection, now: Micros, limits: &ConnectionLimits) {
         if connection.has_carried_request() && self.trust.rule(now) == ReuseRule::Never {
             return;
@@ -171,7 +176,8 @@
         }
     }
 
-    /// Closes the idle connections; those in use are not pooled again if their generation is before this one.
+    /// Closes the idle connections. Those in use are not pooled again if their generation is earlier than
+    /// `generation`.
     pub fn close_outdated(&mut self, generation: u64) {
         self.idle.clear();
         self.generation.send_replace(generation);
@@ -179,7 +185,7 @@
     }
 }
 
-/// When a connection has been idle for [`OBSERVATION_US`] since its last response.
+/// When a connection will have been idle for [`OBSERVATION_US`] since its last response.
 fn observed_at(connection: &UpstreamConnection) -> Micros {
     connection.reusable_at + (OBSERVATION_US - REUSE_COOLDOWN_US)
 }
--- a/crates/proxy/src/upstream/limits.rs
+++ b/crates/proxy/src/upstream/limits.rs
@@ -1,26 +1,27 @@
-//! The limits of the connections to endpoints, as they follow from the settings.
+//! The limits of the connections to endpoints, derived from the settings.
 
 use crate::upstream::preconnect::REUSE_COOLDOWN_US;
 use oakport_core::settings_wire::TransportSettings;
 use oakport_core::Micros;
 use std::time::Duration;
 
-/// Connections to one endpoint up to which all client proxies together preconnect. Endpoints do not report how many
-/// they accept; with too few, calls wait for the reuse cooldown, and with too many, connects fail.
+/// Limit on open connections to one endpoint up to which all client proxies together preconnect. Endpoints do
+/// not report how many they accept; with too few, calls wait for the reuse cooldown, and with too many,
+/// connects fail.
 const MAX_PRECONNECTED_OF_ALL_PROXIES: usize = 60;
-/// Idle connections to one endpoint that each client proxy may pool however small its share of those is.
+/// Idle connections to one endpoint that each client proxy may pool, however small its share of that limit.
 pub const MIN_POOLED_CONNECTIONS: usize = 4;
 
 /// The limits of the connections to each endpoint.
 #[derive(Clone, Copy)]
 pub struct ConnectionLimits {
-    /// A connect that takes longer has failed.
+    /// A connect that takes longer counts as failed.
     pub connect_timeout: Duration,
     /// How long after its reuse cooldown an idle connection stays pooled, in microseconds.
     pub max_idle: Micros,
-    /// Open connections to an endpoint up to which further ones are preconnected.
+    /// Connections are preconnected only while fewer than this many are open to the endpoint.
     pub max_preconnected: usize,
-    /// So many waits for the reuse cooldown cost less than a new connection.
+    /// The number of waits for the reuse cooldown that cost as much as a new connection.
     pub affordable_waits: f64,
 }
 
@@ -36,14 +37,15 @@
     }
 }
 
-/// A connection is closed well before the endpoint's own idle timeout, in microseconds: a request that is sent when the
-/// endpoint closes would fail.
+/// The pooling time of an idle connection after its cooldown, in microseconds. Ends well before the
+/// endpoint's own idle timeout: a request sent while the endpoint closes the connection would fail.
 fn max_idle(idle_connection_timeout: Micros) -> Micros {
     (idle_connection_timeout / 4 * 3).saturating_sub(REUSE_COOLDOWN_US)
 }
 
-/// How many waits for the reuse cooldown cost as much as a new connection. A wait costs at most the cooldown's share of
-/// the shortest latency objective, a new connection its handshake charge. Without a charge no wait is affordable.
+/// How many waits for the reuse cooldown cost as much as a new connection. A wait costs at most the ratio of
+/// the cooldown to the shortest latency objective, a new connection its handshake charge. Without a charge no
+/// wait is affordable.
 fn affordable_waits(transport: TransportSettings) -> f64 {
     transport.handshake_charge * transport.shortest_latency_objective as f64 / REUSE_COOLDOWN_US as f64
 }
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! Reads the load report in the header of a response.
+//! Parses the load report in a response header.
 
 use hyper::header::HeaderValue;
 use hyper::http::HeaderMap;
@@ -11,8 +11,8 @@
     headers.get(LOAD_HEADER).map(parse).unwrap_or_default()
 }
 
-/// Reads `TEXT name=value, name=value, ...`; invalid parts are skipped. The names are those of the settings' columns
-/// (`active`) or of the protocol's example (`inflight`): endpoints send either.
+/// Parses `TEXT name=value, name=value, ...`; invalid parts are skipped. Accepts the names of the columns in
+/// the settings (`active`) and those of the protocol's example (`inflight`), because endpoints send either.
 fn parse(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
@@ -30,7 +30,7 @@
     load
 }
 
-/// A number that is finite and not negative.
+/// Parses a number; `None` unless it is finite and not negative.
 fn parse_number(text: &str) -> Option<f64> {
     let number: f64 = text.trim().parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number)
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The side of the endpoints: attempts, and the connections that carry them.
+//! The upstream side of the proxy: attempts, and the connections to endpoints.
 
 pub mod attempt;
 mod connect_time;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -24,27 +24,28 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// A call waits for the observation of a connection only if it has so many times as much time left.
-const MIN_REMAINING_TIME_PER_WAIT: Micros = 4;
+/// A call waits for the observation of a connection only if its remaining time is at least this many times
+/// the wait.
+const MIN_REMAINING_TIME_TO_WAIT_RATIO: Micros = 4;
 
-/// Where an attempt goes.
+/// The destination of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
     pub address: SocketAddr,
-    /// Its generation: connections of an earlier one are not used.
+    /// The endpoint's generation; connections of an earlier one are not used.
     pub generation: u64,
 }
 
-/// Why there is no connection.
+/// Why no connection could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConnectError {
-    /// This says nothing of the endpoint.
+    /// A limit of the process or the system, which says nothing about the endpoint.
     #[error("the process has no descriptor left")]
     NoDescriptor,
-    /// The endpoint refused, closed or did not answer in time.
+    /// The endpoint refused or closed the connection, or did not accept it in time.
     #[error("the endpoint accepted no connection")]
     Failed,
 }
@@ -58,28 +59,28 @@
     }
 }
 
-/// Why the pool has no connection for a call now.
+/// Why the pool has no connection available for a call.
 enum Unavailable {
     /// No connection is idle.
     NoneIdle,
-    /// All idle connections are in their reuse cooldown, or under observation.
+    /// All idle connections are in their reuse cooldown or under observation.
     CoolingDown(Cooldown),
 }
 
-/// The wait for the reuse cooldown, or for the observation of an endpoint that is not yet trusted.
+/// A pending reuse cooldown, or the pending observation of an endpoint that is not yet trusted.
 struct Cooldown {
-    /// When the first of the connections may be used.
+    /// When the first of the connections becomes reusable.
     until: Micros,
-    /// Notified if another becomes reusable before, or none will.
+    /// Notified if another connection becomes reusable earlier, or if the endpoint becomes less trusted.
     reusable: Rc<Notify>,
-    /// The socket of the first, which may receive something that forbids its reuse.
+    /// The socket of the first connection; data that arrives on it prevents its reuse.
     socket: Socket,
 }
 
 /// The connections to all endpoints.
 pub struct ConnectionPool {
     endpoints: RefCell<HashMap<EndpointId, EndpointConnections>>,
-    /// The recent calls to all endpoints together.
+    /// The demand that recent calls to all endpoints show.
     total_demand: RefCell<ConnectionDemand>,
     descriptors: Rc<Descriptors>,
     clock: Clock,
@@ -90,7 +91,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool, of one of `proxy_count` client proxies.
+    /// An empty pool for one of `proxy_count` client proxies.
     pub fn new(
         transport: TransportSettings,
         proxy_count: u32,
@@ -110,19 +111,19 @@
         })
     }
 
-    /// Puts new settings in force.
+    /// Applies new settings.
     pub fn apply_settings(&self, transport: TransportSettings, proxy_count: u32) {
         self.limits.set(ConnectionLimits::new(transport, proxy_count));
     }
 
-    /// Closes the idle connections to an endpoint, and those in use of generations before this one when they are
-    /// returned: otherwise a draining endpoint would keep connections that nothing uses any more.
+    /// Closes the idle connections to an endpoint now, and those in use of generations before `generation`
+    /// when they are returned. Otherwise a draining endpoint would keep connections that are no longer used.
     pub fn close_outdated(&self, endpoint: EndpointId, generation: u64) {
         self.endpoints.borrow_mut().entry(endpoint).or_default().close_outdated(generation);
     }
 
-    /// Resolves once the connections of a target are outdated: its endpoint is draining, has been removed, or is another
-    /// process.
+    /// Resolves once the connections of a target are outdated: its endpoint is draining, has been removed, or
+    /// has been replaced by another process.
     pub fn outdated(&self, target: &Target) -> impl Future<Output = ()> {
         let mut endpoints = self.endpoints.borrow_mut();
         let mut current = endpoints.entry(target.endpoint).or_default().generation.subscribe();
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and surplus ones where the calls have ceased.
+    /// Closes connections that have been idle for too long, and surplus ones to endpoints whose calls have
+    /// ceased.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let limits = self.limits.get();
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, to free its descriptor. False if none is idle.
+    /// Closes the connection that has been idle longest, to free its descriptor. Returns false if none is
+    /// idle.
     pub fn evict_oldest(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
         let with_idle = endpoints.values_mut().filter(|connections| !connections.idle.is_empty());
@@ -152,17 +155,17 @@
         oldest.and_then(|connections| connections.idle.pop_front()).is_some()
     }
 
-    /// Takes an idle connection that is still open. If none may be reused yet this waits for the first: a new one costs
-    /// its endpoint work and its first request time. `None` if nothing is idle, or if the wait would take too much of the
-    /// call's remaining time.
+    /// Takes an idle connection that is still open. If none is reusable yet, waits for the first: a new
+    /// connection costs its endpoint work and its first request time. `None` if no connection is idle, or if
+    /// the wait would take too much of the call's remaining time.
     pub async fn checkout(
         self: &Rc<Self>,
         target: &Target,
         remaining_time: Micros,
     ) -> Option<UpstreamConnection> {
-        let began = self.clock.now();
-        self.endpoints.borrow_mut().entry(target.endpoint).or_default().demand.record_call(began);
-        self.total_demand.borrow_mut().record_call(began);
+        let arrived_at = self.clock.now();
+        self.endpoints.borrow_mut().entry(target.endpoint).or_default().demand.record_call(arrived_at);
+        self.total_demand.borrow_mut().record_call(arrived_at);
         let mut has_waited = false;
         loop {
             let now = self.clock.now();
@@ -174,7 +177,7 @@
                 }
                 Err(Unavailable::NoneIdle) => return None,
                 Err(Unavailable::CoolingDown(cooldown)) => {
-                    if !is_affordable(cooldown.until.saturating_sub(now), remaining_time) {
+                    if !can_afford_wait(cooldown.until.saturating_sub(now), remaining_time) {
                         return None;
                     }
                     if !has_waited {
@@ -206,7 +209,7 @@
         Err(Unavailable::CoolingDown(Cooldown { until, reusable, socket: first.socket().clone() }))
     }
 
-    /// Records that an endpoint has sent data that no request asked for.
+    /// Records that an endpoint has sent unsolicited data.
     pub fn record_unsolicited_data(&self, target: &Target) {
         let mut endpoints = self.endpoints.borrow_mut();
         self.distrust(target, endpoints.entry(target.endpoint).or_default());
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Whether an idle connection may carry a request to this target.
+    /// Whether an idle connection can be used for a request to this target.
     async fn is_usable(&self, connection: &mut UpstreamConnection, target: &Target) -> bool {
         let expires_at = connection.reusable_at + self.limits.get().max_idle;
         let is_open = expires_at > self.clock.now()
@@ -233,7 +236,8 @@
         is_open
     }
 
-    /// Records that a call waits for the reuse cooldown until this moment, and preconnects if that is worth it.
+    /// Records that a call waits for the reuse cooldown to end at `until`, and preconnects if the waits
+    /// justify it.
     fn record_cooldown_wait(self: &Rc<Self>, target: &Target, until: Micros, now: Micros) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(connections) = endpoints.get_mut(&target.endpoint) else { return };
@@ -247,7 +251,8 @@
         }
     }
 
-    /// Opens a connection for calls to come, within the limits. It closes no idle connection for its descriptor.
+    /// Opens a connection for future calls, within the limits. Does not close an idle connection to free a
+    /// descriptor.
     fn preconnect(self: &Rc<Self>, target: &Target, connections: &EndpointConnections) {
         if !connections.may_preconnect(self.clock.now(), &self.limits.get()) {
             return;
@@ -268,11 +273,11 @@
         Some(ConnectionDescriptors::new(process, endpoint))
     }
 
-    /// Opens a connection for a call that waits for it. If no descriptor is left, the connection that has been idle
-    /// longest is closed.
+    /// Opens a connection for a call that waits for it. If no descriptor is left, closes the connection that
+    /// has been idle longest.
     ///
     /// # Errors
-    /// If no descriptor is left, or the endpoint accepts no connection.
+    /// If no descriptor is left, or the connect fails or times out.
     pub async fn connect(&self, target: &Target) -> Result<UpstreamConnection, ConnectError> {
         let acquire =
             || self.acquire_descriptors(self.endpoints.borrow_mut().entry(target.endpoint).or_default());
@@ -312,8 +317,8 @@
         connection.ok_or(ConnectError::Failed)
     }
 
-    /// Returns a connection after a response; its reuse cooldown begins. Preconnects if the demand justifies another
-    /// connection for a call that comes meanwhile.
+    /// Returns a connection after a response and starts its reuse cooldown. Preconnects if the demand
+    /// justifies another connection for calls that arrive during the cooldown.
     pub async fn return_after_response(self: &Rc<Self>, target: &Target, mut connection: UpstreamConnection) {
         connection.reusable_at = self.clock.now() + REUSE_COOLDOWN_US;
         connection.end_exchange();
@@ -326,7 +331,8 @@
         }
     }
 
-    /// Returns a connection that has carried nothing since its checkout, or at all: it needs no further cooldown.
+    /// Returns a connection that is new or has not been used since its checkout, which needs no further
+    /// cooldown.
     pub async fn return_unused(&self, target: &Target, mut connection: UpstreamConnection) {
         let now = self.clock.now();
         let is_alive = connection.is_alive().await;
@@ -346,9 +352,10 @@
     }
 }
 
-/// Whether a call with this much time left can wait so long for a connection. The reuse cooldown is short enough for any.
-fn is_affordable(wait: Micros, remaining_time: Micros) -> bool {
-    wait <= REUSE_COOLDOWN_US || wait <= remaining_time / MIN_REMAINING_TIME_PER_WAIT
+/// Whether a call with `remaining_time` left can wait this long for a connection. The reuse cooldown is short
+/// enough for any call.
+fn can_afford_wait(wait: Micros, remaining_time: Micros) -> bool {
+    wait <= REUSE_COOLDOWN_US || wait <= remaining_time / MIN_REMAINING_TIME_TO_WAIT_RATIO
 }
 
 /// Whether the process or the system has no file descriptor left.
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reads and classifies the response of an endpoint, until it is complete or begins to be streamed to the client.
+//! Reads and classifies an endpoint's response, until it is complete or streaming to the client begins.
 
 use crate::body::{MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
@@ -13,16 +13,16 @@
 
 /// A response of unknown length is streamed if it is not complete this long after its first bytes.
 const COMPLETE_RESPONSE_WAIT: Duration = Duration::from_millis(100);
-/// An endpoint that neither sends nor takes anything for this long has stalled.
+/// An endpoint that neither sends nor accepts data for this long has stalled.
 pub const MAX_STALL: Duration = Duration::from_secs(10);
 
 const NOT_PROCESSED_HEADER: &str = "x-not-processed";
 
-/// The body of a response, as far as it was read before anything was sent to the client.
+/// The part of a response body that was read before anything was sent to the client.
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The beginning of one that is not buffered completely.
+    /// The beginning of a body that is not buffered completely.
     Partial(PartialBody),
 }
 
@@ -40,8 +40,9 @@
     }
 }
 
-/// Reads a body until it is complete, or too large or too slow to be buffered. `None` if it broke off, which includes
-/// one that ended with its connection although its head did not say so.
+/// Reads a body until it is complete, or too large or too slow to be buffered. `None` if the body was
+/// truncated, which includes a body that ended with its connection although the head did not announce that,
+/// or if an undelimited body exceeded the buffer.
 pub async fn read_body(
     head: &Parts,
     mut body: Incoming,
@@ -85,8 +86,8 @@
     ResponseBody::Partial(PartialBody { first_chunk: buffered.freeze(), rest })
 }
 
-/// Whether the head says where the body ends. A body that ends with its connection counts only if the head announces
-/// that the connection closes: otherwise the connection may have broken (RFC 9112, 6.3).
+/// Whether the head states where the body ends. A body that ends with its connection counts only if the head
+/// announces that the connection closes: otherwise the connection may have been lost (RFC 9112, 6.3).
 fn is_delimited(head: &Parts) -> bool {
     let is_close = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"close");
     head.headers.contains_key(header::CONTENT_LENGTH)
@@ -95,7 +96,7 @@
         || head.status == StatusCode::NO_CONTENT
 }
 
-/// The outcome that the head of a response states.
+/// Derives the outcome of an attempt from the response head.
 pub fn classify(head: &Parts) -> Outcome {
     let is_not_processed =
         head.headers.get(NOT_PROCESSED_HEADER).is_some_and(|value| value.as_bytes() == b"1");
--- a/crates/proxy/src/upstream/response_forwarder.rs
+++ b/crates/proxy/src/upstream/response_forwarder.rs
@@ -1,4 +1,5 @@
-//! Streams the rest of a response to its client, and reads ahead of the client where the endpoint is about to leave.
+//! Streams the rest of a response to its client, and reads ahead of the client when the endpoint may soon
+//! close.
 
 use crate::body::{BodyChunk, DetachRequest, DetachedBody, MemoryLimit, ReadAheadBuffer, ReadAheadLimit};
 use crate::metrics::Metrics;
@@ -16,17 +17,18 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The end of a response, which is read as soon as there is memory. An endpoint that has passed it to its system may
-/// close or reset the connection; it is more than what the systems on both sides usually hold of it.
+/// The tail of a response, which is read as soon as memory is available: an endpoint that has written it to
+/// its socket may close or reset the connection. Exceeds what the socket buffers of both sides usually hold.
 const TAIL_BYTES: u64 = 4 << 20;
 
-/// The very end of a response, for which memory is found first: once it is read the endpoint may end.
+/// The last part of a response, which has priority for memory: once it has been read, the endpoint may
+/// terminate.
 const LAST_BYTES: u64 = 1 << 20;
 
 /// Why a streamed response ended before its last byte.
 #[derive(Debug, Error)]
 pub enum Interruption {
-    /// The connection to the endpoint ended, or carried what is no body.
+    /// The connection to the endpoint ended, or the body was invalid.
     #[error("{0}{cause}", cause = cause(.0))]
     Broken(#[from] hyper::Error),
     #[error("the endpoint stalled")]
@@ -49,24 +51,25 @@
     }
 }
 
-/// Why the reading of a response waits although its endpoint may have given more.
+/// Why reading of a response pauses although its endpoint may have more data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldBackReason {
-    /// Its client has to take what was read.
+pub enum ReadPauseReason {
+    /// The client has yet to receive what was read.
     Client,
-    /// There is no memory to read ahead of its client.
+    /// No memory is available to read ahead of the client.
     Memory,
 }
 
-/// A wait of the reading, which has ended or lasts.
+/// A pause in reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldBack {
-    pub reason: HoldBackReason,
+pub struct ReadPause {
+    pub reason: ReadPauseReason,
+    /// When the pause ended, or was last observed.
     pub until: Instant,
 }
 
-/// What comes next of a streamed response.
-enum Step {
+/// The next event of a streamed response.
+enum StreamEvent {
     Received(Option<Result<Frame<Bytes>, hyper::Error>>),
     Stalled,
     Forwarded,
@@ -76,41 +79,41 @@
     MemoryReturned,
 }
 
-/// What a response waits for besides its client.
+/// What the forwarder waits for in addition to the client.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
-    /// Since when the endpoint's next bytes are read. `None`: they are not.
+struct WaitConditions {
+    /// When reading of the next chunk began; `None` while reading is paused.
     reading_since: Option<Instant>,
-    /// Memory to read ahead.
+    /// Whether to wait for memory to read ahead.
     awaits_memory: bool,
-    /// A request to detach the response.
+    /// Whether to wait for a request to detach the response.
     may_detach: bool,
 }
 
-/// How the reading of a response ended.
+/// How receiving a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reception {
-    /// With the last byte of the body.
+pub enum ReceiveOutcome {
+    /// The last byte of the body was read.
     Complete,
     /// The rest of the body is to be detached.
     DetachRequested,
 }
 
-/// Passes the chunks of one response on to its client.
+/// Forwards the chunks of one response to its client.
 pub struct ResponseForwarder {
     client: mpsc::Sender<BodyChunk>,
     buffer: ReadAheadBuffer,
-    /// The endpoint is draining, has gone or is another process.
+    /// The endpoint is draining, has been removed, or has been replaced by another process.
     is_outdated: bool,
-    /// Whom the reading last waited for besides the endpoint, and until when.
-    last_held_back: Option<HeldBack>,
+    /// The last pause in reading for a reason other than the endpoint.
+    last_read_pause: Option<ReadPause>,
     detach_request: DetachRequest,
     received_bytes: u64,
     forwarded_bytes: u64,
 }
 
 impl ResponseForwarder {
-    /// For a response of which the client has got the first bytes.
+    /// A forwarder for a response whose first `first_bytes` bytes have already been passed to the client.
     pub fn new(
         client: mpsc::Sender<BodyChunk>,
         memory: &Rc<MemoryLimit>,
@@ -121,79 +124,81 @@
             client,
             buffer: ReadAheadBuffer::new(memory),
             is_outdated: false,
-            last_held_back: None,
+            last_read_pause: None,
             detach_request,
             received_bytes: first_bytes,
             forwarded_bytes: first_bytes,
         }
     }
 
-    /// The bytes of the body that have been read from the endpoint.
+    /// The number of body bytes read from the endpoint.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// When and why the reading last waited although its endpoint may have given more.
-    pub fn last_held_back(&self) -> Option<HeldBack> {
-        self.last_held_back
+    /// The last pause in reading although the endpoint may have had more data.
+    pub fn last_read_pause(&self) -> Option<ReadPause> {
+        self.last_read_pause
     }
 
-    /// Why nothing may be read although the endpoint may have given more.
-    fn hold_back_reason(&self, limit: ReadAheadLimit) -> HoldBackReason {
+    /// Why reading pauses at this limit.
+    fn read_pause_reason(&self, limit: ReadAheadLimit) -> ReadPauseReason {
         if self.buffer.has_reached(limit) {
-            HoldBackReason::Client
+            ReadPauseReason::Client
         } else {
-            HoldBackReason::Memory
+            ReadPauseReason::Memory
         }
     }
 
-    /// The bytes of the body that have been passed on to the client.
+    /// The number of body bytes forwarded to the client.
     pub fn forwarded_bytes(&self) -> u64 {
         self.forwarded_bytes
     }
 
-    /// Reads the body to its end, and passes on what the client takes meanwhile. A chunk is read once the one before has
-    /// been taken; from the moment that `outdated` resolves, and from [`TAIL_BYTES`] before the end on, as soon as there is
-    /// memory: the endpoint may end although the client has yet to take what was sent. Where nothing tells the end,
-    /// [`TAIL_BYTES`] are read ahead of the client all the time, as far as there is memory to spare.
+    /// Reads the body to its end, and meanwhile forwards chunks as the client accepts them. A chunk is read
+    /// once the previous one has been forwarded; after `outdated` has resolved, and within [`TAIL_BYTES`] of
+    /// the end, chunks are read as soon as memory is available, because the endpoint may close before the
+    /// client has received everything. If the length is unknown, up to [`TAIL_BYTES`] are always read ahead
+    /// of the client, as far as memory is not needed elsewhere.
     ///
     /// # Errors
-    /// The body ended incomplete, or the client has disconnected.
+    /// If the body ended incomplete, the endpoint stalled, or the client disconnected.
     pub async fn receive(
         &mut self,
         connection: &mut UpstreamConnection,
         metrics: &Metrics,
         body: &mut Incoming,
         outdated: impl Future<Output = ()>,
-    ) -> Result<Reception, Interruption> {
+    ) -> Result<ReceiveOutcome, Interruption> {
         let mut outdated = pin!(outdated);
         let mut reading_since = Some(Instant::now());
         loop {
             let limit = self.limit(body);
             let may_read = self.buffer.try_reserve_chunk(limit);
-            let hold_back = (!may_read).then(|| self.hold_back_reason(limit));
+            let pause_reason = (!may_read).then(|| self.read_pause_reason(limit));
             reading_since = may_read.then(|| reading_since.unwrap_or_else(Instant::now));
-            // The connection is driven also while nothing is read: a part of the request may still have to be written.
-            // An endpoint that has yet to read some of the request needs the parser that writes it.
+            // The connection is polled also while reading pauses, because part of the request may still have
+            // to be written. Until it is complete, the response cannot be detached from the parser that
+            // writes it.
             let may_detach = connection.write_progress.is_complete();
-            let awaits_memory = hold_back == Some(HoldBackReason::Memory);
-            let waits = Waits { reading_since, awaits_memory, may_detach };
-            let next_step = self.next_step(body, waits, outdated.as_mut());
-            let step = connection.drive_alongside(metrics, next_step).await;
-            if let Some(reason) = hold_back {
-                self.last_held_back = Some(HeldBack { reason, until: Instant::now() });
+            let awaits_memory = pause_reason == Some(ReadPauseReason::Memory);
+            let waits = WaitConditions { reading_since, awaits_memory, may_detach };
+            let next_event = self.next_event(body, waits, outdated.as_mut());
+            let event = connection.drive_alongside(metrics, next_event).await;
+            if let Some(reason) = pause_reason {
+                self.last_read_pause = Some(ReadPause { reason, until: Instant::now() });
             }
-            match step {
-                Step::Received(Some(frame)) => {
+            match event {
+                StreamEvent::Received(Some(frame)) => {
                     self.push(frame?);
                     reading_since = None;
                 }
-                Step::Received(None) => return Ok(Reception::Complete),
-                Step::Stalled => return Err(Interruption::Stalled),
-                Step::Forwarded | Step::MemoryReturned => {}
-                Step::ClientDisconnected => return Err(Interruption::ClientDisconnected),
-                Step::DetachRequested => return Ok(Reception::DetachRequested),
-                Step::EndpointOutdated => self.is_outdated = true,
+                StreamEvent::Received(None) => return Ok(ReceiveOutcome::Complete),
+                StreamEvent::Stalled => return Err(Interruption::Stalled),
+                StreamEvent::Forwarded | StreamEvent::MemoryReturned => {}
+                StreamEvent::ClientDisconnected => return Err(Interruption::ClientDisconnected),
+                StreamEvent::DetachRequested => return Ok(ReceiveOutcome::DetachRequested),
+                StreamEvent::EndpointOutdated => self.is_outdated = true,
             }
         }
     }
@@ -205,45 +210,45 @@
             _ if self.is_outdated => ReadAheadLimit::AvailableMemory,
             Some(remaining_bytes) if remaining_bytes <= TAIL_BYTES => ReadAheadLimit::AvailableMemory,
             Some(_) => ReadAheadLimit::OneChunk,
-            // Any part may be the end.
+            // Any chunk may be the last.
             None => ReadAheadLimit::Speculative { max_bytes: TAIL_BYTES as usize },
         }
     }
 
-    /// Waits for the client, and for what `waits` says.
-    async fn next_step(
+    /// Waits for the client and for the events enabled in `waits`.
+    async fn next_event(
         &mut self,
         body: &mut Incoming,
-        waits: Waits,
+        waits: WaitConditions,
         outdated: Pin<&mut impl Future<Output = ()>>,
-    ) -> Step {
-        let Waits { reading_since, awaits_memory, may_detach } = waits;
+    ) -> StreamEvent {
+        let WaitConditions { reading_since, awaits_memory, may_detach } = waits;
         let memory_returned = self.buffer.memory_returned();
         let has_chunk = !self.buffer.is_empty();
-        // After the last byte it does not matter whether the client is still there.
+        // After the last byte, a disconnect of the client no longer matters.
         let needs_client = has_chunk || !body.is_end_stream();
         let stalled_at = reading_since.unwrap_or_else(Instant::now) + MAX_STALL;
         tokio::select! {
             biased;
             permit = self.client.reserve(), if has_chunk => {
                 let (Ok(permit), Some(chunk)) = (permit, self.buffer.pop()) else {
-                    return Step::ClientDisconnected;
+                    return StreamEvent::ClientDisconnected;
                 };
                 self.forwarded_bytes += chunk.len() as u64;
                 permit.send(BodyChunk::Data(chunk));
-                Step::Forwarded
+                StreamEvent::Forwarded
             }
             frame = tokio::time::timeout_at(stalled_at, body.frame()), if reading_since.is_some() => {
-                frame.map_or(Step::Stalled, Step::Received)
+                frame.map_or(StreamEvent::Stalled, StreamEvent::Received)
             }
-            () = self.client.closed(), if needs_client => Step::ClientDisconnected,
-            () = memory_returned, if awaits_memory => Step::MemoryReturned,
-            () = self.detach_request.received(), if may_detach => Step::DetachRequested,
-            () = outdated, if !self.is_outdated => Step::EndpointOutdated,
+            () = self.client.closed(), if needs_client => StreamEvent::ClientDisconnected,
+            () = memory_returned, if awaits_memory => StreamEvent::MemoryReturned,
+            () = self.detach_request.received(), if may_detach => StreamEvent::DetachRequested,
+            () = outdated, if !self.is_outdated => StreamEvent::EndpointOutdated,
         }
     }
 
-    /// Trailers are not passed on.
+    /// Buffers the data of a frame; trailers are not forwarded.
     fn push(&mut self, frame: Frame<Bytes>) {
         if let Ok(chunk) = frame.into_data() {
             self.received_bytes += chunk.len() as u64;
@@ -251,18 +256,18 @@
         }
     }
 
-    /// Detaches the rest of the body: what was read ahead and, unless the body is complete, what its connection has read and
-    /// will read. False if the client disconnected first.
+    /// Detaches the rest of the body: the chunks read ahead and, unless the body is complete, the data that
+    /// the connection has read and will read. Returns false if the client disconnected first.
     ///
     /// # Errors
-    /// The connection ended before the body was complete.
+    /// If the connection ended before the body was complete.
     pub async fn detach(
         mut self,
         connection: UpstreamConnection,
         mut body: Incoming,
     ) -> Result<bool, hyper::Error> {
         let mut read = self.buffer.drain();
-        // What the parser has passed on, without letting it read any more.
+        // Takes the frames that are already parsed, without reading more from the connection.
         while let Some(frame) = next_frame_now(&mut body).await.transpose()? {
             read.extend(frame.into_data().ok());
         }
@@ -277,7 +282,8 @@
         Ok(self.client.send(BodyChunk::Detached(rest)).await.is_ok())
     }
 
-    /// Passes on what was read ahead, and the end of the body if it is complete. False if the client disconnected first.
+    /// Forwards the chunks read ahead, and the end of the body if it is complete. Returns false if the client
+    /// disconnected first.
     pub async fn finish(mut self, is_complete: bool) -> bool {
         while !self.buffer.is_empty() {
             let permit = tokio::select! {
@@ -292,14 +298,14 @@
             permit.send(BodyChunk::Data(chunk));
         }
         if is_complete {
-            // A client that knows the length has gone once it has the last byte.
+            // A client that knows the length may already have stopped receiving after the last byte.
             let _ = self.client.send(BodyChunk::End).await;
         }
         true
     }
 }
 
-/// The frame of a body that is there already, if one is.
+/// The next frame of a body if it is already available.
 async fn next_frame_now(body: &mut Incoming) -> Option<Result<Frame<Bytes>, hyper::Error>> {
     tokio::select! {
         biased;
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of calls, attempts and the dispatcher share.
+//! Fixtures shared by the tests of calls, attempts and the dispatcher.
 
 use crate::body::{MemoryLimit, MemoryUsers};
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
     }
 }
 
-/// A pool of the only client proxy.
+/// The connection pool of a single client proxy.
 pub fn pool(clock: Clock, metrics: Rc<Metrics>) -> Rc<ConnectionPool> {
     ConnectionPool::new(
         transport_settings(),
@@ -35,7 +35,7 @@
     )
 }
 
-/// A request without a body whose client waits this long, in microseconds.
+/// A request without a body, with a client timeout in microseconds.
 pub fn request(client_timeout: Micros) -> Request {
     Request {
         method: Method::GET,
