--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -44,7 +44,10 @@
     fn begin_exchange(&self) -> io::Result<()> {
         if self.exchange.has_unsolicited_data.get() || self.socket.has_unread_bytes() {
             self.exchange.has_unsolicited_data.set(true);
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "unsolicited data before the request"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "unsolicited data received before the request was written",
+            ));
         }
         self.exchange.is_in_progress.set(true);
         Ok(())
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -43,10 +43,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConnectError {
     /// A limit of the process or the system, which says nothing about the endpoint.
-    #[error("the process has no descriptor left")]
+    #[error("no file descriptor left for the connection")]
     NoDescriptor,
     /// The endpoint refused or closed the connection, or did not accept it in time.
-    #[error("the endpoint accepted no connection")]
+    #[error("connect to the endpoint failed or timed out")]
     Failed,
 }
 
@@ -219,7 +219,7 @@
         self.metrics.count_unsolicited_data();
         if connections.distrust(self.clock.now()) {
             let address = target.address;
-            warn!(%address, "endpoint sent unsolicited data and is distrusted");
+            warn!(%address, "unsolicited data received from endpoint; connection reuse restricted");
         }
     }
 
--- a/crates/proxy/src/upstream/response_forwarder.rs
+++ b/crates/proxy/src/upstream/response_forwarder.rs
@@ -31,9 +31,9 @@
     /// The connection to the endpoint ended, or the body was invalid.
     #[error("{0}{cause}", cause = cause(.0))]
     Broken(#[from] hyper::Error),
-    #[error("the endpoint stalled")]
+    #[error("endpoint stalled: no data for {} s", MAX_STALL.as_secs())]
     Stalled,
-    #[error("the client disconnected")]
+    #[error("client disconnected")]
     ClientDisconnected,
 }
 
