--- a/crates/proxy/src/descriptor_budget.rs
+++ b/crates/proxy/src/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! How many descriptors a process may use, alone or beside another process of the same proxy.
+//! Limits the descriptors that a process uses, alone or alongside another process of the same proxy.
 
 use crate::descriptors::Descriptors;
 use crate::downstream::IdleConnections;
@@ -11,42 +11,42 @@
 
 /// How often the budget is checked.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A process has noticed its successor by then, and freed descriptors for it.
+/// The time within which a process notices its successor and frees descriptors for it.
 const SUCCESSOR_NOTICE_TIME: Duration = CHECK_INTERVAL.saturating_mul(4);
-/// Descriptors that are not counted: standard streams, the runtime's own, the listeners, discovery, callers of the admin
-/// endpoint, and a client's connection that is closed as soon as it is accepted.
+/// Descriptors that are reserved instead of counted: standard streams, the runtime, the listeners, discovery,
+/// connections to the admin endpoint, and client connections that are closed as soon as they are accepted.
 const RESERVED_DESCRIPTOR_COUNT: usize = 48;
-/// Of these, descriptors for client connections beyond the capacity. The others, at their most: 12 callers of the admin
-/// endpoint, two polls and a watch of discovery, two listeners, the membership socket, and ten of the runtime and the
-/// standard streams.
+/// The part of the reserve for client connections beyond the capacity. The other uses are at most 12
+/// connections to the admin endpoint, two polls and a watch of discovery, two listeners, the membership
+/// socket, and ten descriptors of the runtime and the standard streams.
 pub const RESERVED_CLIENT_DESCRIPTOR_COUNT: usize = 16;
-/// Descriptors that any process may use at least.
+/// Descriptors that every process may use, however low its limit.
 const MIN_DESCRIPTORS: usize = 8;
-/// Parts of what two processes share, in tenths.
+/// Denominator of the shares that two processes use.
 const TENTHS: usize = 10;
-/// A process with a successor has nearly no clients left: it needs what its last requests do.
+/// A process with a successor has almost no clients left and needs descriptors only for its last requests.
 const PREDECESSOR_SHARE_TENTHS: usize = 4;
 const SUCCESSOR_SHARE_TENTHS: usize = 6;
-/// Until a successor has been noticed it uses what its predecessor certainly leaves free.
+/// Until its predecessor has noticed it, a successor uses only what the predecessor certainly leaves free.
 const UNNOTICED_SUCCESSOR_SHARE_TENTHS: usize = 1;
 
-/// How many client connections a process holds at a time.
+/// How many client connections a process holds at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientCapacity {
     /// Connections that are served.
     pub max_connections: usize,
-    /// Further ones, which are accepted to be rejected and closed.
+    /// Further connections, which are accepted only to be rejected and closed.
     pub max_rejected: usize,
 }
 
-/// The client capacity of a process that may hold `max_sockets` descriptors in all. Each served connection needs a
-/// second descriptor for its attempt at an endpoint.
+/// The client capacity of a process that may hold `max_sockets` descriptors in total. Each served connection
+/// needs a second descriptor for its attempt at an endpoint.
 pub fn client_capacity(max_sockets: usize) -> ClientCapacity {
     let counted = counted_descriptors(max_sockets);
     ClientCapacity { max_connections: counted / 2, max_rejected: counted / 8 }
 }
 
-/// Descriptors for clients and endpoints among `max_sockets` in all.
+/// The part of `max_sockets` descriptors that is available to clients and endpoints.
 fn counted_descriptors(max_sockets: usize) -> usize {
     max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT).max(MIN_DESCRIPTORS)
 }
@@ -56,24 +56,24 @@
 enum OtherProcess {
     None,
     Successor,
-    /// It may not have noticed this process before `notices_by`.
+    /// The predecessor may need until `notices_by` to notice this process.
     Predecessor {
         notices_by: Instant,
     },
 }
 
-/// What this process may hold open.
+/// The descriptors that this process may hold open.
 pub struct DescriptorBudget {
     pub descriptors: Rc<Descriptors>,
-    /// Descriptors in all, those that are not counted included.
+    /// The total number of descriptors, including those that are not counted.
     pub max_sockets: usize,
-    /// Shared with the other process. None: there can be no other.
+    /// The directory shared with the other process; `None` if there can be no other.
     pub handover: Option<Rc<RefCell<HandoverDirectory>>>,
     other_process: Cell<OtherProcess>,
 }
 
 impl DescriptorBudget {
-    /// The budget of a process that starts.
+    /// The budget of a starting process.
     pub fn new(max_sockets: usize, handover: Option<Rc<RefCell<HandoverDirectory>>>) -> Self {
         let is_alone = handover.as_ref().is_none_or(|handover| handover.borrow_mut().is_alone());
         let other_process = if is_alone {
@@ -95,7 +95,8 @@
         self.descriptors.set_limit(self.limit());
     }
 
-    /// Descriptors for clients and endpoints. Two processes share what is left after the reserve of each.
+    /// The limit on descriptors for clients and endpoints. Two processes share what remains after the reserve
+    /// of each.
     fn limit(&self) -> usize {
         let shared = self.max_sockets.saturating_sub(2 * RESERVED_DESCRIPTOR_COUNT);
         let limit = match self.other_process.get() {
@@ -109,7 +110,7 @@
         limit.max(MIN_DESCRIPTORS)
     }
 
-    /// Checks whether the other process still runs, and closes idle connections beyond the limit.
+    /// Checks whether another process runs, updates the limit, and closes idle connections beyond it.
     pub fn check(&self, pool: &ConnectionPool, idle_connections: &IdleConnections) {
         let Some(handover) = &self.handover else { return };
         self.other_process.set(self.find_other_process(&mut handover.borrow_mut()));
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Leaves the successor its share as this process shuts down.
+    /// Leaves the successor its share at shutdown: lowers the limit and closes all idle upstream connections.
     pub fn hand_over(&self, pool: &ConnectionPool) {
         self.other_process.set(OtherProcess::Successor);
         self.apply_limit();
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -1,41 +1,42 @@
-//! Counts the sockets that are open, so that the process stays below its limit instead of failing at it.
+//! Counts open sockets, so that the process stays below its descriptor limit instead of failing when it is
+//! reached.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many sockets may be open, and how many are.
+/// The limit on open sockets, and their current number.
 #[derive(Debug)]
 pub struct Descriptors {
     limit: Cell<usize>,
     open: Cell<usize>,
 }
 
-/// One counted socket, until it is dropped.
+/// A guard that counts one socket as open until it is dropped.
 #[derive(Debug)]
 pub struct Descriptor(Rc<Descriptors>);
 
 impl Descriptors {
-    /// Allows `limit` sockets.
+    /// A counter that allows `limit` open sockets.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Descriptors { limit: Cell::new(limit), open: Cell::new(0) })
     }
 
-    /// Changes the limit; what is open beyond it stays open.
+    /// Changes the limit. Sockets open beyond it stay open.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// How many are open.
+    /// The number of open sockets.
     pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
-    /// How many are open beyond the limit.
+    /// The number of open sockets beyond the limit.
     pub fn excess(&self) -> usize {
         self.open.get().saturating_sub(self.limit.get())
     }
 
-    /// Counts one more, unless the limit is reached.
+    /// Counts one more socket. `None` if the limit is reached.
     pub fn try_acquire(self: &Rc<Self>) -> Option<Descriptor> {
         if self.open.get() >= self.limit.get() {
             return None;
@@ -59,12 +60,12 @@
 }
 
 impl ConnectionDescriptors {
-    /// Of one descriptor among all sockets of the process and one among the connections to its endpoint.
+    /// For a connection opened by this process: counted for the process and for the endpoint.
     pub fn new(process: Descriptor, endpoint: Descriptor) -> Self {
         ConnectionDescriptors { _process: process, _endpoint: Some(endpoint) }
     }
 
-    /// Of one descriptor among all sockets of the process, for a connection that another process has opened.
+    /// For a connection opened by another process: counted for this process only.
     pub fn of_handed_over(process: Descriptor) -> Self {
         ConnectionDescriptors { _process: process, _endpoint: None }
     }
