--- a/crates/proxy/src/call_table.rs
+++ b/crates/proxy/src/call_table.rs
@@ -1,5 +1,5 @@
-//! Keeps the calls and their attempts, from the arrival of a request until its answer is given and no attempt is in
-//! flight, together with their timers. Each call gets one final answer, each attempt one outcome.
+//! Tracks calls, their attempts and their timers, from the arrival of a request until its final answer is
+//! sent and no attempt is in flight. Each call gets one final answer, each attempt one outcome.
 
 use crate::metrics::{Metrics, RequestOutcome};
 use crate::request::Request;
@@ -10,48 +10,48 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// A moment that never comes, in microseconds.
+/// A deadline that never expires.
 const NEVER_US: Micros = Micros::MAX;
 
-/// Names an attempt: attempts of a call are numbered from 0.
+/// Identifies an attempt; the attempts of a call are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     pub call: CallId,
     pub number: u32,
 }
 
-/// The moments that bound an attempt, as the balancer sets them.
+/// The time limits of an attempt, set by the balancer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptLimits {
-    /// When it times out; `None` or 0: when the call's own time is up.
+    /// When the attempt times out; `None` or 0 means at the deadline of the call.
     pub timeout_at: Option<Micros>,
-    /// It must start before this moment, if at all; `None`: no limit.
+    /// The attempt may only start before this time; `None` means no limit.
     pub send_before: Option<Micros>,
 }
 
 /// Whether the endpoint may have executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Execution {
-    /// Nothing of it has been written.
+    /// No byte of the request has been written.
     NotStarted,
-    /// Its first byte may have been written.
+    /// The first byte of the request may have been written.
     MayHaveRun,
 }
 
 #[derive(Debug)]
 struct Attempt {
     endpoint: EndpointId,
-    /// When it was sent, or the moment at which its streamed request was complete.
+    /// When the attempt was sent or, if later, when its streamed request was complete.
     sent_at: Micros,
-    /// When it times out; [`NEVER_US`] while a streamed request is still arriving.
+    /// When the attempt times out; [`NEVER_US`] while a streamed request is still arriving.
     timeout_at: Micros,
-    /// It may not start from this moment on.
+    /// The attempt may only start before this time.
     send_before: Micros,
     execution: Execution,
     task: Option<AbortHandle>,
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     in_flight: bool,
-    /// Its response is being streamed to the client.
+    /// The response is being streamed to the client.
     response_started: bool,
 }
 
@@ -75,8 +75,9 @@
     }
 }
 
-/// What a timer is for. The order matters for timers of the same moment: attempts time out first, so that the
-/// balancer can end the call itself; then its own timer fires; and only then the call's deadline.
+/// What a timer is for. Timers that expire at the same time fire in this order: attempts time out first, so
+/// that the balancer can end the call itself; then the balancer's own timer fires; and the call's deadline
+/// comes last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerPurpose {
     AttemptTimeout(AttemptId),
@@ -84,12 +85,12 @@
     CallDeadline(CallId),
 }
 
-/// What came of a timer that has expired.
+/// The effect of an expired timer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExpiredTimer {
     /// The balancer must be notified of this event.
     Notify(Event),
-    /// What the timer was for has ended before.
+    /// No effect: the attempt or call had already ended.
     Stale,
 }
 
@@ -103,14 +104,14 @@
 pub struct OutgoingAttempt {
     pub id: AttemptId,
     pub request: Rc<Request>,
-    /// When it times out, in microseconds; never while a streamed request is still arriving.
+    /// When the attempt times out, in microseconds; never while a streamed request is still arriving.
     pub timeout_at: Micros,
-    /// The client still waits, and there is time.
+    /// The call is open, and the attempt has time left.
     pub is_wanted: bool,
 }
 
 impl OutgoingAttempt {
-    /// Whether a timeout applies to it.
+    /// Whether the attempt has a timeout.
     pub fn has_timeout(&self) -> bool {
         self.timeout_at < NEVER_US
     }
@@ -136,17 +137,17 @@
         }
     }
 
-    /// The number of calls without their final answer.
+    /// The number of calls that have no final answer, or whose response is still being streamed.
     pub fn open_count(&self) -> usize {
         self.open_count
     }
 
-    /// Whether the client of this call still waits.
+    /// Whether the call still waits for its answer.
     pub fn is_open(&self, call: CallId) -> bool {
         self.calls.get(&call).is_some_and(Call::is_open)
     }
 
-    /// The moment of the earliest timer.
+    /// When the earliest timer expires.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.timers.first().map(|&(at, _)| at)
     }
@@ -156,7 +157,7 @@
         self.timers.insert((at, TimerPurpose::BalancerTimer));
     }
 
-    /// Adds a call; its final answer comes through the receiver.
+    /// Adds a call. Its final answer is sent to the returned receiver.
     pub fn add(
         &mut self,
         now: Micros,
@@ -177,8 +178,8 @@
         (id, receiver)
     }
 
-    /// Records that the last byte of a streamed request has arrived: the client's time counts from now. `None` if
-    /// the client no longer waits.
+    /// Records that the last byte of a streamed request has arrived, which starts the client timeout. `None`
+    /// if the call is no longer open.
     pub fn complete_request(&mut self, now: Micros, id: CallId) -> Option<Event> {
         let call = self.calls.get_mut(&id).filter(|call| call.is_open())?;
         let remaining_time = call.request.client_timeout;
@@ -195,7 +196,7 @@
         Some(Event::RequestComplete { call: id, remaining_time })
     }
 
-    /// Adds an attempt that the balancer asks for. `None` if there is no such call.
+    /// Adds an attempt that the balancer has requested. `None` if the call does not exist.
     pub fn add_attempt(
         &mut self,
         now: Micros,
@@ -226,7 +227,7 @@
         })
     }
 
-    /// Records the task that makes an attempt, and sets the timer of the attempt.
+    /// Records the task that executes an attempt, and sets the attempt's timer.
     pub fn set_task(&mut self, id: AttemptId, task: AbortHandle) {
         let Some(attempt) = self.attempt_mut(id) else { return };
         attempt.task = Some(task);
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Whether the first byte of an attempt may be written now; `is_ready` says whether its endpoint accepts calls. If
-    /// so, the endpoint may execute the attempt from here on.
+    /// Whether the first byte of an attempt may be written now; `is_ready` returns whether its endpoint
+    /// accepts calls. If the result is true, the endpoint may execute the attempt from now on.
     pub fn may_start(
         &mut self,
         now: Micros,
@@ -254,12 +255,12 @@
         may_start
     }
 
-    /// Hands a streamed response to the client. `None` if the call has ended: the response is no longer wanted.
+    /// Starts streaming a response to the client. `None` if the call has ended and the response is not used.
     pub fn start_response(&mut self, id: AttemptId, response: StreamingResponse) -> Option<Event> {
         let call = self.calls.get_mut(&id.call)?;
         let attempt = call.attempts.get_mut(id.number as usize).filter(|attempt| attempt.in_flight)?;
         let answer = call.answer.take()?;
-        // No timeout applies to a response that the client already receives.
+        // No timeout applies once the client is receiving the response.
         attempt.response_started = true;
         self.timers.remove(&(attempt.timeout_at, TimerPurpose::AttemptTimeout(id)));
         self.timers.remove(&(call.deadline, TimerPurpose::CallDeadline(id.call)));
@@ -268,7 +269,8 @@
         Some(Event::ResponseStarted { call: id.call, attempt: id.number })
     }
 
-    /// Ends a call with its final answer, unless it was given before. `None`: the client has disconnected.
+    /// Ends a call with its final answer, unless it already has one. `None` means that the client has
+    /// disconnected.
     pub fn close(&mut self, id: CallId, answer: Option<FinalResponse>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if let Some(sender) = call.answer.take() {
@@ -287,14 +289,15 @@
         self.remove_if_finished(id);
     }
 
-    /// Records the outcome of an attempt and stops its task. `None` if it had ended before.
+    /// Records the outcome of an attempt and aborts its task. `None` if the attempt had already ended.
     pub fn end_attempt(&mut self, now: Micros, id: AttemptId, result: AttemptResult) -> Option<Event> {
         let call = self.calls.get_mut(&id.call)?;
         let attempt = call.attempts.get_mut(id.number as usize).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         self.timers.remove(&(attempt.timeout_at, TimerPurpose::AttemptTimeout(id)));
         if let Some(task) = attempt.task.take() {
-            // Its connection closes with it: so the endpoint learns that the answer is no longer wanted.
+            // Aborting also closes the connection, which tells the endpoint that the response is no longer
+            // needed.
             task.abort();
         }
         let elapsed = now.saturating_sub(attempt.sent_at);
@@ -316,7 +319,7 @@
         })
     }
 
-    /// Gives a complete response to the client, unless the call has its final answer.
+    /// Sends a complete response to the client, unless the call already has its final answer.
     fn deliver(&mut self, id: CallId, response: CompleteResponse) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(answer) = call.answer.take() else { return };
@@ -327,7 +330,7 @@
         let _ = answer.send(FinalResponse::Served { body, content_type });
     }
 
-    /// Counts a call whose response was streamed to the client.
+    /// Ends and counts a call whose response was streamed to the client.
     fn finish_streamed_response(&mut self, id: CallId, outcome: Outcome) {
         let Some(call) = self.calls.get(&id) else { return };
         self.open_count -= 1;
@@ -351,7 +354,7 @@
         }
     }
 
-    /// Removes the earliest timer that has expired by now. `None` if there is none.
+    /// Removes the earliest expired timer and applies its effect. `None` if none has expired.
     pub fn expire_next(&mut self, now: Micros) -> Option<ExpiredTimer> {
         let &(at, purpose) = self.timers.first()?;
         if at > now {
@@ -366,8 +369,8 @@
         Some(event.into())
     }
 
-    /// Ends an attempt whose time is up. One that still waits for its connection was not executed: `TimedOut` would
-    /// fail a non-idempotent call that can safely be retried or rejected.
+    /// Ends an attempt that has timed out. An attempt that still waits for its connection was not executed:
+    /// `TimedOut` would fail a non-idempotent call that can safely be retried or rejected.
     fn time_out_attempt(&mut self, now: Micros, id: AttemptId) -> Option<Event> {
         let outcome = match self.attempt_mut(id).map(|attempt| attempt.execution) {
             Some(Execution::NotStarted) => Outcome::ConnectFailed,
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,10 +1,10 @@
-//! The names that clients use for classes and tenants, and their ids.
+//! Maps the names that clients use for classes and tenants to ids.
 
 use oakport_core::settings_wire::ParsedSettings;
 use oakport_core::{Class, ClassId, Settings, TenantId};
 use std::time::Duration;
 
-/// All classes that the settings have ever named, by their ids: a class that was removed keeps its id.
+/// All classes that the settings have ever contained, indexed by id. A removed class keeps its id.
 #[derive(Debug)]
 pub struct Classes {
     names: Vec<String>,
@@ -13,7 +13,7 @@
 }
 
 impl Classes {
-    /// The classes of the first settings, with these settings for the balancer.
+    /// Returns the classes of the initial settings, and these settings for the balancer.
     pub fn new(parsed: ParsedSettings) -> (Self, Settings) {
         let classes = Classes {
             names: parsed.class_names,
@@ -23,7 +23,7 @@
         (classes, parsed.settings)
     }
 
-    /// Applies new settings. Returns them for the balancer, with all classes under their old ids.
+    /// Applies new settings. Returns them for the balancer, with known classes under their existing ids.
     pub fn apply_settings(&mut self, parsed: ParsedSettings) -> Settings {
         for class in &mut self.classes {
             class.active = false;
@@ -41,28 +41,28 @@
         Settings { classes: self.classes.clone(), ..parsed.settings }
     }
 
-    /// The class of this name, if the settings in force have one.
+    /// The id of the class with this name, if the current settings contain it.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
         position(&self.names, name).filter(|&index| self.classes[index].active).map(ClassId)
     }
 
-    /// The longest deadline of a class of the settings in force.
+    /// The longest client timeout among the classes of the current settings.
     pub fn longest_deadline(&self) -> Duration {
         let deadlines = self.classes.iter().filter(|class| class.active).map(|class| class.client_timeout);
         Duration::from_micros(deadlines.max().unwrap_or_default())
     }
 
-    /// The tenant of this name, if the settings in force have one.
+    /// The id of the tenant with this name, if the current settings contain it.
     pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         position(&self.tenants, name).map(TenantId)
     }
 
-    /// Class names in the order of their ids.
+    /// Class names, ordered by id.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The name of a class; `?` for an id that no class has.
+    /// The name of a class, or `?` for an unknown id.
     pub fn name(&self, class: ClassId) -> &str {
         self.names.get(class.0).map_or("?", String::as_str)
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -3,11 +3,12 @@
 use oakport_core::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock in microseconds that starts at the Unix time of the process's start. The start time of an
-/// endpoint, which is Unix time, can be compared with it as it is, also where it lies before the start of this process.
+/// A monotonic clock in microseconds since the Unix epoch, set once from the system time at the start of the
+/// process. The start time of an endpoint, which is Unix time, can be compared with it directly, even if it
+/// is before the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// The Unix time of its start, in microseconds.
+    /// The Unix time at which the clock was started, in microseconds.
     started_at: Micros,
     start: Instant,
 }
@@ -24,7 +25,7 @@
         self.started_at + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The moment `at` on the runtime's clock.
+    /// Converts the time `at` to an instant of the runtime's clock.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.saturating_sub(self.started_at))).into()
     }
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,5 +1,6 @@
-//! Owns the [`Balancer`](oakport_core::Balancer): turns what happens into events and executes the actions. It makes
-//! no balancing decision; the only calls that it rejects itself are those beyond `max_open_requests`.
+//! Owns the [`Balancer`](oakport_core::Balancer): passes events to it and executes its actions. The
+//! dispatcher makes no balancing decisions; the only calls that it rejects itself are those beyond
+//! `max_open_requests`.
 
 mod state;
 
@@ -23,9 +24,9 @@
 use tokio::sync::{oneshot, Notify};
 use tracing::info;
 
-/// What settings say of polls of the endpoint list.
+/// The settings that apply to polls of the endpoint list.
 pub struct ListRules {
-    /// Whether the list is polled from a service that all client proxies share; else an agent pushes it.
+    /// Whether the list is polled from a service shared by all client proxies; otherwise an agent pushes it.
     pub polls_endpoint_list: bool,
     pub rules: Rules,
 }
@@ -36,17 +37,18 @@
     state: Rc<RefCell<DispatcherState>>,
     clock: Clock,
     pool: Rc<ConnectionPool>,
-    /// The moment until which the timer task sleeps; `None`: until it is notified.
+    /// When the timer task wakes; `None` if it sleeps until it is notified.
     timers_asleep_until: Rc<Cell<Option<Micros>>>,
-    /// Notifies the timer task of a timer before that moment.
+    /// Notifies the timer task of a timer that expires earlier.
     earlier_timer: Rc<Notify>,
-    /// The balancer has asked for a poll of the endpoint list, which has not begun.
+    /// The balancer has requested a poll of the endpoint list that has not started yet.
     is_poll_requested: Rc<Cell<bool>>,
     poll_requested: Rc<Notify>,
 }
 
 impl Dispatcher {
-    /// A dispatcher whose balancer draws from this seed. Nothing happens before [`start`](Dispatcher::start).
+    /// A dispatcher whose balancer uses `seed` for its random numbers. Inactive until
+    /// [`start`](Dispatcher::start).
     pub fn new(
         seed: u64,
         parsed: ParsedSettings,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Waits until the balancer asks for a poll of the endpoint list.
+    /// Waits until the balancer requests a poll of the endpoint list.
     pub async fn endpoint_poll_requested(&self) {
         while !self.is_poll_requested.take() {
             self.poll_requested.notified().await;
@@ -77,7 +79,7 @@
         self.notify_balancer(Event::Start);
     }
 
-    /// Puts new settings in force. Open calls keep the class that they arrived with.
+    /// Applies new settings. Open calls keep the class with which they arrived.
     pub fn apply_settings(&self, parsed: ParsedSettings) {
         let mut state = self.state.borrow_mut();
         state.transport = parsed.transport;
@@ -86,7 +88,7 @@
         self.apply_effective_settings();
     }
 
-    /// Sets how many client proxies are alive; this takes precedence over the number in the settings.
+    /// Sets the live count of client proxies, which takes precedence over the number in the settings.
     pub fn set_live_count(&self, proxy_count: u32) {
         self.state.borrow_mut().live_proxy_count = Some(proxy_count);
         self.apply_effective_settings();
@@ -101,12 +103,12 @@
         self.notify_balancer(Event::Settings(Box::new(settings)));
     }
 
-    /// The class of this name, if the settings in force have one.
+    /// The id of the class with this name, if the current settings contain it.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.state.borrow().classes.class_id(name)
     }
 
-    /// The longest deadline of a class of the settings in force.
+    /// The longest client timeout among the classes of the current settings.
     pub fn longest_deadline(&self) -> Duration {
         self.state.borrow().classes.longest_deadline()
     }
@@ -126,18 +128,18 @@
         self.state.borrow().metrics.count_request(class, RequestOutcome::Rejected);
     }
 
-    /// The metrics at this moment.
+    /// The current metrics.
     pub fn report(&self) -> MetricsReport {
         self.state.borrow().report(self.clock.now())
     }
 
-    /// The number of calls without their final answer.
+    /// The number of calls that have no final answer, or whose response is still being streamed.
     pub fn open_call_count(&self) -> usize {
         self.state.borrow().calls.open_count()
     }
 
-    /// Starts a call; its final answer comes through the receiver. `None` if as many calls are open as the settings
-    /// allow.
+    /// Starts a call. Its final answer is sent to the returned receiver. `None` if the number of open calls
+    /// has reached the limit in the settings.
     pub fn start_call(
         &self,
         attributes: CallAttributes,
@@ -157,7 +159,7 @@
         Some((call, answer))
     }
 
-    /// Records that the last byte of a streamed request has arrived: the client's time counts from now.
+    /// Records that the last byte of a streamed request has arrived, which starts the client timeout.
     pub fn complete_request(&self, call: CallId) {
         let event = self.state.borrow_mut().calls.complete_request(self.clock.now(), call);
         if let Some(event) = event {
@@ -165,7 +167,8 @@
         }
     }
 
-    /// Records that the client of this call has disconnected. Its attempts are cancelled whatever the balancer does.
+    /// Records that the client of this call has disconnected, and cancels its attempts whatever the balancer
+    /// decides.
     pub fn disconnect_client(&self, call: CallId) {
         let mut state = self.state.borrow_mut();
         if !state.calls.is_open(call) {
@@ -189,32 +192,33 @@
         state.calls.remove_if_finished(call);
     }
 
-    /// Takes an update of the endpoint list in. Connections to endpoints that have changed or left are closed.
+    /// Applies an update of the endpoint list, and closes connections to endpoints that have changed or were
+    /// removed.
     pub fn update_endpoints(&self, kind: ListUpdateKind, list: &[EndpointEntry]) {
         let update = self.state.borrow_mut().endpoints.update(kind, list);
         for outdated in update.outdated {
             self.pool.close_outdated(outdated.endpoint, outdated.generation);
         }
-        // Most watches end without a change.
+        // Most watches end without a change and are not logged.
         if kind != ListUpdateKind::Delta || !update.entries.is_empty() {
             log_update(kind, &update.entries);
         }
         self.notify_balancer(Event::EndpointList { kind, endpoints: update.entries });
     }
 
-    /// The endpoint list at this moment, under this version.
+    /// The current endpoint list, with `index` as its version.
     pub fn endpoint_list(&self, index: u64) -> EndpointList {
         self.state.borrow().endpoints.list(index)
     }
 
-    /// What the settings in force say of polls of the endpoint list.
+    /// The current settings that apply to polls of the endpoint list.
     pub fn list_rules(&self) -> ListRules {
         let state = self.state.borrow();
         ListRules { polls_endpoint_list: state.settings.polls_endpoint_list, rules: state.settings.rules }
     }
 
-    /// Records that a poll of the endpoint list has failed: the balancer decides when to poll again. A request for a
-    /// poll that came before is void.
+    /// Records that a poll of the endpoint list has failed; the balancer decides when to poll again. Discards
+    /// a pending request for a poll.
     pub fn fail_endpoint_poll(&self) {
         self.is_poll_requested.set(false);
         self.notify_balancer(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
@@ -226,8 +230,8 @@
         self.process_events(&mut state);
     }
 
-    /// Hands the events to the balancer in their order and executes its actions; an action may cause a further event
-    /// at once, so this goes on until none is left.
+    /// Passes the queued events to the balancer in order and executes its actions. An action may queue
+    /// further events, so this repeats until the queue is empty.
     fn process_events(&self, state: &mut DispatcherState) {
         while let Some(event) = state.events.pop_front() {
             let now = self.clock.now();
@@ -248,8 +252,8 @@
         self.wake_timers_if_earlier(state.calls.next_deadline());
     }
 
-    /// Wakes the timer task if it sleeps beyond this moment. A task that sleeps for a timer that has since been removed
-    /// wakes once in vain, which costs less than waking it for each removal.
+    /// Wakes the timer task if it sleeps beyond `next_deadline`. If the timer for which it sleeps has been
+    /// removed, it wakes once for nothing, which costs less than waking it for each removal.
     fn wake_timers_if_earlier(&self, next_deadline: Option<Micros>) {
         let Some(next) = next_deadline else { return };
         if self.timers_asleep_until.get().is_none_or(|until| next < until) {
@@ -276,7 +280,7 @@
                 self.is_poll_requested.set(true);
                 self.poll_requested.notify_one();
             }
-            // Load polls are not implemented here; the balancer asks for none where the site allows none.
+            // Load polls are not implemented here; the balancer requests none where they are not allowed.
             Action::PollLoad { endpoint } => state.events.push_back(Event::LoadPolled {
                 endpoint,
                 outcome: Outcome::NotSent,
@@ -316,7 +320,7 @@
         state.calls.set_task(id, task.abort_handle());
     }
 
-    /// Records the outcome of an attempt that has ended by itself. Only the first outcome of an attempt counts.
+    /// Records the outcome of an attempt whose task has ended. Only the first outcome of an attempt counts.
     fn end_attempt(&self, id: AttemptId, result: AttemptResult) {
         let event = self.state.borrow_mut().calls.end_attempt(self.clock.now(), id, result);
         if let Some(event) = event {
@@ -324,7 +328,7 @@
         }
     }
 
-    /// Fires the timers, for as long as the process runs.
+    /// Runs the timer task, which never ends.
     pub async fn run_timers(&self) {
         loop {
             let next = self.state.borrow().calls.next_deadline();
@@ -362,12 +366,12 @@
     info!(?kind, ready, draining, removed, "endpoint list updated");
 }
 
-/// An attempt in its task, as the upstream side sees its owner.
+/// Connects the task of an attempt to its call in the dispatcher.
 struct DispatchedAttempt<'a> {
     dispatcher: &'a Dispatcher,
     outgoing: &'a OutgoingAttempt,
     endpoint: EndpointId,
-    /// The generation of its endpoint at the moment of sending.
+    /// The endpoint's generation when the attempt was sent.
     generation: u64,
 }
 
@@ -402,8 +406,8 @@
     }
 }
 
-/// Reports the outcome of an attempt when its task ends. If the task dies the attempt may have run: without a report
-/// its call would wait for its deadline.
+/// Reports the outcome of an attempt when its task ends. If the task panics, the attempt may have been
+/// executed, and without a report its call would wait until its deadline.
 struct AttemptGuard {
     dispatcher: Dispatcher,
     id: AttemptId,
--- a/crates/proxy/src/dispatcher/state.rs
+++ b/crates/proxy/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher owns: the balancer, the calls, the endpoints, and the settings in force.
+//! The state of the dispatcher: the balancer, the calls, the endpoints, and the current settings.
 
 use crate::call_table::{AttemptId, CallTable, OutgoingAttempt};
 use crate::classes::Classes;
@@ -19,16 +19,16 @@
     pub classes: Classes,
     pub endpoints: Endpoints,
     pub calls: CallTable,
-    /// The settings in force, with the number of client proxies that they state.
+    /// The current settings, with the number of client proxies that they contain.
     pub settings: Settings,
     pub transport: TransportSettings,
-    /// Client proxies that the members of the group count; it takes precedence over the number in the settings.
+    /// The live count determined by membership, which takes precedence over the number in the settings.
     pub live_proxy_count: Option<u32>,
-    /// New requests are accepted.
+    /// Whether new requests are accepted.
     pub is_accepting: bool,
     /// Events that the balancer has yet to handle.
     pub events: VecDeque<Event>,
-    /// A buffer for the actions of one event.
+    /// The actions that one event has caused; the buffer is reused.
     pub actions: Vec<Action>,
 }
 
@@ -51,13 +51,13 @@
         }
     }
 
-    /// The settings in force, with the number of client proxies that counts.
+    /// The current settings, with the live count in place of their number of client proxies if it is known.
     pub fn effective_settings(&self) -> Settings {
         let proxy_count = self.live_proxy_count.unwrap_or(self.settings.proxy_count);
         Settings { proxy_count, ..self.settings.clone() }
     }
 
-    /// The metrics at this moment.
+    /// The current metrics.
     pub fn report(&self, now: Micros) -> MetricsReport {
         let gauges = Gauges {
             in_flight_calls: self.calls.open_count(),
@@ -67,7 +67,7 @@
         self.metrics.report(self.classes.names(), gauges)
     }
 
-    /// Where an attempt can go. `None` if its endpoint accepts no calls or the attempt is no longer wanted.
+    /// The target of an attempt. `None` if its endpoint accepts no calls or the attempt is no longer needed.
     pub fn target(&self, endpoint: EndpointId, attempt: &OutgoingAttempt) -> Option<Target> {
         let known = self.endpoints.get(endpoint)?;
         if known.state != EndpointState::Ready || !attempt.is_wanted {
@@ -76,7 +76,7 @@
         Some(Target { endpoint, address: known.address?, generation: known.generation })
     }
 
-    /// Whether the first byte of an attempt may be written now, on a connection of this generation.
+    /// Whether the first byte of an attempt may be written now, to an endpoint of this generation.
     pub fn may_start(&mut self, now: Micros, attempt: AttemptId, generation: u64) -> bool {
         let endpoints = &self.endpoints;
         let is_ready = |endpoint| {
@@ -87,7 +87,7 @@
         self.calls.may_start(now, attempt, is_ready)
     }
 
-    /// Writes to the log how far a streamed response came that its endpoint did not complete.
+    /// Logs how much was received and forwarded of a streamed response that ended before its last byte.
     pub fn log_incomplete_response(
         &self,
         request_id: &str,
@@ -110,7 +110,7 @@
         );
     }
 
-    /// Writes a decision of the balancer to the log, with the names of endpoints and classes.
+    /// Logs a decision of the balancer, with the names of endpoints and classes.
     pub fn log_decision(&self, decision: DecisionEvent) {
         let name = |endpoint| self.endpoints.name(endpoint);
         match decision {
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! The bound on open calls.
+//! The limit on open calls.
 
 use super::*;
 use crate::upstream::test_support::{pool, request, transport_settings};
@@ -16,13 +16,14 @@
     Dispatcher::new(7, parsed, clock, pool(clock, Rc::clone(&metrics)), metrics)
 }
 
-/// More calls than the settings allow are rejected before the balancer sees them.
+/// Calls beyond the limit in the settings are rejected before they reach the balancer.
 #[tokio::test(flavor = "current_thread")]
-async fn open_calls_are_bounded_and_a_disconnected_client_frees_capacity() {
+async fn open_calls_are_limited_and_a_disconnected_client_frees_capacity() {
     let dispatcher = dispatcher();
     let attributes = || CallAttributes { class: ClassId(0), tenant: None, is_retry: false };
-    let open: Vec<_> =
-        (0..9).map(|_| dispatcher.start_call(attributes(), request(60_000_000)).expect("capacity")).collect();
+    let open: Vec<_> = (0..9)
+        .map(|_| dispatcher.start_call(attributes(), request(60_000_000)).expect("capacity for the call"))
+        .collect();
     assert!(dispatcher.start_call(attributes(), request(60_000_000)).is_none());
     dispatcher.disconnect_client(open[3].0);
     assert!(dispatcher.start_call(attributes(), request(60_000_000)).is_some());
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Keeps the endpoints that discovery has named: their identifiers, addresses and processes.
+//! Tracks the endpoints that discovery has reported: their identifiers, addresses and processes.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 use oakport_core::{settings_wire, CellId, EndpointId, EndpointInfo, EndpointState, ListUpdateKind, Micros};
@@ -7,7 +7,7 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// An endpoint as discovery last described it.
+/// An endpoint as last reported by discovery.
 #[derive(Debug)]
 pub struct Endpoint {
     entry: EndpointEntry,
@@ -17,20 +17,20 @@
     started_at: Micros,
     /// Whether it accepts calls.
     pub state: EndpointState,
-    /// Counts processes and addresses: connections of an earlier one are not used.
+    /// Incremented when open connections become outdated; connections of an earlier generation are not used.
     pub generation: u64,
 }
 
-/// Connections to an endpoint of generations before this one must be closed.
+/// Connections to an endpoint that must be closed: those of generations before `generation`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutdatedConnections {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its first generation that is not outdated.
+    /// The first generation of the endpoint that is not outdated.
     pub generation: u64,
 }
 
-/// What follows from an update of the endpoint list.
+/// The consequences of an update of the endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
     /// The entries of the update, for the balancer.
@@ -39,7 +39,7 @@
     pub outdated: Vec<OutdatedConnections>,
 }
 
-/// All endpoints ever named, by their identifiers.
+/// All endpoints ever reported, by identifier.
 #[derive(Debug, Default)]
 pub struct Endpoints {
     ids: HashMap<String, EndpointId>,
@@ -52,17 +52,17 @@
         self.endpoints.get(id.0 as usize)
     }
 
-    /// The name that discovery uses, `?` for an unknown endpoint.
+    /// The endpoint's name in discovery, or `?` for an unknown endpoint.
     pub fn name(&self, id: EndpointId) -> &str {
         self.get(id).map_or("?", |endpoint| &endpoint.entry.name)
     }
 
-    /// The endpoints that are in the list.
+    /// The endpoints that are currently listed.
     pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Removed)
     }
 
-    /// The complete list, under this version.
+    /// The complete list, with `index` as its version.
     pub fn list(&self, index: u64) -> EndpointList {
         EndpointList {
             index,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes an update of the list in. A complete list also removes the endpoints that it does not name.
+    /// Applies an update of the list. A complete list also removes the endpoints that it does not contain.
     pub fn update(&mut self, kind: ListUpdateKind, list: &[EndpointEntry]) -> EndpointUpdate {
         let mut update = EndpointUpdate::default();
         if matches!(kind, ListUpdateKind::Snapshot | ListUpdateKind::Cached) {
@@ -102,7 +102,7 @@
         outdated
     }
 
-    /// The identifier of an entry's endpoint, which is added if its name is new.
+    /// The identifier of an entry's endpoint. Adds the endpoint if its name is new.
     fn id_of(&mut self, entry: &EndpointEntry) -> EndpointId {
         let next = EndpointId(self.endpoints.len() as u32);
         let id = *self.ids.entry(entry.name.clone()).or_insert(next);
@@ -124,16 +124,16 @@
         }
     }
 
-    /// Takes an entry in. Returns whether the open connections are outdated: the endpoint accepts no calls, or the same
-    /// name with a new start is a new process, or its address is new.
+    /// Applies an entry. Returns whether the open connections are outdated: the endpoint accepts no calls,
+    /// its start time has changed, which means a new process under the same name, or its address has changed.
     fn update(&mut self, entry: &EndpointEntry) -> bool {
         let mut state = listed_state(entry);
         let started_at = started_at(entry);
-        // One that finishes its calls keeps its last address.
+        // An endpoint that is not ready keeps its last address, to finish its calls.
         let last_address = self.address.filter(|_| state != EndpointState::Ready);
         let address = entry.address.parse().ok().or(last_address);
         if state == EndpointState::Ready && address.is_none() {
-            // Nothing can be sent without an address.
+            // No call can be sent without an address.
             state = EndpointState::Draining;
         }
         let is_outdated =
@@ -162,7 +162,7 @@
     }
 }
 
-/// The state that an entry names. A state that is not known counts as draining: nothing new is sent.
+/// The state in an entry. An unknown state counts as draining: no new calls are sent.
 fn listed_state(entry: &EndpointEntry) -> EndpointState {
     match entry.status.as_str() {
         "up" => EndpointState::Ready,
--- a/crates/proxy/src/endpoints/tests.rs
+++ b/crates/proxy/src/endpoints/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// An endpoint's state, address and start as discovery reports them in turn, and whether its connections are closed.
+/// Applies a sequence of reports (state, address and start time) and checks the resulting state and how many
+/// connections to the endpoint become outdated.
 #[test]
 fn connections_are_outdated_after_a_change_of_state_address_or_process() {
     let reported = |status: &str, address: &str, since_ms: u64| {
@@ -26,10 +27,10 @@
         let update = endpoints.update(ListUpdateKind::Delta, &reported(status, address, since));
         let found = (update.entries[0].state, update.outdated.len());
         assert_eq!(found, (state, outdated_count), "{status} {address} {since}");
-        assert_eq!(update.entries[0].started_at, since * 1_000, "on the clock's own scale");
+        assert_eq!(update.entries[0].started_at, since * 1_000, "start times are in Unix microseconds");
     }
     endpoints.update(ListUpdateKind::Snapshot, &reported("up", one, 7));
     let update = endpoints.update(ListUpdateKind::Snapshot, &[]);
     let found = (update.entries.len(), update.outdated.len(), endpoints.listed().count());
-    assert_eq!(found, (0, 1, 0), "not in the list: removed");
+    assert_eq!(found, (0, 1, 0), "an endpoint that is not in a snapshot is removed");
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as it passes between the parts of the proxy.
+//! A client's request, as passed from the downstream to the upstream side of the proxy.
 
 use crate::body::Upload;
 use crate::downstream::connection::ClientPresence;
@@ -7,44 +7,44 @@
 use oakport_core::{ClassId, Micros};
 use std::rc::Rc;
 
-/// Identifies a request; a client's retry has an id of its own.
+/// Identifies a request; a retry by the client has a new id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// A request as the client sent it, buffered while an attempt may still need it.
 pub struct Request {
-    /// The client's method.
+    /// The request method.
     pub method: Method,
-    /// The client's target.
+    /// The request target.
     pub uri: Uri,
-    /// The client's headers, those of its connection included.
+    /// The request headers, including hop-by-hop headers.
     pub headers: HeaderMap,
     /// The body, or the beginning of one that is too large to be buffered.
     pub body: Bytes,
     /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// The length of the complete body in bytes, if its head states it.
+    /// The length of the complete body in bytes, if the request head states it.
     pub length: Option<u64>,
-    /// How long the client waits for the answer once the request is complete, in microseconds.
+    /// How long the client waits for the response after the request is complete, in microseconds.
     pub client_timeout: Micros,
-    /// Whether the client is still connected.
+    /// Tracks whether the client is still connected.
     pub client: ClientPresence,
 }
 
 impl Request {
-    /// The client's identifier of it, for the log; empty if it is no text.
+    /// The client's request id, for the log; empty if missing or not valid text.
     pub fn id(&self) -> &str {
         let id = self.headers.get(REQUEST_ID_HEADER);
         id.and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 }
 
-/// What the balancer needs to know of a request.
+/// The attributes of a request that the balancer uses.
 #[derive(Debug)]
 pub struct CallAttributes {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// The name of its tenant, if it states one.
+    /// The name of the tenant, if the request states one.
     pub tenant: Option<String>,
-    /// The client says that this is a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -1,5 +1,5 @@
-//! The response of an endpoint to an attempt, and the final answer to the client, as they pass between the parts of
-//! the proxy.
+//! The response of an endpoint to an attempt, and the final answer to the client, as passed from the upstream
+//! to the downstream side of the proxy.
 
 use crate::body::{BodyChunk, DetachRequest};
 use bytes::Bytes;
@@ -21,27 +21,27 @@
     Streaming(StreamingResponse),
     /// The call was shed; the client may safely retry it.
     Rejected {
-        /// After how long the client should retry, in microseconds.
+        /// How long the client should wait before it retries, in microseconds.
         retry_after: Micros,
     },
     /// The call failed; it may have been executed.
     Failed,
-    /// The client's time was up before the balancer had ended the call.
+    /// The call's deadline passed before the balancer ended the call.
     DeadlineExceeded,
 }
 
 /// A response that is streamed to the client while it arrives.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// The beginning of the body, as far as it was buffered.
+    /// The buffered beginning of the body.
     pub first_chunk: Bytes,
     /// The rest of the body, which ends with [`BodyChunk::End`].
     pub chunks: mpsc::Receiver<BodyChunk>,
-    /// The length of the complete body in bytes, if its head states it.
+    /// The length of the complete body in bytes, if the response head states it.
     pub length: Option<u64>,
     /// The endpoint's `Content-Type`.
     pub content_type: Option<HeaderValue>,
-    /// Has the rest of the body detached, if its length is known.
+    /// Requests that the rest of the body be detached, if its length is known.
     pub detach_request: DetachRequest,
 }
 
@@ -54,14 +54,14 @@
     pub content_type: Option<HeaderValue>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// The endpoint's load report.
     pub load: LoadReport,
-    /// The response, if it was served and complete; `None` also for one that was streamed.
+    /// The response, if it was served and complete; `None` if it was streamed.
     pub response: Option<CompleteResponse>,
 }
 
