--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -125,7 +125,7 @@
         let service_failed = broke_at_once || matches!(error, PollError::Rejected(_));
         self.schedule.watch_broke(service_failed, &deadlines);
         if service_failed && !deadlines.pushed {
-            self.dispatcher.fail_endpoint_poll();
+            self.dispatcher.record_failed_endpoint_poll();
         }
     }
 
@@ -200,7 +200,7 @@
         self.log_failure(&error);
         self.schedule.service_poll_failed(started_at, &deadlines);
         // In a small fleet the balancer requests the next poll sooner.
-        self.dispatcher.fail_endpoint_poll();
+        self.dispatcher.record_failed_endpoint_poll();
         None
     }
 
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -169,7 +169,7 @@
 
     /// Records that the client of this call has disconnected, and cancels its attempts whatever the balancer
     /// decides.
-    pub fn disconnect_client(&self, call: CallId) {
+    pub fn record_client_disconnect(&self, call: CallId) {
         let mut state = self.state.borrow_mut();
         if !state.calls.is_open(call) {
             return;
@@ -219,7 +219,7 @@
 
     /// Records that a poll of the endpoint list has failed; the balancer decides when to poll again. Discards
     /// a pending request for a poll.
-    pub fn fail_endpoint_poll(&self) {
+    pub fn record_failed_endpoint_poll(&self) {
         self.is_poll_requested.set(false);
         self.notify_balancer(Event::EndpointList { kind: ListUpdateKind::Failed, endpoints: Vec::new() });
     }
@@ -387,7 +387,7 @@
     fn may_start(&self) -> bool {
         let id = self.outgoing.id;
         if self.outgoing.request.client.is_disconnected() {
-            self.dispatcher.disconnect_client(id.call);
+            self.dispatcher.record_client_disconnect(id.call);
         }
         let now = self.dispatcher.clock.now();
         self.dispatcher.state.borrow_mut().may_start(now, id, self.generation)
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -25,6 +25,6 @@
         .map(|_| dispatcher.start_call(attributes(), request(60_000_000)).expect("capacity for the call"))
         .collect();
     assert!(dispatcher.start_call(attributes(), request(60_000_000)).is_none());
-    dispatcher.disconnect_client(open[3].0);
+    dispatcher.record_client_disconnect(open[3].0);
     assert!(dispatcher.start_call(attributes(), request(60_000_000)).is_some());
 }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -237,6 +237,6 @@
 
 impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
-        self.dispatcher.disconnect_client(self.call);
+        self.dispatcher.record_client_disconnect(self.call);
     }
 }
