--- a/crates/proxy/src/call_table.rs
+++ b/crates/proxy/src/call_table.rs
@@ -60,7 +60,7 @@
     request: Rc<Request>,
     /// [`NEVER_US`] until the last byte of a streamed request has arrived.
     deadline: Micros,
-    /// Taken when the final answer is given.
+    /// `None` once the final answer has been sent or has begun to be streamed.
     answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
 }
@@ -264,7 +264,7 @@
         attempt.response_started = true;
         self.timers.remove(&(attempt.timeout_at, TimerPurpose::AttemptTimeout(id)));
         self.timers.remove(&(call.deadline, TimerPurpose::CallDeadline(id.call)));
-        // The client may have disconnected: the end of its connection reports that.
+        // Fails if the client has disconnected, which the end of its connection reports.
         let _ = answer.send(FinalResponse::Streaming(response));
         Some(Event::ResponseStarted { call: id.call, attempt: id.number })
     }
@@ -282,7 +282,7 @@
                     _ => RequestOutcome::Failed,
                 };
                 self.metrics.count_request(call.class, outcome);
-                // The client may have disconnected: the end of its connection reports that.
+                // Fails if the client has disconnected, which the end of its connection reports.
                 let _ = sender.send(answer);
             }
         }
--- a/crates/proxy/src/dispatcher/state.rs
+++ b/crates/proxy/src/dispatcher/state.rs
@@ -12,7 +12,6 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// The state of the dispatcher.
 pub struct DispatcherState {
     pub balancer: Balancer,
     pub metrics: Rc<Metrics>,
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -13,9 +13,9 @@
     entry: EndpointEntry,
     /// `None` if no valid address is known.
     pub address: Option<SocketAddr>,
-    /// When its process started, in Unix microseconds.
+    /// When the endpoint's process started, in Unix microseconds.
     started_at: Micros,
-    /// Whether it accepts calls.
+    /// Whether the endpoint accepts calls.
     pub state: EndpointState,
     /// Incremented when open connections become outdated; connections of an earlier generation are not used.
     pub generation: u64,
@@ -24,7 +24,6 @@
 /// Connections to an endpoint that must be closed: those of generations before `generation`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutdatedConnections {
-    /// The endpoint.
     pub endpoint: EndpointId,
     /// The first generation of the endpoint that is not outdated.
     pub generation: u64,
@@ -35,7 +34,6 @@
 pub struct EndpointUpdate {
     /// The entries of the update, for the balancer.
     pub entries: Vec<EndpointInfo>,
-    /// Connections that must be closed.
     pub outdated: Vec<OutdatedConnections>,
 }
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -88,7 +88,6 @@
     }
 }
 
-/// A connection to an endpoint.
 pub struct UpstreamConnection {
     pub sender: SendRequest<RequestStream>,
     connection: Connection<TokioIo<WatchedStream>, RequestStream>,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -31,9 +31,7 @@
 /// The destination of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its address.
     pub address: SocketAddr,
     /// The endpoint's generation; connections of an earlier one are not used.
     pub generation: u64,
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -33,7 +33,7 @@
 }
 
 impl PartialBody {
-    /// The length of the complete body in bytes, if its head states it.
+    /// The length of the complete body in bytes, if the response head states it.
     pub fn length(&self) -> Option<u64> {
         let remaining = self.rest.size_hint().exact()?;
         Some(remaining + self.first_chunk.len() as u64)
