--- a/crates/proxy/src/body/detached_body.rs
+++ b/crates/proxy/src/body/detached_body.rs
@@ -1,4 +1,5 @@
-//! The rest of a streamed response, taken out of the HTTP parsers on both sides: its remaining bytes are copied as they come.
+//! The remainder of a streamed response, detached from the HTTP parsers on both sides: its bytes are copied
+//! unparsed.
 
 use crate::descriptors::ConnectionDescriptors;
 use crate::socket::Socket;
@@ -6,16 +7,16 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What a client has yet to get of a response whose length is known.
+/// The part of a response of known length that its client has not received yet.
 #[derive(Debug)]
 pub struct DetachedBody {
-    /// What has been read, in its order.
+    /// Chunks that have been read from the endpoint, in order.
     pub read: Vec<Bytes>,
-    /// Where the bytes behind it come from; None: there are none.
+    /// The connection that the bytes after `read` arrive on. `None` if all have been read.
     pub source: Option<BodySource>,
 }
 
-/// A response whose length is known, with the connections that it goes between.
+/// The remainder of a response of known length, with its connections to the client and to the endpoint.
 #[derive(Debug)]
 pub struct DetachedResponse {
     pub client: Socket,
@@ -23,38 +24,37 @@
 }
 
 impl DetachedResponse {
-    /// How many bytes of it have been read and are not written to the client's socket.
+    /// Number of bytes that have been read from the endpoint and not yet written to the client's socket.
     pub fn unsent_bytes(&self) -> usize {
         self.rest.read.iter().map(Bytes::len).sum()
     }
 
-    /// How many bytes of it are still to be read from its endpoint.
+    /// Number of bytes that are still to be read from the endpoint.
     pub fn remaining_bytes(&self) -> u64 {
         self.rest.source.as_ref().map_or(0, |source| source.remaining_bytes)
     }
 }
 
-/// A connection to an endpoint on which the rest of a body arrives, and nothing else.
+/// A connection to an endpoint on which only the remainder of one body arrives.
 #[derive(Debug)]
 pub struct BodySource {
     pub socket: Socket,
-    /// How many bytes of the body are still to be read.
+    /// Number of bytes of the body that are still to be read.
     pub remaining_bytes: u64,
     /// Held while the connection is open.
     pub _descriptors: ConnectionDescriptors,
 }
 
-/// Asks whoever reads a response from its endpoint to detach it.
+/// Requests the task that reads a response from its endpoint to detach it.
 #[derive(Clone, Debug, Default)]
 pub struct DetachRequest(Rc<Notify>);
 
 impl DetachRequest {
-    /// Asks for it.
     pub fn send(&self) {
         self.0.notify_one();
     }
 
-    /// Resolves once it is asked for.
+    /// Resolves once the request has been sent.
     pub async fn received(&self) {
         self.0.notified().await;
     }
--- a/crates/proxy/src/body/memory_limit.rs
+++ b/crates/proxy/src/body/memory_limit.rs
@@ -1,4 +1,4 @@
-//! The memory that bodies may take, and each body's reservation of it.
+//! The memory limit of bodies, and each body's reservation within it.
 
 #[cfg(test)]
 mod tests;
@@ -8,41 +8,43 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// Most bytes of a body that is buffered completely, either way.
+/// Maximum size of a request or response body that is buffered completely.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes that a connection's own buffer takes.
+/// Maximum size of a connection's own buffer.
 pub const MAX_CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
-/// A body up to this costs no more than its connection does anyway.
+/// A body of up to this size needs no reservation: it uses no more memory than its connection does anyway.
 const MAX_UNRESERVED_BODY_BYTES: usize = 16 * 1024;
-/// What a streamed body takes at a time: a buffer on either side and the chunk between.
+/// Memory in use for a streamed body at any moment: a buffer on either side and the chunk between them.
 const STREAMED_BODY_BYTES: usize = MAX_BUFFERED_BODY_BYTES + 3 * MAX_CONNECTION_BUFFER_BYTES;
-/// A process alone leaves so much to all but bodies, above all to the buffers of its connections, if that leaves a third of the
-/// memory to bodies.
+/// Memory that a single process leaves to everything but bodies, mainly to the buffers of its connections,
+/// provided that a third of the memory remains for bodies.
 const OTHER_MEMORY_MB: usize = 20;
-/// ... and at most this part of the memory to bodies: what the allocator cannot reuse of freed memory grows with it.
+/// Upper bound on the share of bodies in the memory of a single process: the amount of freed memory that the
+/// allocator cannot reuse grows with this share.
 const MAX_BODY_MEMORY_FIFTHS: usize = 3;
 const FIFTHS: usize = 5;
-/// This part of the memory is left to uploads, buffered bodies and responses that begin, whatever else takes the memory of
-/// bodies.
+/// Optional reservations leave `1 / BODY_RESERVE_DIVISOR` of the memory free for uploads, buffered bodies and
+/// responses that begin.
 const BODY_RESERVE_DIVISOR: usize = 6;
-/// This part of what remains is left besides to what certainly needs it, when read-ahead takes what may never be needed.
+/// Speculative read-ahead leaves another `1 / SPECULATION_RESERVE_DIVISOR` of the remaining body memory free
+/// for bytes that are certainly needed.
 const SPECULATION_RESERVE_DIVISOR: usize = 2;
-/// The limit allows at least so many streamed bodies.
+/// The limit allows at least this number of streamed bodies.
 const MIN_STREAMED_BODIES: usize = 4;
 const BYTES_PER_KIB: usize = 1024;
 const KIB_PER_MB: usize = 1024;
 
-/// Who takes memory under the limit of the platform.
+/// The processes that share the platform's memory limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryUsers {
     /// This process.
     OneProcess,
-    /// This process and, in a hot restart, another one beside it. Each needs some memory for itself.
+    /// This process and, during a hot restart, another one. Each also needs memory for everything but bodies.
     TwoProcesses,
 }
 
 impl MemoryUsers {
-    /// What the bodies of one process may take of so much memory.
+    /// Memory for the bodies of one process, out of `memory_kib`.
     fn body_memory_kib(self, memory_kib: usize) -> usize {
         let third_kib = memory_kib / 3;
         match self {
@@ -55,7 +57,7 @@
     }
 }
 
-/// The memory that bodies may take, in units of 1 KiB.
+/// The memory that bodies may reserve, in units of 1 KiB.
 #[derive(Debug)]
 pub struct MemoryLimit {
     available_kib: Arc<Semaphore>,
@@ -67,7 +69,7 @@
     speculation_reserve_kib: usize,
 }
 
-/// A body's part of the memory, returned when dropped.
+/// A body's reservation of memory, returned when dropped.
 #[derive(Debug, Default)]
 pub struct MemoryReservation {
     permits: Vec<OwnedSemaphorePermit>,
@@ -94,7 +96,7 @@
 }
 
 impl MemoryLimit {
-    /// The bodies' part of `memory_mb` in all.
+    /// Limits bodies to their share of `memory_mb`, the memory of all `users` together.
     pub fn new(memory_mb: usize, users: MemoryUsers) -> Rc<Self> {
         let min_kib = MIN_STREAMED_BODIES * STREAMED_BODY_BYTES / BYTES_PER_KIB;
         let memory_kib = memory_mb * KIB_PER_MB;
@@ -114,17 +116,18 @@
         self.available_kib.available_permits() * BYTES_PER_KIB
     }
 
-    /// Resolves when memory has been returned since this call. What is available then may not suffice.
+    /// Resolves once memory has been returned after this call. The available memory may still not suffice
+    /// then.
     pub fn returned(&self) -> impl Future<Output = ()> + '_ {
         self.returned.notified()
     }
 
-    /// Does a body of this size cost no more than its connection does anyway?
+    /// Whether a body of this size uses no more memory than its connection does anyway.
     pub fn needs_no_reservation(size_bytes: usize) -> bool {
         size_bytes <= MAX_UNRESERVED_BODY_BYTES
     }
 
-    /// By how many KiB a reservation must grow for a body of this size.
+    /// Number of KiB by which a reservation must grow for a body of this size.
     fn missing_kib(reservation: &MemoryReservation, size_bytes: usize) -> u32 {
         let size_bytes = if size_bytes > MAX_BUFFERED_BODY_BYTES { STREAMED_BODY_BYTES } else { size_bytes };
         if MemoryLimit::needs_no_reservation(size_bytes) {
@@ -139,26 +142,27 @@
         true
     }
 
-    /// Makes a reservation large enough for a body of this size. False if the memory does not suffice.
+    /// Grows a reservation to fit a body of this size. False if the memory does not suffice.
     pub fn try_reserve(&self, reservation: &mut MemoryReservation, size_bytes: usize) -> bool {
         self.try_grow(reservation, MemoryLimit::missing_kib(reservation, size_bytes))
     }
 
-    /// Makes a reservation large enough for so many bytes that wait to be read. False if the memory does not suffice.
+    /// Grows a reservation to fit `size_bytes` that have arrived and wait to be processed. False if the
+    /// memory does not suffice.
     pub fn try_reserve_unread(&self, reservation: &mut MemoryReservation, size_bytes: usize) -> bool {
         let reserved_bytes = size_bytes.saturating_sub(MAX_UNRESERVED_BODY_BYTES);
         let kib = reserved_bytes.div_ceil(BYTES_PER_KIB).saturating_sub(reservation.kib) as u32;
         self.try_grow(reservation, kib)
     }
 
-    /// Makes a reservation larger by so many bytes that no body needs to make progress. False if less than
-    /// [`BODY_RESERVE_DIVISOR`] says would be left to bodies.
+    /// Grows a reservation by `additional_bytes` that no body needs to make progress. False if that would
+    /// leave less than the body reserve; see [`BODY_RESERVE_DIVISOR`].
     pub fn try_reserve_optional(&self, reservation: &mut MemoryReservation, additional_bytes: usize) -> bool {
         self.try_reserve_beyond(self.body_reserve_kib, reservation, additional_bytes)
     }
 
-    /// The same for bytes that may never be needed. False also if less than [`SPECULATION_RESERVE_DIVISOR`] says would be left to
-    /// what certainly needs it.
+    /// Like [`Self::try_reserve_optional`], for bytes that may never be needed: also leaves the speculation
+    /// reserve; see [`SPECULATION_RESERVE_DIVISOR`].
     pub fn try_reserve_speculative(
         &self,
         reservation: &mut MemoryReservation,
@@ -168,8 +172,8 @@
         self.try_reserve_beyond(reserve_kib, reservation, additional_bytes)
     }
 
-    /// The same for bytes that complete something, so that their memory returns soon. Leaves half of what
-    /// [`BODY_RESERVE_DIVISOR`] says.
+    /// Like [`Self::try_reserve_optional`], for bytes that complete a response, so that their memory is
+    /// returned soon: leaves only half of the body reserve.
     pub fn try_reserve_completing(
         &self,
         reservation: &mut MemoryReservation,
@@ -178,7 +182,7 @@
         self.try_reserve_beyond(self.body_reserve_kib / 2, reservation, additional_bytes)
     }
 
-    /// Makes a reservation larger by so many bytes if this reserve is left then.
+    /// Grows a reservation by `additional_bytes` if at least `reserve_kib` remain available afterwards.
     fn try_reserve_beyond(
         &self,
         reserve_kib: usize,
@@ -190,7 +194,7 @@
             && self.try_grow(reservation, additional_kib as u32)
     }
 
-    /// Makes a reservation large enough for a body of this size, waiting until the memory suffices.
+    /// Grows a reservation to fit a body of this size, waiting until the memory suffices.
     pub async fn reserve(&self, reservation: &mut MemoryReservation, size_bytes: usize) {
         let kib = MemoryLimit::missing_kib(reservation, size_bytes);
         if let Ok(permit) = Arc::clone(&self.available_kib).acquire_many_owned(kib).await {
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests and responses: buffered up to 64 KiB, beyond that streamed chunk by chunk, each side waiting
-//! for the other, within a memory limit.
+//! Bodies of requests and responses within a memory limit: buffered up to 64 KiB, larger ones streamed chunk
+//! by chunk with backpressure in both directions.
 
 mod detached_body;
 mod memory_limit;
--- a/crates/proxy/src/body/read_ahead_buffer.rs
+++ b/crates/proxy/src/body/read_ahead_buffer.rs
@@ -1,4 +1,4 @@
-//! What has been read of a streamed response before its client takes it.
+//! Buffers the chunks of a streamed response that were read before the client could receive them.
 
 #[cfg(test)]
 mod tests;
@@ -9,23 +9,23 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// The unit in which memory is reserved. Chunks are copied into blocks: a small chunk may keep a much larger read buffer
-/// allocated.
+/// The unit in which memory is reserved. Chunks are copied into blocks, as a small chunk may keep a much
+/// larger read buffer allocated.
 const BLOCK_BYTES: usize = 64 * 1024;
 
-/// How much of one response is read ahead of its client, within the memory limit.
+/// How many bytes of one response are read ahead of its client, within the memory limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAheadLimit {
     /// One chunk, for which no memory is reserved.
     OneChunk,
-    /// So much at most, of memory that nothing else is certain to need.
+    /// At most `max_bytes`, from memory that nothing else is certain to need.
     Speculative {
-        /// Most bytes of one response.
+        /// Maximum number of bytes per response.
         max_bytes: usize,
     },
-    /// As much as the memory allows.
+    /// As many as the memory allows.
     AvailableMemory,
-    /// The same for the very end of a response, also of a part of the memory that is left to bodies otherwise.
+    /// For the very end of a response: as many as the memory allows, including half of the body reserve.
     Completing,
 }
 
@@ -54,19 +54,19 @@
         self.bytes.capacity() - self.bytes.len()
     }
 
-    /// Takes in the beginning of a chunk, as much as is free.
+    /// Moves as many bytes as fit from the beginning of a chunk into the block.
     fn fill_from(&mut self, chunk: &mut Bytes) {
         let part = chunk.split_to(chunk.len().min(self.free_bytes()));
         self.bytes.extend_from_slice(&part);
     }
 }
 
-/// The chunks of one response that its client has yet to take, in their order.
+/// The chunks of one response that are yet to be passed on to its client, in order.
 pub struct ReadAheadBuffer {
     memory: Rc<MemoryLimit>,
-    /// A chunk that found the buffer empty. It is passed on as it is.
+    /// A chunk that was added while the buffer was empty. It is passed on without a copy.
     first_chunk: Option<Bytes>,
-    /// What has come after it.
+    /// The bytes that follow `first_chunk`.
     blocks: VecDeque<Block>,
     /// An empty block for the chunk that is read next.
     next_block: Option<Block>,
@@ -86,7 +86,8 @@
         self.first_chunk.is_none() && self.blocks.is_empty()
     }
 
-    /// Reserves the memory of another chunk. False if the limit does not permit it now.
+    /// Reserves memory for another chunk. False if the limit or the available memory does not permit that
+    /// now.
     pub fn try_reserve_chunk(&mut self, limit: ReadAheadLimit) -> bool {
         if self.is_empty() {
             return true;
@@ -100,7 +101,7 @@
         self.free_bytes() >= MAX_CONNECTION_BUFFER_BYTES
     }
 
-    /// Does it hold all that this limit permits, however much memory there is?
+    /// Whether the buffer is full under this limit, regardless of the available memory.
     pub fn has_reached(&self, limit: ReadAheadLimit) -> bool {
         match limit {
             ReadAheadLimit::OneChunk => !self.is_empty(),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Resolves when a chunk whose memory could not be reserved may be tried again: some has been returned.
+    /// Resolves once some memory has been returned, so that a failed reservation can be retried.
     pub fn memory_returned(&self) -> impl Future<Output = ()> + 'static {
         let memory = Rc::clone(&self.memory);
         async move { memory.returned().await }
@@ -120,7 +121,7 @@
         reserved_blocks.map(Block::free_bytes).sum()
     }
 
-    /// Adds a chunk whose memory is reserved.
+    /// Appends a chunk whose memory has been reserved.
     pub fn push(&mut self, mut chunk: Bytes) {
         if self.is_empty() {
             self.first_chunk = Some(chunk);
@@ -132,18 +133,19 @@
         if chunk.is_empty() {
             return;
         }
-        // Without a block no memory was reserved: the chunk is kept all the same.
+        // Without a block no memory was reserved: the chunk is still buffered, as dropping it would lose
+        // data.
         let mut next = self.next_block.take().unwrap_or_default();
         next.bytes.extend_from_slice(&chunk);
         self.blocks.push_back(next);
     }
 
-    /// Removes all, in its order.
+    /// Removes all chunks, in order.
     pub fn drain(&mut self) -> Vec<Bytes> {
         std::iter::from_fn(|| self.pop()).collect()
     }
 
-    /// Removes what the client takes next. Its memory is returned.
+    /// Removes the next chunk for the client and releases its reservation.
     pub fn pop(&mut self) -> Option<Bytes> {
         let first_chunk = self.first_chunk.take();
         let next = first_chunk.or_else(|| self.blocks.pop_front().map(|block| block.bytes.freeze()));
--- a/crates/proxy/src/body/read_ahead_buffer/tests.rs
+++ b/crates/proxy/src/body/read_ahead_buffer/tests.rs
@@ -1,4 +1,4 @@
-//! The order of the chunks, and the memory that they take.
+//! The order of the chunks and the memory reserved for them.
 
 use super::*;
 use crate::body::MemoryUsers;
@@ -10,7 +10,7 @@
     vec![number; CHUNK_BYTES].into()
 }
 
-/// Fills the buffer as far as the limit permits. Returns how many chunks it took.
+/// Fills the buffer as far as the limit permits. Returns the number of chunks added.
 fn fill(buffer: &mut ReadAheadBuffer, limit: ReadAheadLimit) -> usize {
     let mut count = 0;
     while buffer.try_reserve_chunk(limit) {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn chunks_leave_in_their_order_and_return_their_memory() {
+fn chunks_are_removed_in_order_and_their_memory_is_returned() {
     let memory = MemoryLimit::new(MEMORY_MB, MemoryUsers::TwoProcesses);
     let total_bytes = memory.available_bytes();
     let mut buffer = ReadAheadBuffer::new(&memory);
@@ -36,21 +36,21 @@
 }
 
 #[test]
-fn buffers_together_leave_half_of_the_memory_to_other_bodies() {
+fn all_buffers_together_leave_half_of_the_memory_to_other_bodies() {
     let memory = MemoryLimit::new(MEMORY_MB, MemoryUsers::TwoProcesses);
     let total_bytes = memory.available_bytes();
     let mut buffers: Vec<_> = (0..3).map(|_| ReadAheadBuffer::new(&memory)).collect();
     let counts: Vec<usize> =
         buffers.iter_mut().map(|buffer| fill(buffer, ReadAheadLimit::AvailableMemory)).collect();
     assert!(counts[0] > 200, "{counts:?}");
-    assert_eq!(counts[1..], [1, 1], "one chunk is taken without memory");
+    assert_eq!(counts[1..], [1, 1], "one chunk is buffered without a reservation");
     assert!(memory.available_bytes() >= total_bytes / 2);
     drop(buffers);
     assert_eq!(memory.available_bytes(), total_bytes);
 }
 
 #[test]
-fn without_read_ahead_one_chunk_is_held_and_takes_no_memory() {
+fn without_read_ahead_one_chunk_is_buffered_without_a_reservation() {
     let memory = MemoryLimit::new(MEMORY_MB, MemoryUsers::TwoProcesses);
     let total_bytes = memory.available_bytes();
     let mut buffer = ReadAheadBuffer::new(&memory);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_speculative_buffer_is_bounded_and_leaves_memory_to_another() {
+fn a_speculative_buffer_is_bounded_and_leaves_memory_to_others() {
     let memory = MemoryLimit::new(MEMORY_MB, MemoryUsers::TwoProcesses);
     let mut bounded = ReadAheadBuffer::new(&memory);
     let max_bytes = 40 * CHUNK_BYTES;
--- a/crates/proxy/src/body/request_stream.rs
+++ b/crates/proxy/src/body/request_stream.rs
@@ -1,4 +1,4 @@
-//! A request's body on its way to an endpoint, and how far it has been written.
+//! Streams a request's body to an endpoint and tracks how much of the request has been written.
 
 use super::upload::{BodyError, Upload};
 use bytes::Bytes;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether all of a request has been written to the socket.
+/// Tracks whether all of a request has been written to the socket.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
-    /// The last write took all that there was.
+    /// The last write accepted all bytes that were pending.
     pub emptied: Cell<bool>,
-    /// The body has ended: nothing more is to be written.
+    /// The body has ended: no further bytes will be written.
     body_ended: Cell<bool>,
-    /// Since when the socket has taken nothing.
+    /// When the socket stopped accepting bytes. `None` while it accepts them.
     stalled_since: Cell<Option<Instant>>,
 }
 
 impl WriteProgress {
-    /// Has the last byte been written?
+    /// Whether the last byte has been written.
     pub fn is_complete(&self) -> bool {
         self.body_ended.get() && self.emptied.get()
     }
 
-    /// The socket has taken something, or takes nothing for now.
+    /// Records that the socket accepted some bytes (`progressed`), or currently accepts none.
     pub fn record_write(&self, progressed: bool) {
         if progressed {
             self.stalled_since.set(None);
@@ -36,30 +36,30 @@
         }
     }
 
-    /// How long the socket has taken nothing.
+    /// How long the socket has accepted no bytes.
     pub fn stalled_for(&self) -> Duration {
         self.stalled_since.get().map(|since| since.elapsed()).unwrap_or_default()
     }
 
-    /// More is to be written, the last of the body if it has ended.
+    /// Records that a chunk is to be written, the last one if `body_ended`.
     fn record_chunk(&self, body_ended: bool) {
         self.emptied.set(false);
         self.body_ended.set(body_ended);
     }
 }
 
-/// A request's body as it goes to an endpoint.
+/// A request's body as it is sent to an endpoint.
 pub struct RequestStream {
     first_chunk: Bytes,
     upload: Option<Rc<Upload>>,
-    /// What is still to be sent, where the length is known.
+    /// Number of bytes still to be sent, where the length is known.
     remaining_bytes: Option<u64>,
     progress: Rc<WriteProgress>,
 }
 
 impl RequestStream {
-    /// A body that begins with `first_chunk`, or is all of it. `streamed` is what follows, with the length of the
-    /// complete body in bytes where that is known.
+    /// A body that consists of `first_chunk`, or begins with it. `streamed` is the remaining upload, with the
+    /// length of the complete body in bytes where that is known.
     pub fn new(
         first_chunk: Bytes,
         streamed: Option<(Rc<Upload>, Option<u64>)>,
--- a/crates/proxy/src/body/response_stream.rs
+++ b/crates/proxy/src/body/response_stream.rs
@@ -1,4 +1,4 @@
-//! A response's body on its way to the client.
+//! Streams a response's body to the client.
 
 use super::detached_body::{DetachRequest, DetachedBody};
 use super::upload::BodyError;
@@ -9,23 +9,26 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// One chunk of a streamed response, or its end. A channel that closes without the end carried an incomplete response.
+/// One chunk of a streamed response, or its end. If the channel closes without an end, the response is
+/// incomplete.
 #[derive(Debug)]
 pub enum BodyChunk {
     Data(Bytes),
-    /// All that is left of the response, as asked for by a [`DetachRequest`]. It is not passed on as a part of the stream.
+    /// The remainder of the response, sent after a [`DetachRequest`]. It is not passed on as a part of the
+    /// stream.
     Detached(DetachedBody),
     End,
 }
 
-/// Resolves when a response may have to be given up, with whether it must.
+/// Resolves when it is decided whether a response must be aborted; true if it must.
 pub type AbortCondition = Pin<Box<dyn Future<Output = bool>>>;
 
-/// A response's body as it goes to the client: complete, or its first chunk and a channel for the remaining ones.
+/// A response's body as it is sent to the client: complete, or its first chunk and a channel for the
+/// remaining ones.
 pub struct ResponseStream {
     first_chunk: Bytes,
     chunks: Option<mpsc::Receiver<BodyChunk>>,
-    /// What is still to be sent, where the length is known.
+    /// Number of bytes still to be sent, where the length is known.
     remaining_bytes: Option<u64>,
     abort_condition: Option<AbortCondition>,
     is_aborted: bool,
@@ -52,28 +55,29 @@
         }
     }
 
-    /// How to have the rest of the response detached. `None` where that is not possible: without a length only the parser
-    /// of its framing knows its end.
+    /// Requests the remainder of the response to be detached. `None` if the response cannot be detached:
+    /// without a known length, only the parser of its framing detects its end.
     pub fn detach_request(&self) -> Option<DetachRequest> {
         self.remaining_bytes.and(self.detach_request.clone())
     }
 
-    /// What is left of the response once it is detached. All before it has been passed on, and nothing more comes.
+    /// The remainder of the response once it is detached. All preceding bytes have been passed on, and no
+    /// further frame follows.
     pub fn take_detached(&mut self) -> Option<DetachedBody> {
         self.detached.take()
     }
 
-    /// Gives the response up, incomplete, if this says so before its end.
+    /// Aborts the response, leaving it incomplete, if the condition resolves to true before its end.
     pub fn abort_if(&mut self, condition: AbortCondition) {
         self.abort_condition = Some(condition);
     }
 
-    /// Was the response given up, whatever of it is still to be written?
+    /// Whether the response was aborted, even if some of it is still to be written.
     pub fn is_aborted(&self) -> bool {
         self.is_aborted
     }
 
-    /// Must the response be given up?
+    /// Whether the response must be aborted.
     fn poll_abort(&mut self, cx: &mut Context<'_>) -> bool {
         let Some(condition) = &mut self.abort_condition else { return false };
         let Poll::Ready(is_aborted) = condition.as_mut().poll(cx) else { return false };
@@ -86,7 +90,8 @@
             return Poll::Ready(Ok(BodyChunk::Data(std::mem::take(&mut self.first_chunk))));
         }
         let Some(chunks) = &mut self.chunks else { return Poll::Ready(Ok(BodyChunk::End)) };
-        // The client must see that the body is incomplete: the connection ends without the end of the body.
+        // The client must notice that the body is incomplete: the connection closes without the end of the
+        // body.
         chunks.poll_recv(cx).map(|chunk| chunk.ok_or(BodyError::Aborted))
     }
 }
--- a/crates/proxy/src/body/upload.rs
+++ b/crates/proxy/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A client's body as it arrives: buffered up to 64 KiB, beyond that read chunk by chunk as an endpoint takes it.
+//! Reads a client's request body: buffered up to 64 KiB, beyond that chunk by chunk at the endpoint's pace.
 
 use super::memory_limit::{MemoryLimit, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
@@ -13,40 +13,40 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep};
 
-/// Most bytes of a request's body; a larger one gets 413.
+/// Maximum size of a request's body; a larger one is answered with 413.
 const MAX_BODY_BYTES: u64 = 40 << 20;
 /// A client that sends at least this fast is slow, not stalled.
 const MIN_UPLOAD_BYTES_PER_S: f64 = 32.0 * 1024.0;
-/// Longest time without any byte of a body.
+/// A body counts as stalled after this long without a byte.
 const MAX_STALL: Duration = Duration::from_secs(3);
 
 /// Why a body is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// Its sender disconnected, or sent what is no body.
-    #[error("the body broke off")]
+    /// The sender disconnected, or sent a malformed body.
+    #[error("body ended early or is malformed")]
     Aborted,
-    #[error("the body stalled")]
+    #[error("body stalled: no byte arrived in time")]
     Stalled,
-    #[error("the body is too large")]
+    #[error("body exceeds {} MiB", MAX_BODY_BYTES >> 20)]
     TooLarge,
-    /// There was no memory for it in time.
-    #[error("no memory for the body")]
+    /// No memory became available in time.
+    #[error("no memory became available for the body in time")]
     OutOfMemory,
 }
 
-/// The beginning of a body, as far as it is buffered.
+/// The buffered prefix of a body.
 #[derive(Debug)]
-pub struct BodyBeginning {
+pub struct BodyPrefix {
     pub bytes: Bytes,
-    /// It is all of the body.
+    /// The prefix is the complete body.
     pub is_complete: bool,
 }
 
-/// Reads a client's body and detects a stall: only the time spent waiting for the client counts.
+/// Reads a client's body and detects stalls: only the time spent waiting for the client counts.
 pub struct RequestBodyReader {
     body: Incoming,
-    /// Time that it may lose in total beyond what its size explains.
+    /// How long the body may stall in total, beyond the time that its size accounts for.
     slack: Duration,
     received_bytes: u64,
     waited: Duration,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// The length in bytes that the request's head declares.
+    /// The length in bytes that the request's head declares, if it does.
     pub fn length(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// When the body counts as stalled, if nothing has arrived since `waiting_since`.
+    /// When the body counts as stalled if no byte arrives after `waiting_since`.
     fn stall_deadline(&self, waiting_since: Instant) -> Instant {
         let expected = Duration::from_secs_f64(self.received_bytes as f64 / MIN_UPLOAD_BYTES_PER_S);
         let remaining = (self.slack + expected).saturating_sub(self.waited);
@@ -87,7 +87,7 @@
                 None => return Poll::Ready(None),
                 Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Aborted))),
                 Some(Ok(Ok(chunk))) => return Poll::Ready(Some(self.count(chunk))),
-                // Trailers end with the connection that they arrived on.
+                // Trailers are dropped: they apply only to the connection that they arrived on.
                 Some(Ok(Err(_))) => {}
             }
         }
@@ -117,18 +117,18 @@
         poll_fn(|cx| self.poll_chunk(cx)).await
     }
 
-    /// Reads the body to its end, or until it is larger than what is buffered. Waits for memory no longer than
-    /// `memory_wait`, and takes it for all of the body at once: bodies that each had some and waited for more would
-    /// wait for each other.
+    /// Reads the body to its end, or until it exceeds the size that is buffered. Waits for memory no longer
+    /// than `memory_wait`, and reserves it for the whole body at once: bodies that each held a part and
+    /// waited for more would deadlock.
     ///
     /// # Errors
-    /// The body is incomplete, too large, or found no memory in time.
-    pub async fn read_beginning(
+    /// The body is incomplete or too large, or no memory became available in time.
+    pub async fn read_prefix(
         &mut self,
         reservation: &mut MemoryReservation,
         memory: &MemoryLimit,
         memory_wait: Duration,
-    ) -> Result<BodyBeginning, BodyError> {
+    ) -> Result<BodyPrefix, BodyError> {
         let length = self.length();
         if length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return Err(BodyError::TooLarge);
@@ -144,14 +144,14 @@
             }
             bytes.extend_from_slice(&chunk);
             if bytes.len() > MAX_BUFFERED_BODY_BYTES {
-                return Ok(BodyBeginning { bytes: bytes.freeze(), is_complete: false });
+                return Ok(BodyPrefix { bytes: bytes.freeze(), is_complete: false });
             }
         }
-        Ok(BodyBeginning { bytes: bytes.freeze(), is_complete: true })
+        Ok(BodyPrefix { bytes: bytes.freeze(), is_complete: true })
     }
 }
 
-/// What remains of a client's body that is too large to be buffered. It can be read once only.
+/// The remainder of a client's body that is too large to be buffered. It can be read only once.
 pub struct Upload {
     reader: RefCell<RequestBodyReader>,
     _reservation: MemoryReservation,
@@ -161,7 +161,7 @@
     ended: Notify,
 }
 
-/// How far a body has been read.
+/// The read state of an upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UploadState {
     Unread,
@@ -170,7 +170,8 @@
 }
 
 impl Upload {
-    /// What follows the beginning that `reader` has read, with the complete body's length where that is known.
+    /// The remainder after the prefix that `reader` has read, with the complete body's length where that is
+    /// known.
     pub fn new(reader: RequestBodyReader, reservation: MemoryReservation, length: Option<u64>) -> Rc<Self> {
         Rc::new(Upload {
             reader: RefCell::new(reader),
@@ -181,12 +182,12 @@
         })
     }
 
-    /// Can the body still be sent from its beginning?
+    /// Whether the body can still be sent from its beginning.
     pub fn is_unread(&self) -> bool {
         self.state.get() == UploadState::Unread
     }
 
-    /// Claims the body for one attempt. False if another has it.
+    /// Claims the body for one attempt. False if an attempt has already claimed it.
     pub fn try_claim(&self) -> bool {
         let is_unread = self.is_unread();
         if is_unread {
@@ -195,12 +196,12 @@
         is_unread
     }
 
-    /// Has some of the body still to be read?
+    /// Whether the body has not ended yet.
     pub fn is_incomplete(&self) -> bool {
         !matches!(self.state.get(), UploadState::Ended(_))
     }
 
-    /// Did the body end incomplete?
+    /// Whether the body ended before it was complete.
     pub fn has_failed(&self) -> bool {
         matches!(self.state.get(), UploadState::Ended(Err(_)))
     }
@@ -212,7 +213,7 @@
         let mut reader = self.reader.borrow_mut();
         let chunk = std::task::ready!(reader.poll_chunk(cx));
         let end = match chunk {
-            // Nobody polls for more after the last byte.
+            // The body is not polled again after the last byte of its declared length.
             Some(Ok(_)) if self.length == Some(reader.received_bytes) => Ok(()),
             Some(Ok(_)) => return Poll::Ready(chunk),
             Some(Err(error)) => Err(error),
@@ -223,10 +224,10 @@
         Poll::Ready(chunk)
     }
 
-    /// Waits until the body has been read to its end. For one caller.
+    /// Waits until the body has been read to its end. Supports a single caller.
     ///
     /// # Errors
-    /// The body ended incomplete.
+    /// The body ended before it was complete.
     pub async fn ended(&self) -> Result<(), BodyError> {
         loop {
             if let UploadState::Ended(end) = self.state.get() {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Reads on and discards: a client that is still sending would not see its response.
+    /// Reads and discards the rest of the body: a client may not read its response while it is still sending.
     pub async fn discard(&self) {
         while let Some(Ok(_)) = poll_fn(|cx| self.poll_chunk(cx)).await {}
     }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -153,8 +153,8 @@
         let mut reader = RequestBodyReader::new(body, open.body_slack());
         let length = reader.length();
         let memory_wait = Duration::from_micros(head.client_timeout_us / MEMORY_WAIT_DIVISOR);
-        let beginning = match reader.read_beginning(&mut reservation, &self.memory, memory_wait).await {
-            Ok(beginning) => beginning,
+        let prefix = match reader.read_prefix(&mut reservation, &self.memory, memory_wait).await {
+            Ok(prefix) => prefix,
             Err(BodyError::OutOfMemory) => {
                 self.dispatcher.count_rejected(head.class);
                 discard(Upload::new(reader, MemoryReservation::default(), length), open);
@@ -162,9 +162,9 @@
             }
             Err(error) => return Err(RequestError::Body(error)),
         };
-        if beginning.is_complete {
+        if prefix.is_complete {
             open.complete();
-            let buffered = beginning.bytes;
+            let buffered = prefix.bytes;
             return Ok(ReceivedBody { buffered, upload: None, length, _reservation: reservation });
         }
         // Without memory to stream it nothing of it is forwarded.
@@ -176,7 +176,7 @@
             return Err(RequestError::AtCapacity);
         }
         Ok(ReceivedBody {
-            buffered: beginning.bytes,
+            buffered: prefix.bytes,
             upload: Some(upload),
             length,
             _reservation: MemoryReservation::default(),
