--- a/crates/proxy/src/hot_restart/directory.rs
+++ b/crates/proxy/src/hot_restart/directory.rs
@@ -1,4 +1,4 @@
-//! The directory that two processes of one proxy share.
+//! The directory shared by the processes of one proxy.
 
 use std::path::PathBuf;
 
--- a/crates/proxy/src/hot_restart/handover.rs
+++ b/crates/proxy/src/hot_restart/handover.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that a process leaves for its successor, and whether that is there.
+//! The endpoint list that a process writes for its successor, and whether a successor runs.
 
 use super::directory::shared_directory;
 use super::lock::ProcessLocks;
@@ -9,19 +9,19 @@
 use std::path::{Path, PathBuf};
 use tracing::warn;
 
-/// The endpoint list as a process last had it.
+/// The latest endpoint list of a process.
 pub(super) const LIST_FILE: &str = "oakport-list.json";
 /// A larger file is ignored.
 const MAX_LIST_FILE_BYTES: u64 = 4 << 20;
 
-/// The content of the file.
+/// The content of [`LIST_FILE`].
 #[derive(Serialize, Deserialize)]
 struct HandoverFile {
     discovery: SocketAddr,
     list: EndpointList,
 }
 
-/// The directory that two processes of one proxy share.
+/// The directory shared by a process, its predecessor and its successor.
 #[derive(Debug)]
 pub struct HandoverDirectory {
     pub(super) path: PathBuf,
@@ -29,7 +29,7 @@
 }
 
 impl HandoverDirectory {
-    /// In `$TMPDIR`, if it is set.
+    /// Uses `$TMPDIR`. `None` if it is not set.
     pub fn open() -> Option<Self> {
         shared_directory().map(HandoverDirectory::at)
     }
@@ -48,11 +48,15 @@
         self.locks.has_successor()
     }
 
-    /// Leaves the list for the process that starts next. A reader finds the old file or the new one, never a part.
-    /// A failure is logged: the successor then starts from its configured list.
+    /// Writes the list for the successor, atomically: a reader finds the old file or the new one, never a
+    /// partial one. A failure is logged: the successor then starts from its configured list.
     pub fn write_endpoint_list(&self, discovery: SocketAddr, list: EndpointList) {
         if let Err(error) = self.try_write(&HandoverFile { discovery, list }) {
-            warn!(directory = %self.path.display(), reason = %error, "endpoint list not left for the successor");
+            warn!(
+                directory = %self.path.display(),
+                reason = %error,
+                "endpoint list not written for the successor"
+            );
         }
     }
 
@@ -67,7 +71,7 @@
         written
     }
 
-    /// The list that was left, if it is from this discovery and readable.
+    /// Reads the predecessor's list. `None` if it is from another discovery or cannot be read.
     pub fn read_endpoint_list(&self, discovery: SocketAddr) -> Option<EndpointList> {
         let file = read_handover_file(&self.path.join(LIST_FILE))?;
         (file.discovery == discovery).then_some(file.list)
@@ -82,10 +86,13 @@
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
-/// The newer of the configured list and the one that the predecessor left, both from one discovery.
-pub fn newer_list(configured: Option<EndpointList>, left: Option<EndpointList>) -> Option<EndpointList> {
-    match (configured, left) {
-        (Some(configured), Some(left)) if configured.index >= left.index => Some(configured),
-        (configured, left) => left.or(configured),
+/// The newer of the configured list and the predecessor's list, which must be from the same discovery.
+pub fn newer_list(
+    configured: Option<EndpointList>,
+    predecessor: Option<EndpointList>,
+) -> Option<EndpointList> {
+    match (configured, predecessor) {
+        (Some(configured), Some(predecessor)) if configured.index >= predecessor.index => Some(configured),
+        (configured, predecessor) => predecessor.or(configured),
     }
 }
--- a/crates/proxy/src/hot_restart/listener.rs
+++ b/crates/proxy/src/hot_restart/listener.rs
@@ -1,4 +1,5 @@
-//! The listener of a process: inherited from the platform, or bound as soon as the predecessor has released its address.
+//! The listener of a process: inherited from the platform, or bound once the predecessor has released the
+//! address.
 
 use std::ffi::OsString;
 use std::io;
@@ -10,28 +11,29 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Names the descriptor of an inherited listener.
+/// The environment variable with the descriptor number of an inherited listener.
 const LISTENER_VARIABLE: &str = "RELAY_ACCEPT_FD";
 /// Lower descriptors are the standard streams.
 const MIN_LISTENER_DESCRIPTOR: RawFd = 3;
-/// Connections waiting to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const MAX_BACKLOG_CONNECTIONS: u32 = 1_024;
-/// How long to wait before another attempt at an address that another process holds.
+/// Interval between attempts to bind an address that another process is using.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// A process that is not ready within 30 s counts as crashed (FLEET, "The gate"), and its log should say why before.
+/// A process that is not ready within 30 s counts as crashed (FLEET, "The gate"); the cause must be logged
+/// before that.
 const BIND_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Why the inherited listener cannot be used.
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
-    /// The variable names no listening socket.
-    #[error("RELAY_ACCEPT_FD {value:?} is no listening socket")]
+    /// The variable does not name a listening socket.
+    #[error("RELAY_ACCEPT_FD {value:?} is not a listening socket")]
     NotListening {
         /// The variable's value.
         value: OsString,
     },
     /// The socket cannot be made non-blocking.
-    #[error("RELAY_ACCEPT_FD {value:?}: {source}")]
+    #[error("cannot make the socket of RELAY_ACCEPT_FD {value:?} non-blocking: {source}")]
     Setup {
         /// The variable's value.
         value: OsString,
@@ -40,14 +42,15 @@
     },
 }
 
-/// The listener that `$RELAY_ACCEPT_FD` names, if it is set. To be called once, before the program opens anything.
+/// The listener that `$RELAY_ACCEPT_FD` names, if it is set. Must be called once, before the program opens
+/// any file or socket.
 ///
 /// # Errors
-/// The variable names no listening socket, or that cannot be set up.
+/// The variable does not name a listening socket, or the socket cannot be made non-blocking.
 pub fn inherited_listener() -> Result<Option<std::net::TcpListener>, InheritedListenerError> {
     let Some(value) = std::env::var_os(LISTENER_VARIABLE) else { return Ok(None) };
     let descriptor = value.to_str().and_then(|text| text.trim().parse().ok());
-    let Some(listener) = descriptor.and_then(adopt) else {
+    let Some(listener) = descriptor.and_then(adopt_listener) else {
         return Err(InheritedListenerError::NotListening { value });
     };
     match listener.set_nonblocking(true) {
@@ -56,39 +59,40 @@
     }
 }
 
-/// Makes a listener of an open descriptor that is one.
+/// Takes ownership of an open descriptor as a listener. `None` if it is not a listening socket.
 #[allow(unsafe_code)]
-pub(super) fn adopt(descriptor: RawFd) -> Option<std::net::TcpListener> {
+pub(super) fn adopt_listener(descriptor: RawFd) -> Option<std::net::TcpListener> {
     if descriptor < MIN_LISTENER_DESCRIPTOR {
         return None;
     }
-    // SAFETY: borrowed for one query only, which fails if nothing is open under this number.
+    // SAFETY: borrowed for a single query, which fails if the descriptor is not open.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     if !socket2::SockRef::from(&borrowed).is_listener().unwrap_or(false) {
         return None;
     }
-    // SAFETY: the query above has shown it open, and nothing else in this process owns it: the platform passed it under
-    // this number, and this is called once, before the program opens anything.
+    // SAFETY: the query above has shown that the descriptor is open, and nothing else in this process owns
+    // it: the platform passed it under this number, and this is called once, before the program opens any
+    // file or socket.
     Some(unsafe { std::net::TcpListener::from_raw_fd(descriptor) })
 }
 
-/// Binds the listener, waiting for its address while another process holds it.
+/// Binds the listener. Retries while another process is using the address.
 ///
 /// # Errors
-/// The address cannot be bound, or was not free in time.
+/// The address cannot be bound, or is still in use after [`BIND_TIMEOUT`].
 pub async fn bind_when_free(address: SocketAddr) -> io::Result<TcpListener> {
     let began = Instant::now();
-    let mut is_reported = false;
+    let mut is_logged = false;
     loop {
         match bind(address) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && began.elapsed() < BIND_TIMEOUT => {
-                if !is_reported {
-                    info!(%address, "waiting for the address: another process listens there");
-                    is_reported = true;
+                if !is_logged {
+                    info!(%address, "listen address in use by another process, waiting for its release");
+                    is_logged = true;
                 }
                 tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/proxy/src/hot_restart/lock.rs
+++ b/crates/proxy/src/hot_restart/lock.rs
@@ -1,5 +1,5 @@
-//! The two lock files by which the processes of one proxy know of each other. A lock ends with its process, however
-//! that ends.
+//! Two lock files by which the processes of one proxy detect each other. The system releases a lock when its
+//! process ends, also after a crash or a kill.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -7,7 +7,7 @@
 
 /// Held by the process that serves.
 const SERVING_LOCK_FILE: &str = "oakport.lock";
-/// Held by its successor, until that serves alone.
+/// Held by the successor until its predecessor has ended.
 const SUCCESSOR_LOCK_FILE: &str = "oakport-next.lock";
 
 /// The locks of this process in a directory that it shares with its predecessor and its successor.
@@ -19,18 +19,18 @@
 }
 
 impl ProcessLocks {
-    /// No lock is held yet.
+    /// Initially, no lock is held.
     pub fn new(directory: PathBuf) -> Self {
         ProcessLocks { directory, serving: None, successor: None }
     }
 
-    /// Is this the only process that serves? Once it is, it stays so until its successor starts. Takes the successor's
-    /// lock while it is not.
+    /// Whether no predecessor is serving any more. Acquires the serving lock if it is free, otherwise the
+    /// successor's lock. Once acquired, the serving lock is held until this process ends.
     pub fn is_alone(&mut self) -> bool {
         if self.serving.is_some() {
             return true;
         }
-        // Without a file nothing shows another process: then there is none to leave capacity to.
+        // Without the file another process cannot be detected, so no capacity is left for one.
         let Ok(file) = self.open(SERVING_LOCK_FILE) else { return true };
         if file.try_lock().is_ok() {
             self.serving = Some(file);
@@ -44,7 +44,7 @@
         false
     }
 
-    /// Does a successor run?
+    /// Whether a successor is running.
     pub fn has_successor(&self) -> bool {
         let Ok(file) = self.open(SUCCESSOR_LOCK_FILE) else { return false };
         matches!(file.try_lock(), Err(TryLockError::WouldBlock))
--- a/crates/proxy/src/hot_restart/mod.rs
+++ b/crates/proxy/src/hot_restart/mod.rs
@@ -1,4 +1,5 @@
-//! Hot restart: the listener that the platform holds for two processes, and what one leaves for its successor.
+//! Hot restart: the listener that the platform holds for two processes, and the handover of the endpoint list
+//! and of responses to the successor.
 
 mod directory;
 mod handover;
--- a/crates/proxy/src/hot_restart/response_handover.rs
+++ b/crates/proxy/src/hot_restart/response_handover.rs
@@ -1,9 +1,10 @@
-//! Passes responses that a process cannot finish before it may be killed to its successor, with the connections that they go
-//! between.
+//! Hands responses that a process cannot finish before it may be killed over to its successor, together with
+//! the connections to their client and endpoint.
 //!
-//! One connection to the successor carries one response. The predecessor sends an [`Offer`] with the descriptors of the
-//! connections, the successor accepts it, the predecessor sends the bytes that the client has not got, the successor confirms
-//! them, and the predecessor commits. Before that the response is the predecessor's, and from then on the successor's.
+//! One connection to the successor carries one response. The predecessor sends an [`Offer`] with the
+//! descriptors of the connections, the successor accepts it, the predecessor sends the bytes that have not
+//! been written to the client, the successor confirms them, and the predecessor commits. The predecessor owns
+//! the response until it commits, and the successor from then on.
 
 use super::directory::shared_directory;
 use crate::body::{BodySource, DetachedBody, DetachedResponse};
@@ -26,43 +27,44 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// Where a successor takes responses over.
+/// The socket on which a successor accepts responses.
 const SOCKET_FILE: &str = "oakport-responses.sock";
-/// The predecessor keeps a response that the successor has not taken over by then.
+/// The predecessor keeps a response whose handover is not complete after this time.
 const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(400);
-/// The successor gives an exchange up that is not complete by then.
+/// The successor aborts a handover if the offer, or the exchange after it, takes longer than this.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before accepting is retried.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Most bytes of an offer.
+/// Maximum size of an offer.
 const MAX_OFFER_BYTES: usize = 256;
-/// Most descriptors of an offer: the client's connection and the endpoint's.
+/// Maximum number of descriptors in an offer: the client's connection and the endpoint's.
 const MAX_DESCRIPTORS: usize = 2;
 const ACCEPTED: u8 = b'+';
 const RECEIVED: u8 = b'=';
 const COMMITTED: u8 = b'.';
 
-/// A response that the predecessor would pass on.
+/// The predecessor's description of a response to hand over.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Offer {
-    /// Bytes that have been read from the endpoint, and that the client has not got.
+    /// Number of bytes that have been read from the endpoint and not been written to the client.
     pub unsent_bytes: usize,
-    /// Bytes that are still to be read from the endpoint. Without any, its connection is not offered.
+    /// Number of bytes that are still to be read from the endpoint. If it is 0, the endpoint's connection is
+    /// not offered.
     pub remaining_bytes: u64,
 }
 
-/// Why a response was not passed on or taken over.
+/// Why a response was not handed over or taken over.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("not in time")]
+    #[error("handover timed out")]
     TimedOut,
-    #[error("the successor has no capacity for it")]
+    #[error("successor has no capacity for the response")]
     Rejected,
-    #[error("an unknown offer")]
+    #[error("handover offer is invalid")]
     InvalidOffer,
-    #[error("the predecessor kept it")]
+    #[error("predecessor did not commit the handover and kept the response")]
     NotCommitted,
 }
 
@@ -72,22 +74,22 @@
     }
 }
 
-/// Where a process finds its successor.
+/// The address on which a process reaches its successor.
 #[derive(Clone, Debug)]
 pub struct SuccessorAddress {
     path: PathBuf,
 }
 
 impl SuccessorAddress {
-    /// In `$TMPDIR`, if it is set.
+    /// The address in `$TMPDIR`. `None` if that is not set.
     pub fn find() -> Option<Self> {
         shared_directory().map(|directory| SuccessorAddress { path: directory.join(SOCKET_FILE) })
     }
 
-    /// Connects to the successor. `None` if none takes responses over.
+    /// Connects to the successor. `None` if no successor accepts responses.
     pub async fn connect(&self) -> Option<SuccessorConnection> {
         let stream = UnixStream::connect(&self.path).await.ok()?;
-        // Left by this process as it was a successor itself.
+        // The socket belongs to this process if it was a successor itself and has no successor of its own.
         let is_own = stream.peer_cred().ok()?.pid() == i32::try_from(std::process::id()).ok();
         (!is_own).then_some(SuccessorConnection { stream })
     }
@@ -100,10 +102,11 @@
 }
 
 impl SuccessorConnection {
-    /// Passes a response on. From then on this process must neither use its connections nor shut them down.
+    /// Hands a response over. After success, this process must neither use the response's connections nor
+    /// shut them down.
     ///
     /// # Errors
-    /// The response is still this process's.
+    /// The handover failed: this process still owns the response.
     pub async fn hand_over(mut self, response: &DetachedResponse) -> Result<(), HandoverError> {
         let exchange = timeout(PREDECESSOR_TIMEOUT, self.offer(response)).await;
         exchange.unwrap_or(Err(HandoverError::TimedOut))
@@ -121,18 +124,18 @@
         self.stream
             .async_io(Interest::WRITABLE, || send_with_descriptors(&self.stream, &text, &descriptors))
             .await?;
-        self.expect(ACCEPTED).await?;
+        self.expect_reply(ACCEPTED).await?;
         for bytes in &response.rest.read {
             self.stream.write_all(bytes).await?;
         }
-        self.expect(RECEIVED).await?;
-        // Once the system has this byte, the successor goes on.
+        self.expect_reply(RECEIVED).await?;
+        // Once this byte is written, the successor owns the response.
         self.stream.write_all(&[COMMITTED]).await?;
         Ok(())
     }
 
-    async fn expect(&mut self, reply: u8) -> Result<(), HandoverError> {
-        if self.stream.read_u8().await? == reply {
+    async fn expect_reply(&mut self, expected: u8) -> Result<(), HandoverError> {
+        if self.stream.read_u8().await? == expected {
             Ok(())
         } else {
             Err(HandoverError::Rejected)
@@ -152,38 +155,43 @@
     }
 }
 
-/// Takes responses over from the predecessor.
+/// Accepts the predecessor's connections for response handover.
 #[derive(Debug)]
 pub struct HandoverListener {
     listener: UnixListener,
 }
 
 impl HandoverListener {
-    /// Listens in `$TMPDIR`, in place of an earlier process. `None` if that is not possible: the predecessor then keeps its
-    /// responses.
+    /// Listens in `$TMPDIR`, in place of an earlier process. `None` if that fails: the predecessor then keeps
+    /// its responses.
     pub fn open() -> Option<Self> {
         let path = shared_directory()?.join(SOCKET_FILE);
         match HandoverListener::bind(&path) {
             Ok(listener) => Some(HandoverListener { listener }),
             Err(error) => {
-                warn!(path = %path.display(), reason = %error, "no responses taken over from the predecessor");
+                warn!(
+                    path = %path.display(),
+                    reason = %error,
+                    "handover socket not opened, responses stay with the predecessor"
+                );
                 None
             }
         }
     }
 
     fn bind(path: &Path) -> io::Result<UnixListener> {
-        // The file of an earlier process remains after its end.
+        // The socket file of an earlier process remains after the process has ended.
         let _ = std::fs::remove_file(path);
         UnixListener::bind(path)
     }
 
-    /// The next connection of the predecessor.
+    /// Accepts the next connection of the predecessor.
     pub async fn accept(&self) -> PredecessorConnection {
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => return PredecessorConnection { stream },
-                // Without a descriptor the predecessor keeps its response.
+                // Without a free descriptor the connection is not accepted, and the predecessor keeps its
+                // response.
                 Err(_) => tokio::time::sleep(ACCEPT_RETRY_PAUSE).await,
             }
         }
@@ -196,7 +204,8 @@
     stream: UnixStream,
 }
 
-/// A response that the predecessor offers, with its connections. They are closed, and not shut down, if it is dropped.
+/// A response that the predecessor offers, with its connections. Dropping the offer closes this process's
+/// descriptors of them, but does not shut the connections down.
 #[derive(Debug)]
 pub struct OfferedResponse {
     stream: UnixStream,
@@ -209,7 +218,7 @@
     /// Reads the offer.
     ///
     /// # Errors
-    /// It did not come, or is none.
+    /// The offer did not arrive within [`SUCCESSOR_TIMEOUT`], or is invalid.
     pub async fn read_offer(self) -> Result<OfferedResponse, HandoverError> {
         let read = self.stream.async_io(Interest::READABLE, || receive_with_descriptors(&self.stream));
         let (text, descriptors) =
@@ -244,10 +253,10 @@
         self.offer
     }
 
-    /// Takes the response over. Its endpoint's connection is counted by these descriptors.
+    /// Takes the response over. `descriptors` account for the connection to its endpoint.
     ///
     /// # Errors
-    /// The predecessor has kept it.
+    /// The handover failed or was not committed.
     pub async fn accept(self, descriptors: ConnectionDescriptors) -> Result<DetachedResponse, HandoverError> {
         let OfferedResponse { mut stream, offer, client, endpoint } = self;
         let unsent = timeout(SUCCESSOR_TIMEOUT, read_unsent(&mut stream, offer.unsent_bytes)).await;
--- a/crates/proxy/src/hot_restart/tests.rs
+++ b/crates/proxy/src/hot_restart/tests.rs
@@ -1,5 +1,5 @@
 use super::handover::LIST_FILE;
-use super::listener::adopt;
+use super::listener::adopt_listener;
 use super::{newer_list, HandoverDirectory};
 use crate::endpoint_list::EndpointList;
 
@@ -17,10 +17,10 @@
 #[test]
 fn a_descriptor_that_is_not_a_listener_is_not_adopted() {
     for descriptor in [-1, 0, 2, 900_000] {
-        assert!(adopt(descriptor).is_none(), "{descriptor}");
+        assert!(adopt_listener(descriptor).is_none(), "{descriptor}");
     }
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    assert!(adopt(std::os::fd::AsRawFd::as_raw_fd(&socket)).is_none());
+    assert!(adopt_listener(std::os::fd::AsRawFd::as_raw_fd(&socket)).is_none());
 }
 
 #[test]
@@ -46,7 +46,10 @@
     let read = shared.read_endpoint_list(discovery).expect("the list");
     assert_eq!(read.index, 7);
     assert_eq!(read.endpoints.len(), 1);
-    assert!(shared.read_endpoint_list(other_discovery).is_none(), "another discovery has indexes of its own");
+    assert!(
+        shared.read_endpoint_list(other_discovery).is_none(),
+        "indexes of different discoveries are unrelated"
+    );
     let path = shared.path.join(LIST_FILE);
     let text = std::fs::read(&path).expect("a file");
     for invalid in [&b""[..], &text[..text.len() / 2], b"{}", b"\xff", b"[1]"] {
@@ -60,8 +63,8 @@
 
 #[test]
 fn the_newer_of_two_endpoint_lists_is_used() {
-    let newer_index = |configured: Option<u64>, left: Option<u64>| {
-        newer_list(configured.map(list), left.map(list)).map(|list| list.index)
+    let newer_index = |configured: Option<u64>, predecessor: Option<u64>| {
+        newer_list(configured.map(list), predecessor.map(list)).map(|list| list.index)
     };
     assert_eq!(newer_index(Some(3), Some(5)), Some(5));
     assert_eq!(newer_index(Some(5), Some(3)), Some(5));
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a client proxy: starts its parts, owns them and ends them.
+//! One process of a client proxy: creates, runs and ends its components.
 
 use crate::admin;
 use crate::body::{MemoryLimit, MemoryUsers};
@@ -34,30 +34,30 @@
 /// Why a process cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A signal cannot be handled.
-    #[error("signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The listener cannot be had.
-    #[error("listen on {address}: {source}")]
+    /// The listener cannot be opened.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The configured address.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
 }
 
-/// Why a process has ended without SIGTERM: a part without which calls would stay unanswered has ended.
+/// Why a process has ended without SIGTERM: a task has ended without which calls would stay unanswered.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The task that fires the balancer's timers.
-    #[error("the timers ended: {0:?}")]
+    #[error("timer task ended unexpectedly: {0:?}")]
     TimersEnded(Result<(), JoinError>),
-    /// The task that follows the endpoint list.
-    #[error("discovery ended: {0:?}")]
+    /// The task that updates the endpoint list.
+    #[error("discovery task ended unexpectedly: {0:?}")]
     DiscoveryEnded(Result<(), JoinError>),
-    /// Nothing can request a reload any more.
-    #[error("no more signals")]
+    /// No further SIGHUP can be received, so that no reload can be requested.
+    #[error("SIGHUP handling ended unexpectedly")]
     SignalsEnded,
 }
 
@@ -81,10 +81,11 @@
 }
 
 impl Process {
-    /// Takes the inherited listener, or binds one, and makes all parts. To be called within a runtime of one thread.
+    /// Uses the inherited listener or binds one, and creates all components. Must be called within a
+    /// single-threaded runtime.
     ///
     /// # Errors
-    /// A signal cannot be handled, or the listener cannot be had.
+    /// A signal handler cannot be installed, or the listener cannot be opened.
     pub async fn open(
         mut config: Config,
         inherited: Option<std::net::TcpListener>,
@@ -93,14 +94,16 @@
         let hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
         let shares_listener = inherited.is_some();
         let listener = open_listener(config.listen, inherited).await?;
-        // Where the platform holds the listener, two processes serve for a while and share what is allowed.
+        // Where the platform holds the listener, two processes serve during a hot restart and share the
+        // limits.
         let handover = if shares_listener { HandoverDirectory::open() } else { None };
         let handover = handover.map(|handover| Rc::new(RefCell::new(handover)));
         let budget = Rc::new(DescriptorBudget::new(config.limits.sockets, handover.clone()));
         let has_predecessor = handover.as_ref().is_some_and(|handover| !handover.borrow_mut().is_alone());
         let handover_listener = if has_predecessor { HandoverListener::open() } else { None };
-        let left_list = handover.and_then(|handover| handover.borrow().read_endpoint_list(config.discovery));
-        let list = newer_list(config.known.take(), left_list);
+        let predecessor_list =
+            handover.and_then(|handover| handover.borrow().read_endpoint_list(config.discovery));
+        let list = newer_list(config.known.take(), predecessor_list);
 
         let clock = Clock::start();
         let metrics = Rc::<Metrics>::default();
@@ -146,10 +149,10 @@
         })
     }
 
-    /// Serves until SIGTERM, then finishes the open requests. To be called within a `LocalSet`.
+    /// Serves until SIGTERM, then finishes the open requests. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// A part without which calls would stay unanswered has ended: better a crash that is seen.
+    /// A task has ended without which calls would stay unanswered: a visible crash is better.
     pub async fn serve(mut self) -> Result<(), ServeError> {
         let (discovery_sender, discovery_address) = watch::channel(self.config.discovery);
         let mut timers = self.spawn_timers();
@@ -182,7 +185,7 @@
                 budget.hand_over(&pool);
             }
         };
-        // Beside serving the last requests: clients do not wait for the announcement to the members.
+        // Runs concurrently with the last requests: clients do not wait for the announcement to the members.
         let leave_membership = async {
             stopped.notified().await;
             if let Some(membership) = &membership {
@@ -264,7 +267,7 @@
     listener.map_err(|source| StartError::Listen { address, source })
 }
 
-/// Closes what has been idle for too long, and notices when the other process has started or ended.
+/// Periodically closes expired upstream connections and checks whether another process has started or ended.
 async fn check_periodically(
     budget: &DescriptorBudget,
     pool: &ConnectionPool,
--- a/crates/proxy/src/shutdown_progress.rs
+++ b/crates/proxy/src/shutdown_progress.rs
@@ -1,4 +1,5 @@
-//! Reports a graceful shutdown in the log and to the admin endpoint: that it began, what is still open, and its end.
+//! Reports a graceful shutdown in the log and to the admin endpoint: its begin, the connections still open,
+//! and its end.
 
 use crate::downstream::open_connections::OpenConnections;
 use crate::metrics::ShutdownReport;
@@ -9,10 +10,10 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Time between two log lines about what is still open.
+/// Interval between log lines about the open connections.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How far the graceful shutdown of this process has come.
+/// The progress of the graceful shutdown of this process.
 #[derive(Debug)]
 pub struct ShutdownProgress {
     open_connections: Rc<OpenConnections>,
@@ -21,12 +22,13 @@
 }
 
 impl ShutdownProgress {
-    /// Of a process that serves these client connections and is not in graceful shutdown.
+    /// The progress of a process with these client connections that is not in graceful shutdown.
     pub fn new(open_connections: Rc<OpenConnections>) -> Self {
         ShutdownProgress { open_connections, began_at: Cell::default(), began: Notify::new() }
     }
 
-    /// Graceful shutdown begins. With a shared listener, another process accepts the clients from now on.
+    /// Records that graceful shutdown begins. With a shared listener, another process accepts clients from
+    /// now on.
     pub fn begin(&self, shares_listener: bool) {
         self.began_at.set(Some(Instant::now()));
         self.began.notify_one();
@@ -41,7 +43,7 @@
         );
     }
 
-    /// Logs periodically what is still open, from the beginning of graceful shutdown on. Does not return.
+    /// Logs the open connections periodically, once graceful shutdown has begun. Does not return.
     pub async fn log_open_connections(&self) {
         self.began.notified().await;
         loop {
@@ -63,13 +65,13 @@
         }
     }
 
-    /// Nothing is left to be done: the process ends.
+    /// Records that graceful shutdown is complete: the process ends.
     pub fn end(&self) {
         let duration_ms = self.elapsed_ms().unwrap_or_default();
         info!(duration_ms, "graceful shutdown ended");
     }
 
-    /// The state for the admin endpoint; None: graceful shutdown has not begun.
+    /// The report for the admin endpoint. `None` if graceful shutdown has not begun.
     pub fn report(&self) -> Option<ShutdownReport> {
         let began_ms_ago = self.elapsed_ms()?;
         Some(ShutdownReport { began_ms_ago, open: self.open_connections.counts() })
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that several parts share: one reads and writes messages, others watch for its end.
+//! A TCP stream that several components share: one reads and writes messages, others detect its close.
 
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use std::io::{self, IoSlice};
@@ -10,10 +10,10 @@
 use tokio::io::{Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that are read at a time, where the length is unknown.
+/// Size of a read where the number of available bytes is unknown.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Linux makes a send buffer this much larger than requested, for its own overhead (socket(7)).
+/// Linux makes a send buffer larger than requested by this factor, for its own overhead (socket(7)).
 pub const SEND_BUFFER_OVERHEAD_FACTOR: usize = 2;
 
 /// A shared stream; each clone keeps it open.
@@ -22,19 +22,19 @@
 
 impl Socket {
     pub fn new(stream: TcpStream) -> Self {
-        // Small writes that the system delays would be lost with a reset.
+        // Without this option the system may delay small writes, which a reset would then discard.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(stream))
     }
 
-    /// A stream that another process has opened.
+    /// Wraps a stream that was received from another process.
     pub fn from_descriptor(descriptor: OwnedFd) -> io::Result<Self> {
         let stream = std::net::TcpStream::from(descriptor);
         stream.set_nonblocking(true)?;
         Ok(Socket::new(TcpStream::from_std(stream)?))
     }
 
-    /// Reads some bytes and returns how many; 0 at the end of the stream.
+    /// Reads some bytes and returns their number; 0 at the end of the stream.
     pub fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Writes some bytes and returns how many.
+    /// Writes some bytes and returns their number.
     pub fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Writes some bytes of these, in their order, and returns how many.
+    /// Writes some bytes of these buffers, in order, and returns their number.
     pub fn poll_write_vectored(&self, cx: &mut Context<'_>, bufs: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Writes some bytes and returns how many, whether or not the system calls the socket writable: it does so only once
-    /// a third of the send buffer is free.
+    /// Writes some bytes and returns their number, even if the system does not report the socket as writable:
+    /// it does so only once a third of the send buffer is free.
     ///
     /// # Errors
     /// The send buffer is full (`WouldBlock`), or the connection has failed.
@@ -80,7 +80,7 @@
         socket2::SockRef::from(&*self.0).send_with_flags(buf, nix::libc::MSG_NOSIGNAL)
     }
 
-    /// Size of the system's send buffer in bytes, its overhead included.
+    /// Size of the system's send buffer in bytes, including its overhead.
     pub fn send_buffer_bytes(&self) -> io::Result<usize> {
         socket2::SockRef::from(&*self.0).send_buffer_size()
     }
@@ -93,54 +93,59 @@
         is_set && self.send_buffer_bytes().is_ok_and(|size_bytes| size_bytes > previous_bytes)
     }
 
-    /// Ends the writing side.
+    /// Shuts down the writing side.
     pub fn shutdown_write(&self) -> io::Result<()> {
         socket2::SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// Passes the bytes that have arrived to `take`, 0 bytes at the end of the stream; None: none have.
-    pub fn try_read_with<T>(&self, take: impl Fn(&[u8]) -> T) -> Option<T> {
+    /// Passes the bytes that have arrived to `consume`: 0 bytes at the end of the stream, or if the
+    /// connection has failed. `None` if no bytes have arrived.
+    pub fn try_read_with<T>(&self, consume: impl Fn(&[u8]) -> T) -> Option<T> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         match self.0.try_read(&mut buffer) {
-            Ok(count) => Some(take(&buffer[..count])),
+            Ok(count) => Some(consume(&buffer[..count])),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
-            Err(_) => Some(take(&[])),
+            Err(_) => Some(consume(&[])),
         }
     }
 
-    /// Waits for bytes and passes them to `take`; 0 bytes at the end of the stream, and where the connection failed.
-    pub async fn read_with<T>(&self, take: impl Fn(&[u8]) -> T) -> T {
+    /// Waits for bytes and passes them to `consume`: 0 bytes at the end of the stream, or if the connection
+    /// has failed.
+    pub async fn read_with<T>(&self, consume: impl Fn(&[u8]) -> T) -> T {
         loop {
-            // A stream that cannot be waited for cannot be read either, which shows its end.
+            // If waiting fails, so does the read, which then counts as the end of the stream.
             let _ = self.0.readable().await;
-            if let Some(taken) = self.try_read_with(&take) {
-                return taken;
+            if let Some(result) = self.try_read_with(&consume) {
+                return result;
             }
         }
     }
 
-    /// Resolves when the other side has ended or reset the connection, whatever is unread before that.
+    /// Resolves when the peer has closed or reset the connection, even if bytes before that are unread.
     pub async fn peer_closed(&self) {
-        // Of this interest the system reports ends only, as no urgent data is requested.
+        // Without urgent data, the only events that the system reports for this interest are closes and
+        // resets.
         let readiness = self.0.ready(Interest::PRIORITY).await;
         if !readiness.is_ok_and(|ready| ready.is_read_closed()) {
             std::future::pending().await
         }
     }
 
-    /// Has the other side ended or reset the connection? Polls the system, not the runtime: an event that the runtime
-    /// has not processed yet hides an end from it, as do bytes that nobody reads.
+    /// Whether the peer has closed or reset the connection. Polls the system instead of the runtime: the
+    /// runtime does not see a close whose event it has not processed yet, or that unread bytes hide.
     pub fn is_peer_closed(&self) -> bool {
-        // `nix` has no name for the end of the other side; a reset is always reported.
+        // `nix` has no constant for a close by the peer; a reset is always reported.
         has_event(&self.0, PollFlags::from_bits_retain(nix::libc::POLLRDHUP))
     }
 
-    /// Is there anything to be read, an end included? Polls the system, as above.
+    /// Whether there are bytes to read, or the end of the stream. Polls the system, like
+    /// [`Self::is_peer_closed`].
     pub fn is_readable(&self) -> bool {
         has_event(&self.0, PollFlags::POLLIN)
     }
 
-    /// Have bytes arrived that are not read yet? Asks the system, as above; the bytes stay unread.
+    /// Whether bytes have arrived that are not read yet. Polls the system, like [`Self::is_peer_closed`]; the
+    /// bytes stay unread.
     pub fn has_unread_bytes(&self) -> bool {
         self.is_readable()
             && socket2::SockRef::from(&*self.0)
@@ -148,8 +153,8 @@
                 .is_ok_and(|count| count > 0)
     }
 
-    /// Bytes that were written and that the other side's system has not acknowledged; an end of the writing side counts as
-    /// one. 0 where the system cannot tell.
+    /// Number of bytes that were written and that the peer's system has not acknowledged; a shutdown of the
+    /// writing side counts as one byte. 0 if the system does not report it.
     #[allow(unsafe_code)]
     pub fn unacknowledged_bytes(&self) -> usize {
         let mut count: nix::libc::c_int = 0;
@@ -162,16 +167,17 @@
         }
     }
 
-    /// Resolves when there is something to be read, an end or a failure included; the bytes stay unread.
+    /// Resolves when there are bytes to read, or the stream has ended or failed; the bytes stay unread.
     pub async fn arrival(&self) {
         let _ = self.0.peek(&mut [0]).await;
     }
 
-    /// For each of these, whether there is anything to be read, an end included. Polls the system once for all.
+    /// For each socket, whether there are bytes to read, or the end of the stream. Polls the system once for
+    /// all sockets.
     pub fn poll_readable<'a>(sockets: impl Iterator<Item = &'a Socket>) -> Vec<bool> {
         let mut polled: Vec<_> =
             sockets.map(|socket| PollFd::new(socket.0.as_fd(), PollFlags::POLLIN)).collect();
-        // If the system cannot tell, the check before the first byte of a request is left.
+        // If polling fails, the check before the first byte of a request still applies.
         let _ = poll(&mut polled, PollTimeout::ZERO);
         polled.iter().map(|socket| socket.any().unwrap_or(false)).collect()
     }
