--- a/crates/proxy/src/downstream/detached_response.rs
+++ b/crates/proxy/src/downstream/detached_response.rs
@@ -1,4 +1,5 @@
-//! Delivers a detached response: copies the rest of its body from the endpoint to the client, without an HTTP parser.
+//! Delivers a detached response: copies the rest of its body from the endpoint to the client, without an HTTP
+//! parser.
 
 use super::close::{close_gracefully, LINGER_TIMEOUT};
 use super::delivery::WRITE_STALL_TIMEOUT;
--- a/crates/proxy/src/downstream/http_connection.rs
+++ b/crates/proxy/src/downstream/http_connection.rs
@@ -90,7 +90,12 @@
         match successor.hand_over(&response).await {
             Ok(()) => info!(unsent_bytes, remaining_bytes, "response handed over to the successor"),
             Err(error) => {
-                warn!(unsent_bytes, remaining_bytes, reason = %error, "response not handed over to the successor");
+                warn!(
+                    unsent_bytes,
+                    remaining_bytes,
+                    reason = %error,
+                    "response not handed over to the successor"
+                );
                 if let Err(error) = deliver(response, &self.handler.memory).await {
                     warn!(reason = %error, "detached response not delivered completely");
                 }
--- a/crates/proxy/src/shutdown_progress.rs
+++ b/crates/proxy/src/shutdown_progress.rs
@@ -1,5 +1,5 @@
-//! Reports a graceful shutdown in the log and to the admin endpoint: its begin, the connections still open,
-//! and its end.
+//! Reports a graceful shutdown in the log and to the admin endpoint: its beginning, the connections still
+//! open, and its end.
 
 use crate::downstream::open_connections::OpenConnections;
 use crate::metrics::ShutdownReport;
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -85,7 +85,8 @@
         socket2::SockRef::from(&*self.0).send_buffer_size()
     }
 
-    /// Enlarges the system's send buffer, after which the system no longer adapts its size. False if it has not grown.
+    /// Enlarges the system's send buffer, after which the system no longer adapts its size. False if it has
+    /// not grown.
     pub fn enlarge_send_buffer(&self, size_bytes: usize) -> bool {
         let previous_bytes = self.send_buffer_bytes().unwrap_or(usize::MAX);
         let requested_bytes = size_bytes / SEND_BUFFER_OVERHEAD_FACTOR;
@@ -158,7 +159,8 @@
     #[allow(unsafe_code)]
     pub fn unacknowledged_bytes(&self) -> usize {
         let mut count: nix::libc::c_int = 0;
-        // SAFETY: the descriptor stays open during the call, which writes one `c_int` to `count` and keeps no pointer.
+        // SAFETY: the descriptor stays open during the call, which writes one `c_int` to `count` and keeps no
+        // pointer.
         let result = unsafe { nix::libc::ioctl(self.0.as_raw_fd(), nix::libc::TIOCOUTQ, &mut count) };
         if result == 0 {
             usize::try_from(count).unwrap_or(0)
