--- a/crates/proxy/src/body/memory_limit.rs
+++ b/crates/proxy/src/body/memory_limit.rs
@@ -19,8 +19,8 @@
 /// Memory that a single process leaves to everything but bodies, mainly to the buffers of its connections,
 /// provided that a third of the memory remains for bodies.
 const OTHER_MEMORY_MB: usize = 20;
-/// Upper bound on the share of bodies in the memory of a single process: the amount of freed memory that the
-/// allocator cannot reuse grows with this share.
+/// Upper bound on the share of bodies in the memory of a single process, in fifths: the amount of freed
+/// memory that the allocator cannot reuse grows with this share.
 const MAX_BODY_MEMORY_FIFTHS: usize = 3;
 const FIFTHS: usize = 5;
 /// Optional reservations leave `1 / BODY_RESERVE_DIVISOR` of the memory free for uploads, buffered bodies and
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Maximum number of bytes read in one check for a client's close, which only shows behind unread bytes. The
+/// Maximum number of bytes read in one check whether the client has closed: unread bytes hide a close. The
 /// bound keeps a client that sends without end from stalling the proxy.
 const MAX_CLOSE_SEARCH_BYTES: usize = 1 << 20;
 
--- a/crates/proxy/src/downstream/http_connection.rs
+++ b/crates/proxy/src/downstream/http_connection.rs
@@ -33,7 +33,7 @@
 enum ConnectionEnd {
     /// Serving has ended; the client may still be connected.
     Finished,
-    /// Closed while idle because its capacity is needed for another connection.
+    /// The connection is idle, and its capacity is needed for another.
     Evicted,
     /// The client disconnected before it received its response, or stopped receiving it.
     Abandoned,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -93,8 +93,8 @@
                 biased;
                 () = &mut stop, if accept_until.is_none() => {
                     // From now on each response closes its connection, and idle connections close
-                    // immediately. New ones are still accepted, so that clients move to other proxies before
-                    // the listener closes.
+                    // immediately. New ones are still accepted, so that clients can move away before the
+                    // listener closes.
                     let shutdown = Shutdown::begin(dispatcher.longest_deadline());
                     accept_until = Some(shutdown.began + SHUTDOWN_ACCEPT_TIME);
                     let _ = shutdown_sender.send(Some(shutdown));
--- a/crates/proxy/src/downstream/shutdown.rs
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -9,7 +9,7 @@
 
 /// A process may be killed after SIGTERM plus the longest deadline of a class plus this margin (PROTOCOL).
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Longer class deadlines count as this in the time of the kill.
+/// Longer class deadlines count as this in the calculation of the earliest kill.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// A request must be complete this long after SIGTERM. A request that is completed more than 0.7 s after
 /// SIGTERM and is unanswered at the kill is lost (PROTOCOL), and no time limit bounds a response that has
