--- a/crates/core/src/balance/admission.rs
+++ b/crates/core/src/balance/admission.rs
@@ -15,8 +15,8 @@
 impl Balancer {
     /// This client proxy's even share of the calls that the endpoints bear at once.
     fn even_share_calls(&self) -> f64 {
-        let admitted = self.index.listed.len() - self.index.ejected_count;
-        START_CONCURRENCY_CALLS * admitted as f64 / f64::from(self.settings.proxy_count.max(1))
+        let not_ejected = self.index.listed.len() - self.index.ejected_count;
+        START_CONCURRENCY_CALLS * not_ejected as f64 / f64::from(self.settings.proxy_count.max(1))
     }
 
     /// Whether the concurrency limit allows another call; few client proxies need in-flight budgets only.
@@ -43,11 +43,11 @@
         let remaining_us = call.weight_deadline().saturating_sub(call.arrived_at) as f64;
         let objectives = self.classes.active().map(|record| record.class.latency_objective);
         let shortest_us = objectives.min().unwrap_or(0) as f64;
-        let counted_us = remaining_us.min(MAX_WAIT_SHORTEST_OBJECTIVE_FACTOR * shortest_us);
-        let limit_us = counted_us * MAX_WAIT_OBJECTIVE_RATIO;
-        let protected_us =
+        let capped_us = remaining_us.min(MAX_WAIT_SHORTEST_OBJECTIVE_FACTOR * shortest_us);
+        let limit_us = capped_us * MAX_WAIT_OBJECTIVE_RATIO;
+        let protected_limit_us =
             if self.is_protected(call) { remaining_us - HEADROOM_FACTOR * typical_us } else { 0.0 };
-        limit_us.max(protected_us).min(remaining_us - typical_us).max(0.0) as Micros
+        limit_us.max(protected_limit_us).min(remaining_us - typical_us).max(0.0) as Micros
     }
 
     /// Whether the call's class has so much priority weight for its work that serving it first raises the
--- a/crates/core/src/balance/attempt_feedback.rs
+++ b/crates/core/src/balance/attempt_feedback.rs
@@ -77,7 +77,7 @@
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         self.update_concurrency_limit(&feedback);
         if feedback.health == HealthSignal::Unknown {
-            self.learn_from_unknown_health(&feedback);
+            self.apply_unknown_health(&feedback);
             self.refresh_status(feedback.slot);
             return;
         }
@@ -108,8 +108,8 @@
             .min(objective_us * LATENCY_LIMIT_OBJECTIVE_RATIO)
             .max(unloaded_us);
         let served_others = endpoint.last_served_at > attempt.sent_at;
-        let timed_out_beside_served = outcome == Outcome::TimedOut && served_others;
-        let min_ratio = if timed_out_beside_served { TIMED_OUT_LATENCY_RATIO } else { 0.0 };
+        let timed_out_while_serving = outcome == Outcome::TimedOut && served_others;
+        let min_ratio = if timed_out_while_serving { TIMED_OUT_LATENCY_RATIO } else { 0.0 };
         let latency_ratio = (elapsed as f64 / limit_us).clamp(min_ratio, MAX_LATENCY_RATIO);
         Some(Feedback {
             attempt,
@@ -141,7 +141,7 @@
     }
 
     /// Learns from an attempt with an unknown health signal: its latency ratio is a lower bound.
-    fn learn_from_unknown_health(&mut self, feedback: &Feedback) {
+    fn apply_unknown_health(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         let increase = (feedback.latency_ratio - endpoint.latency_ratio).max(0.0);
         endpoint.latency_ratio += increase * FEEDBACK_WEIGHT;
--- a/crates/core/src/balance/call_lifecycle.rs
+++ b/crates/core/src/balance/call_lifecycle.rs
@@ -120,8 +120,8 @@
     }
 
     /// Gives a call its final answer.
-    fn finish(&mut self, id: CallId, answer: Action) {
-        self.actions.push(answer);
+    fn finish(&mut self, id: CallId, final_action: Action) {
+        self.actions.push(final_action);
         self.calls.end(id);
         self.cancel_attempts(id, None);
         self.calls.remove_if_done(id);
@@ -135,12 +135,12 @@
             stats.unretried_rejections += 1;
         }
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-        let answer = if self.calls[id].may_be_rejected() {
+        let final_action = if self.calls[id].may_be_rejected() {
             Action::Reject { call: id, retry_after }
         } else {
             Action::Fail { call: id }
         };
-        self.finish(id, answer);
+        self.finish(id, final_action);
     }
 
     /// Cancels the attempts of a call that are in flight, but for `winner`.
--- a/crates/core/src/balance/concurrency_limit.rs
+++ b/crates/core/src/balance/concurrency_limit.rs
@@ -16,7 +16,7 @@
 /// Share of late responses below which the limit increases.
 const INCREASE_LATE_RATIO: f64 = 0.2;
 /// Multiple of the longest latency objective for which the evidence of a machine group counts.
-const EVIDENCE_LIFETIME_FACTOR: f64 = 4.0;
+const SAMPLE_LIFETIME_FACTOR: f64 = 4.0;
 /// What a decrease leaves of the limit.
 const DECREASE_FACTOR: f64 = 0.7;
 /// Share of an even share that decreases leave: about a call per core, which every endpoint can serve.
@@ -114,7 +114,7 @@
     /// The lowest share of late responses of any group: the fleet is overloaded only where all groups are
     /// late.
     fn fleet_late_ratio(&self, now: Micros, max_objective_us: f64) -> f64 {
-        let lifetime_us = EVIDENCE_LIFETIME_FACTOR * max_objective_us;
+        let lifetime_us = SAMPLE_LIFETIME_FACTOR * max_objective_us;
         let is_recent = |late: &&LateResponses| now.saturating_sub(late.updated_at) as f64 <= lifetime_us;
         self.late_responses.values().filter(is_recent).map(|late| late.ratio).fold(1.0, f64::min)
     }
--- a/crates/core/src/balance/endpoint_selection.rs
+++ b/crates/core/src/balance/endpoint_selection.rs
@@ -11,7 +11,7 @@
 
 /// Multiple of the longest latency objective over which an endpoint's own latency ratio gives way to its
 /// group's.
-const OWN_EVIDENCE_LIFETIME_FACTOR: f64 = 8.0;
+const OWN_SAMPLES_LIFETIME_FACTOR: f64 = 8.0;
 
 /// What happens to a call now.
 pub(super) enum Route {
@@ -99,7 +99,7 @@
                 && !(only_healthy && endpoint.avoids(call.class_id, self.now))
         };
         let is_eligible_warming_up =
-            |slot: usize| self.may_relieve(slot) && self.has_capacity(slot) && is_eligible(slot);
+            |slot: usize| self.may_bypass_lottery(slot) && self.has_capacity(slot) && is_eligible(slot);
         if self.is_low_traffic() {
             return self.choose_in_low_traffic(id, is_eligible, is_eligible_warming_up, random);
         }
@@ -134,7 +134,7 @@
     /// Whether an endpoint in slow start may take calls beyond its lottery: if there is no other, or if none
     /// has capacity and its budget bears the even shares of all client proxies. In low-traffic mode each of
     /// many client proxies would send it one call.
-    fn may_relieve(&self, slot: usize) -> bool {
+    fn may_bypass_lottery(&self, slot: usize) -> bool {
         if self.is_low_traffic() {
             return false;
         }
@@ -181,7 +181,7 @@
     /// An endpoint's own latency ratio, replaced by its machine group's as it grows old.
     pub(super) fn expected_latency_ratio(&self, endpoint: &Endpoint) -> f64 {
         let age_us = self.now.saturating_sub(endpoint.last_feedback_at) as f64;
-        let lifetime_us = OWN_EVIDENCE_LIFETIME_FACTOR * self.classes.max_latency_objective_us();
+        let lifetime_us = OWN_SAMPLES_LIFETIME_FACTOR * self.classes.max_latency_objective_us();
         let own_weight = (-age_us / lifetime_us).exp();
         let group = self.machine_groups.get(&endpoint.machine_group());
         let group_ratio = group.map_or(0.0, |group| group.latency_ratio);
--- a/crates/core/src/balance/hedging.rs
+++ b/crates/core/src/balance/hedging.rs
@@ -39,11 +39,11 @@
             && self.retry_budget >= 1.0
             && self.calls.queue().is_empty()
             && !call.streaming
-            && !call.attempts.iter().any(|attempt| self.is_slow_by_itself(attempt))
+            && !call.attempts.iter().any(|attempt| self.is_inherently_slow(attempt))
     }
 
     /// Whether the endpoint of an attempt has served others since: the call needs long, and would anywhere.
-    fn is_slow_by_itself(&self, attempt: &Attempt) -> bool {
+    fn is_inherently_slow(&self, attempt: &Attempt) -> bool {
         if attempt.execution != Execution::InFlight {
             return false;
         }
--- a/crates/core/src/balance/load_polling.rs
+++ b/crates/core/src/balance/load_polling.rs
@@ -127,7 +127,8 @@
         let mut candidates = Vec::new();
         for endpoint_id in polled {
             let Some(slot) = self.endpoints.slot(endpoint_id) else { continue };
-            if self.take_polled_load(slot, poll_started_at, max_load) && self.may_send_after_poll(id, slot) {
+            if self.record_polled_load(slot, poll_started_at, max_load) && self.may_send_after_poll(id, slot)
+            {
                 candidates.push(slot);
             }
         }
@@ -140,7 +141,7 @@
 
     /// Learns from an endpoint's polled load and returns whether it has capacity. The calls of all client
     /// proxies there count, since each of them would add one call.
-    fn take_polled_load(&mut self, slot: usize, poll_started_at: Micros, max_load: f64) -> bool {
+    fn record_polled_load(&mut self, slot: usize, poll_started_at: Micros, max_load: f64) -> bool {
         let rules = &self.settings.rules;
         let endpoint = &mut self.endpoints[slot];
         if endpoint.polled_at < poll_started_at {
--- a/crates/core/src/balance/request_queue.rs
+++ b/crates/core/src/balance/request_queue.rs
@@ -50,7 +50,7 @@
                     }
                     self.reject_or_fail(id, retry_after);
                 }
-                Route::Queue if !self.is_passable(id, position) => break,
+                Route::Queue if !self.may_be_overtaken(id, position) => break,
                 Route::Queue => position += 1,
             }
         }
@@ -58,7 +58,7 @@
 
     /// Whether later calls may pass a queued one: only where it is restricted to some endpoints by
     /// deduplication.
-    fn is_passable(&self, id: CallId, position: usize) -> bool {
+    fn may_be_overtaken(&self, id: CallId, position: usize) -> bool {
         self.calls[id].first_possible_execution().is_some() && position < MAX_QUEUED_CALLS_SCANNED
     }
 
@@ -66,7 +66,7 @@
     fn send_readmission_trials(&mut self) {
         while let Some(&slot) = self.index.readmission_due.first() {
             let mut scanned = self.calls.queue().iter().take(MAX_QUEUED_CALLS_SCANNED);
-            let Some(position) = scanned.position(|&id| self.may_try_ejected(&self.calls[id])) else { break };
+            let Some(position) = scanned.position(|&id| self.may_be_trial(&self.calls[id])) else { break };
             let id = self.calls.queue()[position];
             self.calls.dequeue(position);
             self.send(id, slot, true);
@@ -75,7 +75,7 @@
 
     /// Whether a call may be a trial attempt at an ejected endpoint: one that can be retried, if any class
     /// can.
-    fn may_try_ejected(&self, call: &Call) -> bool {
+    fn may_be_trial(&self, call: &Call) -> bool {
         let is_retriable = |class: &Class| class.idempotency != Idempotency::NonIdempotent;
         let is_sampled = !self.is_low_traffic() || call.sample < LOW_TRAFFIC_TRIAL_RATIO;
         is_sampled
--- a/crates/core/src/balance/retry.rs
+++ b/crates/core/src/balance/retry.rs
@@ -39,11 +39,11 @@
 
     /// Whether a retry by the client is safe: the client does not know which endpoints recognise a repeat.
     pub(super) fn may_be_rejected(&self) -> bool {
-        let any_endpoint = matches!(
+        let is_safe_anywhere = matches!(
             self.class.idempotency,
             Idempotency::Idempotent | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. }
         );
-        any_endpoint || self.first_possible_execution().is_none()
+        is_safe_anywhere || self.first_possible_execution().is_none()
     }
 }
 
--- a/crates/core/src/balance/slow_start.rs
+++ b/crates/core/src/balance/slow_start.rs
@@ -37,10 +37,10 @@
         let total_size = self.index.listed.total();
         let warming_up_size = self.index.warming_up.total();
         let warmed_size = self.index.warming_up_age_sum_us(self.now) / rules.warm_up_duration.max(1) as f64;
-        let present_size =
+        let current_size =
             warming_up_size * rules.warm_up_initial_ratio + warmed_size * (1.0 - rules.warm_up_initial_ratio);
-        let share_per_size = LOTTERY_SHARE_FACTOR / (total_size - warming_up_size + present_size);
+        let share_per_size = LOTTERY_SHARE_FACTOR / (total_size - warming_up_size + current_size);
         let max_per_size = MAX_OVERLOAD_RATIO * rules.warm_up_overload_factor / total_size;
-        share_per_size.min(max_per_size) * present_size
+        share_per_size.min(max_per_size) * current_size
     }
 }
