--- a/crates/core/src/balance/admission.rs
+++ b/crates/core/src/balance/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a call may join the request queue, and whether the concurrency limit lets it be sent.
+//! Admission: whether a call may join the request queue, and whether the concurrency limit allows sending it.
 
 use super::balancer::Balancer;
 use super::concurrency_limit::Release;
@@ -6,20 +6,23 @@
 use crate::call_table::Call;
 use crate::ids::{CallId, Micros};
 
-/// Wait of the first queued call beyond which new calls are rejected, as a share of their latency objective.
+/// Wait of the first queued call beyond which a new call is rejected, as a share of the time that the new
+/// call has left until its weight deadline.
 const MAX_WAIT_OBJECTIVE_RATIO: f64 = 0.1;
-/// The remaining time counts for this limit up to this multiple of the shortest latency objective, so that
+/// Caps the remaining time in that calculation at this multiple of the shortest latency objective, so that
 /// classes with long objectives do not fill the queue.
 const MAX_WAIT_SHORTEST_OBJECTIVE_FACTOR: f64 = 2.0;
 
 impl Balancer {
-    /// This client proxy's even share of the calls that the endpoints bear at once.
+    /// Even share per client proxy of the concurrent calls that all endpoints except the ejected ones can
+    /// serve.
     fn even_share_calls(&self) -> f64 {
         let not_ejected = self.index.listed.len() - self.index.ejected_count;
         START_CONCURRENCY_CALLS * not_ejected as f64 / f64::from(self.settings.proxy_count.max(1))
     }
 
-    /// Whether the concurrency limit allows another call; few client proxies need in-flight budgets only.
+    /// Whether the concurrency limit allows another call. With few client proxies, the in-flight budgets are
+    /// sufficient and the limit does not apply.
     pub(super) fn has_concurrency(&mut self) -> bool {
         if f64::from(self.settings.proxy_count) <= FLOOR_CONCURRENCY_CALLS {
             return true;
@@ -28,15 +31,16 @@
         self.concurrency_limit.has_capacity(self.now, even_share)
     }
 
-    /// Returns an ended attempt's unit of the concurrency limit.
+    /// Removes an ended attempt from the concurrency limit, which adapts to the attempt's outcome.
     pub(super) fn release_concurrency(&mut self, release: &Release) {
         let even_share = self.even_share_calls();
         let max_objective_us = self.classes.max_latency_objective_us();
         self.concurrency_limit.release(self.now, release, even_share, max_objective_us);
     }
 
-    /// How long the first queued call may have waited for this call to join the queue, in microseconds.
-    /// Without a limit all calls would be late. Protected classes may wait longest.
+    /// Longest wait of the first queued call, in microseconds, with which this call may still join the queue.
+    /// Without a limit, all calls in a long queue would be late. Calls of protected classes may have a
+    /// higher limit.
     pub(super) fn max_queue_wait(&self, id: CallId) -> Micros {
         let call = &self.calls[id];
         let typical_us = self.classes.typical_latency_us(call.class_id, call.class.latency_objective);
@@ -50,8 +54,8 @@
         limit_us.max(protected_limit_us).min(remaining_us - typical_us).max(0.0) as Micros
     }
 
-    /// Whether the call's class has so much priority weight for its work that serving it first raises the
-    /// objective.
+    /// Whether the call's class has so much priority weight per unit of work that serving it first raises the
+    /// service objective (see `objective_weights`).
     fn is_protected(&self, call: &Call) -> bool {
         let mut offered_weight = 0.0;
         let mut offered_work = 0.0;
--- a/crates/core/src/balance/attempt_feedback.rs
+++ b/crates/core/src/balance/attempt_feedback.rs
@@ -1,7 +1,7 @@
-//! What the outcome of an attempt says about its endpoint, its machine group and its class.
+//! Updates the state of an endpoint, its machine group and its class from the outcome of an attempt.
 //!
-//! [`Balancer::on_attempt_feedback`] classifies the outcome once and applies one rule after the other. The
-//! order of the rules matters: later ones read what earlier ones have updated.
+//! [`Balancer::on_attempt_feedback`] classifies the outcome once, then applies the update rules in sequence.
+//! Their order matters: later rules read values that earlier ones have updated.
 
 use super::balancer::{Balancer, MachineGroup};
 use super::concurrency_limit::Release;
@@ -14,34 +14,34 @@
 use crate::event::{LoadReport, Outcome};
 use crate::ids::{CallId, ClassId, EndpointId, Micros};
 
-/// A latency is at its limit at this multiple of the class's unloaded latency, if that is shorter than the
-/// bound below: about two calls per core.
+/// Latency limit as a multiple of the class's unloaded latency, up to the bound below; corresponds to about
+/// two calls per core.
 const LATENCY_LIMIT_FACTOR: f64 = 3.0;
 /// Upper bound of the latency limit, as a share of the latency objective.
 const LATENCY_LIMIT_OBJECTIVE_RATIO: f64 = 0.33;
-/// Latency ratios are clamped to this.
+/// Upper bound of latency ratios.
 const MAX_LATENCY_RATIO: f64 = 4.0;
-/// Latency ratio at least of an attempt that timed out while the endpoint served others.
+/// Lower bound of the latency ratio of an attempt that timed out while its endpoint served other calls.
 const TIMED_OUT_LATENCY_RATIO: f64 = 2.0;
-/// Latency ratio of severe overload: responses take about half their latency objective.
+/// Latency ratio above which overload is severe: responses take about half their latency objective.
 const SEVERE_LATENCY_RATIO: f64 = 1.5;
-/// A response is late beyond this share of its latency objective.
+/// Share of the latency objective beyond which a response is late.
 const LATE_OBJECTIVE_RATIO: f64 = 0.8;
-/// Reported utilisation that counts as a latency ratio of 1; above it queueing grows steeply.
+/// Reported utilisation that counts as a latency ratio of 1; above it, queueing grows steeply.
 const FULL_UTILISATION_RATIO: f64 = 0.9;
-/// What a rejection leaves of the concurrency.
+/// Factor by which a rejection multiplies the concurrency of a budget.
 const REJECTION_DECREASE_FACTOR: f64 = 0.8;
 
-/// What an outcome says about the health of the endpoint.
+/// Health of the endpoint, as indicated by an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthSignal {
     Healthy,
     Failed,
-    /// It says nothing: the attempt was cancelled or not sent, or the request itself was at fault.
+    /// No indication: the attempt was cancelled or not sent, or the request itself was at fault.
     Unknown,
 }
 
-/// An attempt that has ended, classified.
+/// An attempt that has ended or whose response has started, with its classified outcome.
 struct Feedback {
     attempt: Attempt,
     class_id: usize,
@@ -50,18 +50,18 @@
     machine_group: MachineGroupKey,
     /// Time in flight, in microseconds.
     elapsed: Micros,
-    /// Time in flight over the latency limit of the class.
+    /// Time in flight divided by the latency limit of the class.
     latency_ratio: f64,
-    /// What it says about load: whether the response was late; `None` if nothing.
+    /// Load signal: whether the response was late; `None` if the outcome does not indicate it.
     is_late: Option<bool>,
     health: HealthSignal,
-    /// What it says about the class at this endpoint: whether the class failed; `None` if nothing.
+    /// Class signal: whether the class failed at this endpoint; `None` if the outcome does not indicate it.
     class_failed: Option<bool>,
-    /// Values of the whole balancer, as they were before this outcome.
+    /// Balancer-wide values as they were before this outcome.
     context: FeedbackContext,
 }
 
-/// Values that the rules use as they were before the outcome.
+/// Balancer-wide values, read before any update rule changes the state.
 struct FeedbackContext {
     initial_backoff: Micros,
     max_typical_latency_us: f64,
@@ -70,7 +70,7 @@
 }
 
 impl Balancer {
-    /// Learns from the outcome of an attempt, or from the start of its response.
+    /// Updates the balancer's state with the outcome of an attempt, or with the start of its response.
     pub(crate) fn on_attempt_feedback(&mut self, ended: AttemptWithClass, outcome: Outcome) {
         let Some(feedback) = self.classify(ended, outcome) else { return };
         let endpoint = &mut self.endpoints[feedback.slot];
@@ -140,7 +140,7 @@
         self.release_concurrency(&release);
     }
 
-    /// Learns from an attempt with an unknown health signal: its latency ratio is a lower bound.
+    /// Applies an attempt with an unknown health signal: its latency ratio is a lower bound.
     fn apply_unknown_health(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         let increase = (feedback.latency_ratio - endpoint.latency_ratio).max(0.0);
@@ -148,7 +148,8 @@
         endpoint.end_trial(&feedback.attempt);
     }
 
-    /// Keeps failures per class: one class may fail here alone, hidden by the successes of the others.
+    /// Updates the failure rate of the class at this endpoint: a class may fail alone, hidden by the
+    /// successes of the other classes.
     fn update_class_health(&mut self, feedback: &Feedback) {
         let Some(failed) = feedback.class_failed else { return };
         let endpoint = &mut self.endpoints[feedback.slot];
@@ -165,7 +166,8 @@
         }
     }
 
-    /// A time-out counts half of an error: an overloaded endpoint may need that long for a single call.
+    /// Updates the endpoint's failure rate. A time-out has half the weight of an error, since an overloaded
+    /// endpoint may need that long for a single call.
     fn update_failure_rate(&mut self, feedback: &Feedback) {
         let timed_out = feedback.outcome == Outcome::TimedOut;
         let weight = if timed_out { FAILURE_RATE_WEIGHT / 2.0 } else { FAILURE_RATE_WEIGHT };
@@ -174,7 +176,7 @@
         endpoint.failure_rate += (sample - endpoint.failure_rate) * weight;
     }
 
-    /// Keeps the latency ratio of the machine group, and sends it fewer calls on severe overload.
+    /// Updates the latency ratio of the machine group, and reduces its share of calls on severe overload.
     fn update_machine_group(&mut self, feedback: &Feedback) {
         let initial = MachineGroup { latency_ratio: feedback.latency_ratio, admitted_ratio: 1.0 };
         let group = self.machine_groups.entry(feedback.machine_group).or_insert(initial);
@@ -184,8 +186,8 @@
         group.admitted_ratio = (group.admitted_ratio * exponent.exp()).clamp(FEEDBACK_WEIGHT / 2.0, 1.0);
     }
 
-    /// Keeps the endpoint's latency ratio. Weights by elapsed time, so that an endpoint with little traffic
-    /// forgets old samples.
+    /// Updates the endpoint's latency ratio. A sample has more weight the longer ago the previous one was, so
+    /// that old samples of an endpoint with little traffic decay.
     fn update_latency_ratio(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         let since_last_us = self.now.saturating_sub(endpoint.last_feedback_at) as f64;
@@ -202,8 +204,8 @@
         }
     }
 
-    /// Late attempts count with the time that they were waited for, else the mean would be of quick responses
-    /// only.
+    /// Updates the latency of the class. Attempts that timed out at a healthy endpoint count with their time
+    /// in flight; otherwise the mean would cover quick responses only.
     fn update_class_latency(&mut self, feedback: &Feedback) {
         if feedback.failed() {
             return;
@@ -231,7 +233,8 @@
         let endpoint = &mut self.endpoints[feedback.slot];
         if feedback.outcome == Outcome::Rejected {
             endpoint.budget.decrease(REJECTION_DECREASE_FACTOR, 0.0);
-            // Fast rejections make it look idle: without a backoff it would attract one call after the other.
+            // Fast rejections make the endpoint look idle: without a backoff, it would attract call after
+            // call.
             let backoff_end = self.now + max_typical_us as Micros;
             endpoint.rejection_backoff_end = endpoint.rejection_backoff_end.max(backoff_end);
         } else if endpoint.latency_ratio > 1.0 && self.now >= endpoint.settled_at(max_typical_us) {
@@ -244,7 +247,8 @@
         }
     }
 
-    /// A broken connection removes a step; the last one ejects the endpoint, where that is allowed.
+    /// Removes a budget step after a broken connection. The last step is removed only if the endpoint may be
+    /// ejected.
     fn remove_step_on_broken_connection(&mut self, feedback: &Feedback) {
         if !matches!(feedback.outcome, Outcome::ConnectFailed | Outcome::Reset) {
             return;
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Applies the result of a trial attempt: a failed one prolongs the backoff.
+    /// Applies the result of a trial attempt: a failed one extends the backoff.
     fn apply_trial_result(&mut self, feedback: &Feedback, was_admitted: bool) {
         let endpoint = &mut self.endpoints[feedback.slot];
         endpoint.end_trial(&feedback.attempt);
@@ -271,7 +275,7 @@
         }
     }
 
-    /// A served trial attempt raises the budget, unless the endpoint is overloaded.
+    /// Raises the budget after a served trial attempt, unless the endpoint is overloaded.
     fn apply_growth_trial(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         if endpoint.latency_ratio > 1.0 {
@@ -282,7 +286,7 @@
         }
     }
 
-    /// A served trial attempt re-admits an endpoint that no longer fails often.
+    /// Re-admits an ejected endpoint after a served trial attempt, if its failure rate has become low enough.
     fn apply_readmission_trial(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         if endpoint.failure_rate < MAX_FAILURE_RATIO / 2.0 {
@@ -291,12 +295,12 @@
             let readmitted = DecisionEvent::EndpointReadmitted { endpoint: feedback.attempt.endpoint };
             self.actions.push(Action::Log(readmitted));
         } else {
-            // One served attempt does not re-admit an endpoint that fails most; several in a row do.
+            // One served attempt does not re-admit an endpoint that fails most calls; several in a row do.
             endpoint.budget.backoff_doublings = 0;
         }
     }
 
-    /// Ejects an endpoint that fails too often (fast errors make it look idle) or has lost its last step.
+    /// Ejects an endpoint that fails too often (fast errors make it look idle) or has no budget step left.
     fn eject(&mut self, feedback: &Feedback, was_admitted: bool) {
         if !was_admitted {
             return;
@@ -315,8 +319,8 @@
         }
     }
 
-    /// Takes in a load report. As many calls queued as in progress, or nearly all cores busy, count as a
-    /// ratio of 1.
+    /// Records a load report. As many queued calls as calls in progress, or nearly full utilisation, count as
+    /// a latency ratio of 1.
     pub(crate) fn on_load_report(&mut self, id: CallId, attempt: u32, load: LoadReport) {
         let Some(call) = self.calls.get(id) else { return };
         let Some(attempt) = call.attempts.get(attempt as usize) else { return };
@@ -332,7 +336,7 @@
             if load_ratio.is_finite() { load_ratio.clamp(0.0, MAX_LATENCY_RATIO) } else { 0.0 };
     }
 
-    /// Learns from the end of a streamed response: the endpoint may have broken it off.
+    /// Raises the endpoint's failure rate if a streamed response was reset or timed out.
     pub(crate) fn on_streamed_response_end(&mut self, id: EndpointId, outcome: Outcome) {
         if !matches!(outcome, Outcome::Reset | Outcome::TimedOut) {
             return;
@@ -357,14 +361,15 @@
         }
     }
 
-    /// Starts to count samples anew, since the budget has changed.
+    /// Restarts the sample count after a change of the budget.
     fn restart_settling(&mut self, now: Micros) {
         self.samples_since_change = 0;
         self.budget_changed_at = now;
     }
 }
 
-/// What an outcome says about load: whether the response was late. Errors and resets say nothing.
+/// Load signal: whether the response was late; `None` if the outcome does not indicate it, as
+/// with errors and resets.
 fn load_signal(outcome: Outcome, elapsed: Micros, objective_us: f64, latency_ratio: f64) -> Option<bool> {
     match outcome {
         Outcome::Served => Some(elapsed as f64 > objective_us * LATE_OBJECTIVE_RATIO),
@@ -378,14 +383,14 @@
 fn health_signal(outcome: Outcome, served_others: bool) -> HealthSignal {
     match outcome {
         Outcome::Served => HealthSignal::Healthy,
-        // Slow but alive: it gets fewer calls, but is not ejected.
+        // The endpoint is slow but alive: it gets fewer calls, but is not ejected.
         Outcome::TimedOut if served_others => HealthSignal::Healthy,
         Outcome::Cancelled | Outcome::NotSent | Outcome::InvalidRequest => HealthSignal::Unknown,
         _ => HealthSignal::Failed,
     }
 }
 
-/// Whether the class failed at the endpoint; only errors and time-outs may be due to the class.
+/// Class signal: whether the class failed at the endpoint; only errors and time-outs may be due to the class.
 fn class_signal(outcome: Outcome, beyond_latency_limit: bool) -> Option<bool> {
     match outcome {
         Outcome::Served => Some(false),
--- a/crates/core/src/balance/balancer.rs
+++ b/crates/core/src/balance/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's state, and how new settings change it.
+//! The balancer's state and the application of new settings.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::parameters::MAX_RETRY_BUDGET_ATTEMPTS;
@@ -18,32 +18,32 @@
 const INITIAL_BACKOFF_OBJECTIVE_RATIO: f64 = 0.25;
 const MIN_INITIAL_BACKOFF_US: Micros = 1_000;
 
-/// Statistics of a machine group. In low-traffic mode a client proxy learns little about single endpoints.
+/// Statistics of a machine group. In low-traffic mode, a client proxy has few samples of single endpoints.
 #[derive(Debug)]
 pub(crate) struct MachineGroup {
     /// Moving mean of the latency ratio.
     pub(super) latency_ratio: f64,
-    /// Share of the calls that may go to the group; it falls with overload, and other calls prefer other
-    /// groups.
+    /// Share of the calls that may be sent to the group; it falls under overload, and the remaining calls
+    /// prefer other groups.
     pub(super) admitted_ratio: f64,
 }
 
-/// Decaying sums over recent responses of all endpoints, from which the load at a given latency follows.
+/// Decaying sums over recent responses of all endpoints, to estimate the load at which a latency is reached.
 #[derive(Debug, Default)]
 pub(crate) struct LoadPerLatency {
     /// Sum of response times, in microseconds.
     pub(super) elapsed_us: f64,
-    /// Sum of the polled loads of their endpoints, in calls per size.
+    /// Sum of the polled loads of the responding endpoints, in calls per unit of size.
     pub(super) polled_load: f64,
 }
 
-/// Decides for one client proxy.
+/// The load balancer of one client proxy: turns events into actions.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// The time of the event that is being handled.
+    /// Time of the event being handled.
     pub(crate) now: Micros,
-    /// Actions of that event.
+    /// Actions in response to that event.
     pub(crate) actions: Vec<Action>,
     pub(crate) random: Pcg32,
     pub(crate) endpoints: EndpointTable<Endpoint>,
@@ -54,13 +54,13 @@
     /// Calls whose load polls are in progress.
     pub(crate) polling_calls: Vec<CallId>,
     pub(crate) load_per_latency: LoadPerLatency,
-    /// Moving mean of polled loads over the highest acceptable load: polls are worth their cost where it is
-    /// high.
+    /// Moving mean of polled loads divided by the highest acceptable load; a high value justifies the cost of
+    /// load polls.
     pub(crate) polled_utilisation: f64,
     pub(crate) machine_groups: BTreeMap<MachineGroupKey, MachineGroup>,
     /// Retries and hedged attempts that may be sent now.
     pub(crate) retry_budget: f64,
-    /// When the timer that the client proxy was last asked for fires.
+    /// When the timer last requested from the client proxy fires.
     pub(crate) timer_at: Micros,
     pub(crate) next_list_poll_at: Micros,
     /// Failed polls of the endpoint list in a row.
@@ -70,7 +70,7 @@
 }
 
 impl Balancer {
-    /// A balancer that draws all its random numbers from `seed`.
+    /// Creates a balancer that derives all its random numbers from `seed`.
     pub fn new(seed: u64, mut settings: Settings) -> Self {
         let mut classes = ClassTable::default();
         classes.apply_settings(std::mem::take(&mut settings.classes));
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Puts new settings in force. What was learned stays, and calls in flight keep their class.
+    /// Applies new settings. Learned statistics are retained, and calls in flight keep their class.
     pub(crate) fn apply_settings(&mut self, mut settings: Settings) {
         self.classes.apply_settings(std::mem::take(&mut settings.classes));
         self.settings = settings;
@@ -113,7 +113,7 @@
         (backoff_us as Micros).max(MIN_INITIAL_BACKOFF_US)
     }
 
-    /// A random number from 0 to 1.
+    /// A random number in [0, 1).
     pub(super) fn random_unit(&mut self) -> f64 {
         self.random.gen()
     }
--- a/crates/core/src/balance/call_lifecycle.rs
+++ b/crates/core/src/balance/call_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A call from its arrival to its final answer.
+//! The lifecycle of a call, from its arrival to its end.
 
 use super::balancer::Balancer;
 use super::parameters::MAX_RETRY_BUDGET_ATTEMPTS;
@@ -17,17 +17,17 @@
 pub(crate) struct NewCall {
     pub(crate) id: CallId,
     pub(crate) class: ClassId,
-    /// How long the client still waits, in microseconds.
+    /// Time until the client times out, in microseconds.
     pub(crate) remaining_time: Micros,
-    /// The client says that this is a retry.
+    /// The client has marked the call as a retry.
     pub(crate) is_retry: bool,
 }
 
 impl Balancer {
-    /// Takes in a new call: queues it, or rejects it where it would wait too long.
+    /// Queues a new call, or rejects it if the wait in the queue is too long.
     pub(crate) fn on_request(&mut self, new: NewCall) {
         let NewCall { id, class: ClassId(class_id), remaining_time, is_retry } = new;
-        // A class that the settings do not name counts as non-idempotent.
+        // A class that is not in the settings counts as non-idempotent.
         let unknown =
             Class { latency_objective: remaining_time, client_timeout: remaining_time, ..Class::default() };
         let class = self.classes.class(class_id).unwrap_or(unknown);
@@ -39,7 +39,7 @@
             arrived_at: self.now,
             first_requested_at: self.now.saturating_sub(time_spent),
             deadline: self.now.saturating_add(remaining_time),
-            // Retries take no part in the slow-start lottery, since they come in bursts.
+            // Retries are excluded from the slow-start lottery, since they arrive in bursts.
             slow_start_eligible: !is_retry,
             sample: self.random_unit(),
             ..Call::default()
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The last byte of a streamed request has arrived: latency and deadline of the call count from now.
+    /// Handles the last byte of a streamed request: the latency and the deadline of the call count from now.
     pub(crate) fn on_request_complete(&mut self, id: CallId, remaining_time: Micros) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(id).filter(|call| !call.ended) else { return };
@@ -84,10 +84,11 @@
         }
     }
 
-    /// Time that the client has already spent on earlier requests of a call, in microseconds.
+    /// Estimates the time that the client has already spent on earlier requests of a call, in microseconds.
     ///
-    /// A client that waits less than others of its class has spent the difference. Clients may differ, so at
-    /// most as many calls as were rejected count as retries.
+    /// A call with less remaining time than others of its class counts as a client retry, and the difference
+    /// from the client timeout as the time spent. Since client timeouts may differ, at most as many calls as
+    /// were rejected count as retries.
     fn time_already_spent(&mut self, class_id: usize, class: &Class, remaining_time: Micros) -> Micros {
         let Some(stats) = self.classes.stats_mut(class_id) else { return 0 };
         stats.max_client_timeout = stats.max_client_timeout.max(remaining_time);
@@ -99,7 +100,7 @@
         class.client_timeout.saturating_sub(remaining_time)
     }
 
-    /// Continues a call after the end of an attempt: it ends, is retried, or waits for its other attempt.
+    /// Ends or retries a call after one of its attempts has ended, unless another attempt is still in flight.
     pub(crate) fn on_attempt_ended(&mut self, id: CallId, outcome: Outcome, call_closed: bool) {
         if call_closed || outcome == Outcome::Served {
             self.calls.end(id);
@@ -119,7 +120,7 @@
         !call.ended && !call.queued && call.attempts_in_flight() == 0
     }
 
-    /// Gives a call its final answer.
+    /// Ends a call with its final action.
     fn finish(&mut self, id: CallId, final_action: Action) {
         self.actions.push(final_action);
         self.calls.end(id);
@@ -127,8 +128,8 @@
         self.calls.remove_if_done(id);
     }
 
-    /// Ends a call unserved: with a rejection and Retry-After where the client may safely retry, else with a
-    /// failure.
+    /// Ends a call unserved: with a rejection and Retry-After if the client may safely retry, otherwise with
+    /// a failure.
     pub(super) fn reject_or_fail(&mut self, id: CallId, retry_after: Micros) {
         let class_id = self.calls[id].class_id;
         if let Some(stats) = self.classes.stats_mut(class_id) {
@@ -143,7 +144,7 @@
         self.finish(id, final_action);
     }
 
-    /// Cancels the attempts of a call that are in flight, but for `winner`.
+    /// Cancels the in-flight attempts of a call except `winner`, if the settings allow cancellation.
     pub(crate) fn cancel_attempts(&mut self, id: CallId, winner: Option<u32>) {
         if self.settings.limits.cancellation {
             self.actions.extend(self.calls.cancel_losers(id, winner));
--- a/crates/core/src/balance/endpoint_selection.rs
+++ b/crates/core/src/balance/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a call goes to: the less loaded of two random ones under their in-flight budgets.
+//! Selects the endpoint of a call: the less loaded of two random endpoints below their in-flight budgets.
 
 use super::balancer::Balancer;
 use super::parameters::START_CONCURRENCY_CALLS;
@@ -9,19 +9,19 @@
 use crate::weighted_set::WeightedSet;
 use rand_pcg::Pcg32;
 
-/// Multiple of the longest latency objective over which an endpoint's own latency ratio gives way to its
-/// group's.
+/// Time constant, as a multiple of the longest latency objective, with which the weight of an endpoint's own
+/// latency ratio decays in favour of its machine group's.
 const OWN_SAMPLES_LIFETIME_FACTOR: f64 = 8.0;
 
-/// What happens to a call now.
+/// The routing decision for a call.
 pub(super) enum Route {
-    /// It is sent to the endpoint in this slot.
+    /// Send the call to the endpoint in this slot.
     Send { slot: usize, is_trial: bool },
-    /// These endpoints are polled for their load first.
+    /// Poll the endpoints in these slots for their load before sending the call.
     PollLoad { slots: Vec<usize> },
-    /// It stays queued.
+    /// Keep the call queued.
     Queue,
-    /// It is rejected: all endpoints are ejected.
+    /// Reject the call: all endpoints are ejected.
     Reject { retry_after: Micros },
 }
 
@@ -54,7 +54,7 @@
         route
     }
 
-    /// Whether any endpoint may take a call now.
+    /// Whether a call may be sent to any endpoint now.
     fn any_capacity(&self) -> bool {
         !self.index.with_capacity.is_empty()
             || !self.index.growth_trial_due.is_empty()
@@ -66,7 +66,7 @@
         endpoint.accepts_calls(self.now) && !endpoint.at_capacity(self.now, &self.settings.rules)
     }
 
-    /// Chooses among the endpoints at which the class does not fail, unless the call would have to wait for
+    /// Prefers endpoints at which the class does not fail, unless the call would have to wait for one of
     /// them.
     fn choose_endpoint(&self, id: CallId, random: &mut Pcg32) -> Route {
         if self.is_class_failing_at_a_minority(self.calls[id].class_id) {
@@ -78,8 +78,8 @@
         self.choose_among(id, false, random)
     }
 
-    /// Whether a class fails at some available endpoints, but not at most: then the cause is there, not in
-    /// the calls.
+    /// Whether a class fails at some of the available endpoints, but at no more than half: then the fault is
+    /// in these endpoints, not in the calls.
     fn is_class_failing_at_a_minority(&self, class_id: usize) -> bool {
         let is_avoided = |&slot: &usize| {
             self.index.available.contains(slot) && self.endpoints[slot].avoids(class_id, self.now)
@@ -103,7 +103,7 @@
         if self.is_low_traffic() {
             return self.choose_in_low_traffic(id, is_eligible, is_eligible_warming_up, random);
         }
-        // A choice at its full budget is repeated among the endpoints under theirs.
+        // If the chosen endpoint is at capacity, the choice is repeated among the endpoints with capacity.
         let with_capacity = &self.index.with_capacity;
         let chosen = self
             .best_of_two(&self.index.available, is_eligible, random)
@@ -131,9 +131,10 @@
         candidates.iter().any(|slot| self.may_attempt_at(call, slot) && is_new(slot))
     }
 
-    /// Whether an endpoint in slow start may take calls beyond its lottery: if there is no other, or if none
-    /// has capacity and its budget bears the even shares of all client proxies. In low-traffic mode each of
-    /// many client proxies would send it one call.
+    /// Whether an endpoint in slow start may be sent calls outside the slow-start lottery: if no warm
+    /// endpoint is available, or if none has capacity and this endpoint can bear the same number of calls
+    /// from every client proxy. Not in low-traffic mode, where each of many client proxies would send it one
+    /// call.
     fn may_bypass_lottery(&self, slot: usize) -> bool {
         if self.is_low_traffic() {
             return false;
@@ -157,8 +158,8 @@
         self.least_loaded(set.sample_two(random, is_eligible))
     }
 
-    /// The endpoint with the fewest own attempts in flight; the polled load, then the expected latency ratio
-    /// break ties.
+    /// The endpoint with the fewest own attempts in flight; ties are broken by the polled load, then by the
+    /// expected latency ratio.
     pub(super) fn least_loaded(&self, slots: impl IntoIterator<Item = usize>) -> Option<usize> {
         let rules = &self.settings.rules;
         let tie_break = |endpoint: &Endpoint| {
@@ -178,7 +179,7 @@
         })
     }
 
-    /// An endpoint's own latency ratio, replaced by its machine group's as it grows old.
+    /// An endpoint's own latency ratio, gradually replaced by its machine group's as the own samples age.
     pub(super) fn expected_latency_ratio(&self, endpoint: &Endpoint) -> f64 {
         let age_us = self.now.saturating_sub(endpoint.last_feedback_at) as f64;
         let lifetime_us = OWN_SAMPLES_LIFETIME_FACTOR * self.classes.max_latency_objective_us();
@@ -197,8 +198,8 @@
         call.attempts.push(attempt);
         let call = &self.calls[id];
         let typical_us = self.classes.typical_latency_us(call.class_id, call.class.latency_objective);
-        // A response after the weight deadline has little weight: the endpoint's capacity serves others
-        // better.
+        // A response after the weight deadline has no priority weight: the endpoint's capacity is better used
+        // for other calls.
         let weight_deadline = call.weight_deadline();
         let can_be_in_time = weight_deadline as f64 > self.now as f64 + typical_us;
         let timeout_at = (weight_deadline < call.deadline && can_be_in_time).then_some(weight_deadline);
@@ -209,7 +210,7 @@
         self.refresh_status(slot);
     }
 
-    /// Counts an attempt at its endpoint.
+    /// Creates an attempt and counts it as in flight at its endpoint.
     fn start_attempt(&mut self, id: CallId, slot: usize, is_trial: bool) -> Option<Attempt> {
         let call = self.calls.get(id)?;
         let poll_lifetime = self.load_poll_timeout(call);
--- a/crates/core/src/balance/endpoint_status.rs
+++ b/crates/core/src/balance/endpoint_status.rs
@@ -1,4 +1,4 @@
-//! The status of an endpoint, which decides what it may be sent.
+//! The status of an endpoint, which determines whether calls and trial attempts may be sent to it.
 
 use super::balancer::Balancer;
 use crate::endpoint::Endpoint;
@@ -6,20 +6,22 @@
 use crate::ids::Micros;
 
 impl Endpoint {
-    /// Whether it may be sent calls, apart from its budget and slow start.
+    /// Whether the endpoint is listed, not ejected and not in rejection backoff; it may still be at capacity
+    /// or in slow start.
     pub(super) fn accepts_calls(&self, now: Micros) -> bool {
         self.listed && self.budget.steps > 0 && now >= self.rejection_backoff_end
     }
 }
 
 impl Balancer {
-    /// Number of listed endpoints that are sent nothing now: ejected, or in backoff after they rejected a
-    /// call.
+    /// Number of listed endpoints that are currently unavailable: ejected, or in backoff after they rejected
+    /// a call.
     pub fn unavailable_endpoints(&self, now: Micros) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.listed && !endpoint.accepts_calls(now)).count()
     }
 
-    /// Files an endpoint under its present status; to be called after each change that affects the status.
+    /// Updates the index with the current status of an endpoint, and removes the endpoint if it is unlisted
+    /// and idle. Must be called after each change that affects the status.
     pub(crate) fn refresh_status(&mut self, slot: usize) {
         let endpoint = &self.endpoints[slot];
         let key = EndpointKey {
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The present status of an endpoint.
+    /// The current status of an endpoint.
     pub(crate) fn endpoint_status(&self, endpoint: &Endpoint) -> EndpointStatus {
         let rules = &self.settings.rules;
         let listed = endpoint.listed;
@@ -45,8 +47,8 @@
         let available = endpoint.accepts_calls(self.now) && is_warm;
         let trial_at = endpoint.budget.next_trial_at();
         let growth_trial_at = self.growth_trial_at(endpoint);
-        // A re-admission trial waits for the end of slow start: trials of all client proxies together
-        // overload.
+        // Re-admission trials wait for the end of slow start, since the trials of all client proxies together
+        // would overload the endpoint.
         let readmission_at = trial_at.max(endpoint.rejection_backoff_end);
         let changes_at = [
             endpoint.started_at.saturating_add(rules.warm_up_duration),
@@ -68,8 +70,8 @@
         }
     }
 
-    /// When a trial attempt may raise the budget: not on overload, nor before the last change has shown its
-    /// effect.
+    /// Earliest time of a trial attempt that may raise the budget: never during overload, and not before the
+    /// last change of the budget has shown its effect.
     fn growth_trial_at(&self, endpoint: &Endpoint) -> Micros {
         if endpoint.latency_ratio > 1.0 {
             return Micros::MAX;
--- a/crates/core/src/balance/endpoint_updates.rs
+++ b/crates/core/src/balance/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the backoff between failed polls of it.
+//! Updates of the endpoint list, and the backoff between polls of the list after failures.
 
 use super::balancer::Balancer;
 use crate::endpoint::{ChangedSlot, Endpoint, InFlightBudget};
@@ -6,15 +6,16 @@
 use crate::ids::Micros;
 use rand::Rng;
 
-/// Client proxies that may poll at short intervals without overloading discovery.
+/// Highest number of client proxies that can poll at short intervals without overloading discovery.
 const MAX_FAST_POLLING_PROXIES: u32 = 6;
-/// Doublings of the interval up to its cap.
+/// Highest number of doublings of the poll interval.
 const MAX_POLL_DOUBLINGS: u32 = 5;
-/// Intervals are counted in steps of the longest poll interval over this number.
+/// Number of steps in the longest poll interval; all intervals are multiples of such a step.
 const STEPS_PER_MAX_POLL_INTERVAL: Micros = 32;
-/// Longest first interval.
+/// Longest interval after the first failure.
 const MAX_FIRST_INTERVAL_STEPS: Micros = 8;
-/// Longest later interval for few client proxies; it grows with their number, up to this factor.
+/// Longest later interval with few client proxies. It grows with the number of client proxies, up to the
+/// factor below.
 const MAX_INTERVAL_STEPS: Micros = 8;
 const MAX_INTERVAL_CAP_FACTOR: Micros = 4;
 
@@ -31,7 +32,7 @@
         let proxy_count = self.settings.proxy_count;
         let weight_source = self.settings.weight_source;
         let random = &mut self.random;
-        // A restarted endpoint is a new process in slow start: what was learned about the old one does not
+        // A restarted endpoint is a new process in slow start: the statistics of the old process do not
         // apply.
         let new_record = |entry: &EndpointInfo| Endpoint {
             rank: random.gen(),
@@ -48,8 +49,8 @@
     }
 
     /// Schedules the next poll of the endpoint list after a failure. The interval grows with the number of
-    /// client proxies, which may overload discovery together, and has jitter, so that they do not poll at the
-    /// same time.
+    /// client proxies, which could overload discovery together, and has jitter, so that they do not poll at
+    /// the same time.
     fn schedule_list_poll(&mut self) {
         let load_steps = Micros::from(self.settings.proxy_count / MAX_FAST_POLLING_PROXIES);
         let first_steps = load_steps.clamp(1, MAX_FIRST_INTERVAL_STEPS);
--- a/crates/core/src/balance/hedging.rs
+++ b/crates/core/src/balance/hedging.rs
@@ -6,11 +6,12 @@
 use crate::call_table::{Attempt, Call, Execution};
 use crate::ids::{CallId, Micros};
 
-/// Multiple of the typical latency before which the first attempt does not count as slow.
+/// Multiple of the typical latency below which the first attempt does not count as slow.
 const MIN_HEDGE_LATENCY_FACTOR: f64 = 1.5;
 
 impl Balancer {
-    /// When to hedge a call whose first attempt is being sent: as late as can be in time.
+    /// When to send a hedged attempt for a call whose first attempt is being sent: as late as a response is
+    /// still likely in time. `None` if the call is not hedged.
     pub(super) fn hedge_at(&self, call: &Call, typical_us: f64) -> Option<Micros> {
         if call.attempts.len() != 1 || self.is_low_traffic() || !self.settings.limits.hedging {
             return None;
@@ -42,7 +43,8 @@
             && !call.attempts.iter().any(|attempt| self.is_inherently_slow(attempt))
     }
 
-    /// Whether the endpoint of an attempt has served others since: the call needs long, and would anywhere.
+    /// Whether the endpoint has served other calls since this attempt was sent: then the call itself is slow,
+    /// and would be slow at any endpoint.
     fn is_inherently_slow(&self, attempt: &Attempt) -> bool {
         if attempt.execution != Execution::InFlight {
             return false;
--- a/crates/core/src/balance/in_flight_budget.rs
+++ b/crates/core/src/balance/in_flight_budget.rs
@@ -7,15 +7,16 @@
 use crate::ids::Micros;
 use crate::settings::Rules;
 
-/// Most steps of a budget: gRFC A105's default for max_connections_per_subchannel.
+/// Highest number of steps of a budget: gRFC A105's default for max_connections_per_subchannel.
 const MAX_BUDGET_STEPS: u32 = 10;
-/// What one decrease leaves of the concurrency at least.
+/// Lower bound of the factor by which one decrease multiplies the concurrency.
 pub(super) const MIN_DECREASE_FACTOR: f64 = 0.5;
 /// Multiple of the typical latency after which a changed budget has shown its effect.
 const SETTLING_LATENCY_FACTOR: f64 = 2.0;
 
 impl InFlightBudget {
-    /// A client proxy's even share of an endpoint, but at least one call: most client proxies are idle.
+    /// The initial budget: an even share of the endpoint's capacity per client proxy, but at least one call,
+    /// since most client proxies are idle.
     pub(super) fn new(proxy_count: u32) -> Self {
         let even_share = |calls: f64| (calls / f64::from(proxy_count.max(1))).max(1.0);
         InFlightBudget {
@@ -45,13 +46,13 @@
         }
     }
 
-    /// Delays the next trial attempt, each time twice as long up to a cap.
+    /// Delays the next trial attempt; the delay doubles each time, up to a cap.
     pub(super) fn back_off(&mut self, now: Micros, initial_backoff: Micros) {
         self.backoff_end = now + (initial_backoff << self.backoff_doublings);
         self.backoff_doublings = (self.backoff_doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Multiplies the concurrency by `factor`; it leaves a budget of `floor_calls`.
+    /// Multiplies the concurrency by `factor`, but leaves a budget of at least `floor_calls`.
     pub(super) fn decrease(&mut self, factor: f64, floor_calls: f64) {
         let min_concurrency = floor_calls / f64::from(self.steps.max(1));
         self.concurrency = (self.concurrency * factor.max(MIN_DECREASE_FACTOR)).max(min_concurrency);
@@ -59,14 +60,16 @@
 }
 
 impl Endpoint {
-    /// Whether the in-flight budget is used up; it shrinks with the capacity during slow start.
+    /// Whether the in-flight budget is used up. During slow start, the budget is scaled down with the
+    /// capacity.
     pub(super) fn at_capacity(&self, now: Micros, rules: &Rules) -> bool {
         let steps = f64::from(self.budget.steps);
         let budget = steps * self.budget.concurrency * self.warm_up_factor(now, rules);
         self.in_flight >= (budget + 0.5).max(1.0) as u32
     }
 
-    /// When enough samples are in to tell the effect of the last change of the budget; 0 if they are.
+    /// Time from which the samples show the effect of the last budget change: 0 with enough samples,
+    /// `Micros::MAX` with fewer samples than attempts in flight.
     pub(super) fn settled_at(&self, typical_latency_us: f64) -> Micros {
         if self.samples_since_change < self.in_flight.max(1) {
             return Micros::MAX;
--- a/crates/core/src/balance/load_polling.rs
+++ b/crates/core/src/balance/load_polling.rs
@@ -1,4 +1,4 @@
-//! Load polls: in low-traffic mode a call may ask some endpoints for their load before it is sent.
+//! Load polls: in low-traffic mode, some endpoints may be polled for their load before a call is sent.
 
 use super::balancer::Balancer;
 use super::parameters::{
@@ -14,26 +14,26 @@
 
 /// Share of a call's priority weight that its load polls may cost.
 const MAX_POLL_COST_RATIO: f64 = 0.02;
-/// Share of its latency objective that a call waits for the reports.
+/// Longest wait of a call for load reports, as a share of its latency objective.
 const POLL_TIMEOUT_OBJECTIVE_RATIO: f64 = 0.05;
-/// Share of its latency objective that a call may be expected to take; an endpoint with more load is at
-/// capacity.
+/// Highest acceptable expected latency of a call, as a share of its latency objective; an endpoint with a
+/// load beyond that is at capacity.
 const MAX_EXPECTED_OBJECTIVE_RATIO: f64 = 0.3;
-/// Reciprocal of the polled utilisation from which all calls poll; below it the share of calls that poll
-/// falls with its square.
+/// Reciprocal of the polled utilisation from which on all calls poll; below, the share of calls that poll is
+/// proportional to the square of the utilisation.
 const POLLED_UTILISATION_FACTOR: f64 = 2.0;
 
-/// Whether a call polls endpoints for their load before it is sent.
+/// The decision whether a call polls endpoints for their load before it is sent.
 pub(super) enum PollDecision {
     SendWithoutPoll,
-    /// The call has found polled endpoints at capacity, and may not poll again yet.
+    /// The endpoints polled for the call were at capacity, and it may not poll again yet.
     WaitForNextPoll,
     /// Slots of the endpoints to poll.
     Poll(Vec<usize>),
 }
 
 impl Balancer {
-    /// Whether a call polls endpoints of `subset` before it is sent, and which.
+    /// Decides whether a call polls endpoints of `subset` before it is sent, and which ones.
     pub(super) fn decide_poll(&self, id: CallId, subset: &[usize], random: &mut Pcg32) -> PollDecision {
         let call = &self.calls[id];
         let max_polls = self.max_polls_per_call();
@@ -42,14 +42,14 @@
             || max_polls < 2
             || !self.is_poll_in_time(call)
         {
-            // A call that has found all polled endpoints at capacity is not sent without a poll.
+            // A call whose polled endpoints were all at capacity is not sent without another poll.
             return if call.at_capacity_count > 0 {
                 PollDecision::WaitForNextPoll
             } else {
                 PollDecision::SendWithoutPoll
             };
         }
-        // An idle fleet needs few polls, but some, to notice when that ends.
+        // An idle fleet needs only a few polls, to detect when the load rises.
         let poll_ratio = (self.polled_utilisation * POLLED_UTILISATION_FACTOR).powi(2).max(FEEDBACK_WEIGHT);
         if call.at_capacity_count == 0 && call.sample > poll_ratio {
             return PollDecision::SendWithoutPoll;
@@ -92,7 +92,7 @@
         self.calls.timers.set(id, Some(timeout_at));
     }
 
-    /// Takes in the end of a load poll. An endpoint that did not report counts as the most loaded.
+    /// Records the result of a load poll. An endpoint that did not report counts as the most loaded.
     pub(crate) fn on_load_polled(&mut self, id: EndpointId, outcome: Outcome, load: LoadReport) {
         let Some(slot) = self.endpoints.slot(id) else { return };
         let reported = load.in_flight.filter(|calls| outcome == Outcome::Served && calls.is_finite());
@@ -118,7 +118,8 @@
         slots.any(|slot| self.endpoints[slot].polled_at < call.poll_started_at)
     }
 
-    /// Sends a call to the least loaded of the polled endpoints; all have reported, or time is up.
+    /// Sends a call to the least loaded of the polled endpoints, after all have reported or the polls have
+    /// timed out. If all are at capacity, the call is queued for its next poll.
     pub(super) fn finish_load_polls(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let polled = std::mem::take(&mut call.polled_endpoints);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Learns from an endpoint's polled load and returns whether it has capacity. The calls of all client
-    /// proxies there count, since each of them would add one call.
+    /// Records an endpoint's polled load and returns whether the endpoint has capacity. The load includes the
+    /// calls of all client proxies, since each of them would add one call.
     fn record_polled_load(&mut self, slot: usize, poll_started_at: Micros, max_load: f64) -> bool {
         let rules = &self.settings.rules;
         let endpoint = &mut self.endpoints[slot];
@@ -162,8 +163,8 @@
             && self.calls[id].may_attempt(self.now, endpoint, self.settings.clock_tick)
     }
 
-    /// Queues a call whose polled endpoints were all at capacity; the pause to its next poll doubles each
-    /// time.
+    /// Queues a call whose polled endpoints were all at capacity; the pause before its next poll doubles
+    /// each time, up to a cap.
     fn queue_for_next_poll(&mut self, id: CallId) {
         let pause = self.load_poll_timeout(&self.calls[id]);
         if let Some(call) = self.calls.get_mut(id) {
@@ -173,9 +174,9 @@
         self.enqueue(id, QueuePosition::Front);
     }
 
-    /// Calls in flight per size of an endpoint from which on this call would take too long, learned from the
-    /// responses of all endpoints. The sums start with samples at the initial budget, so that calls are sent
-    /// before it is learned.
+    /// Highest acceptable load of an endpoint for this call, in calls in flight per unit of size, estimated
+    /// from the responses of all endpoints. The sums start with samples at the initial budget, so that calls
+    /// are sent before the first responses.
     fn max_polled_load(&self, id: CallId) -> f64 {
         let listed = &self.index.listed;
         let total_size = listed.total().max(f64::MIN_POSITIVE);
--- a/crates/core/src/balance/low_traffic.rs
+++ b/crates/core/src/balance/low_traffic.rs
@@ -1,7 +1,7 @@
 //! Low-traffic mode: a client proxy whose even share is less than one call in flight per endpoint.
 //!
-//! Its own attempts in flight say little about load, so it uses few endpoints, polls them for their load and
-//! relies on machine groups.
+//! The client proxy's own attempts in flight say little about load, so it uses few endpoints, polls them for
+//! their load and relies on the statistics of machine groups.
 
 use super::balancer::Balancer;
 use super::endpoint_selection::Route;
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// Endpoints that a client proxy uses: enough for two rounds of load polls.
+/// Number of endpoints that a client proxy uses: enough for two rounds of load polls.
 const SUBSET_ENDPOINTS: usize = 2 * MAX_POLLED_ENDPOINTS;
 
 impl Balancer {
@@ -25,7 +25,7 @@
         proxies > START_CONCURRENCY_CALLS && proxies > self.index.listed.len() as f64
     }
 
-    /// Chooses an endpoint of the subset, or the endpoints to poll first.
+    /// Chooses an endpoint of the subset, or the endpoints to poll before the choice.
     pub(super) fn choose_in_low_traffic(
         &self,
         id: CallId,
@@ -48,8 +48,9 @@
         }
     }
 
-    /// The eligible endpoints that the call may go to. Where crossing zones has a cost, the own zone comes
-    /// first; others follow when it has no capacity, or is overloaded and they are not.
+    /// The eligible endpoints that the call may be sent to. If cross-zone calls have a cost, endpoints of the
+    /// client proxy's own zone are preferred; those of other zones are used if the own zone has no capacity,
+    /// or if it is overloaded and the other zones are not.
     fn subset(
         &self,
         call: &Call,
@@ -74,9 +75,10 @@
         subset
     }
 
-    /// The eligible endpoints of the lowest ranks: always the same ones, which bounds connections and keeps
-    /// what is known of them recent. More of them after polled ones were at capacity. With `only_admitting`,
-    /// those whose machine group admits the call.
+    /// The eligible endpoints of the lowest ranks. Using the same endpoints each time bounds the number of
+    /// connections and keeps the statistics recent. The number doubles each time that all polled endpoints
+    /// were at capacity, up to a cap. With `only_admitting`, only endpoints whose machine group admits the
+    /// call.
     fn most_preferred(
         &self,
         call: &Call,
@@ -90,7 +92,7 @@
         admitting.filter(|&slot| is_eligible(slot)).take(max_endpoints).collect()
     }
 
-    /// Whether the machine group of an endpoint takes this call: an overloaded group takes a sampled share.
+    /// Whether the machine group of an endpoint admits this call; an overloaded group admits a sampled share.
     fn group_admits(&self, call: &Call, slot: usize) -> bool {
         let group = self.machine_groups.get(&self.endpoints[slot].machine_group());
         group.is_none_or(|group| group.admitted_ratio >= call.sample)
--- a/crates/core/src/balance/mod.rs
+++ b/crates/core/src/balance/mod.rs
@@ -1,8 +1,9 @@
 //! All decisions of the balancer, one module per concern.
 //!
-//! `call_lifecycle` has a call from arrival to end; `admission` and `request_queue` decide whether and how
-//! long it waits; `endpoint_selection`, `slow_start`, `low_traffic` and `load_polling` choose its endpoint;
-//! `retry` and `hedging` decide on further attempts; `attempt_feedback` learns from their outcomes.
+//! `call_lifecycle` handles the arrival and the end of a call; `admission` and `request_queue` decide whether
+//! and how long the call waits; `endpoint_selection`, `slow_start`, `low_traffic` and `load_polling` choose
+//! its endpoint; `retry` and `hedging` decide on further attempts; `attempt_feedback` updates the statistics
+//! with the outcomes of attempts.
 
 mod admission;
 mod attempt_feedback;
--- a/crates/core/src/balance/outlier_ejection.rs
+++ b/crates/core/src/balance/outlier_ejection.rs
@@ -7,7 +7,7 @@
 
 /// Weight of a new outcome in failure rates.
 pub(super) const FAILURE_RATE_WEIGHT: f64 = 0.2;
-/// Failure rate above which an endpoint is ejected, and avoided by a class: about two failures in four.
+/// Failure rate above which an endpoint is ejected, or avoided for one class: about two failures in four.
 pub(super) const MAX_FAILURE_RATIO: f64 = 0.3;
 
 impl ClassHealth {
@@ -30,7 +30,8 @@
 }
 
 impl Endpoint {
-    /// Whether calls of a class should avoid this endpoint: they fail here, and the backoff has not ended.
+    /// Whether calls of a class should avoid this endpoint: the class fails here, and its
+    /// backoff has not ended.
     pub(super) fn avoids(&self, class_id: usize, now: Micros) -> bool {
         match self.class_health.get(&class_id) {
             Some(health) => health.is_failing() && now < health.backoff_end,
@@ -40,8 +41,8 @@
 }
 
 impl Balancer {
-    /// Whether one more endpoint may be ejected: at most half of them, since failures everywhere have another
-    /// cause.
+    /// Whether one more endpoint may be ejected. At most half of them are, since failures at most endpoints
+    /// have another cause.
     pub(super) fn may_eject(&self) -> bool {
         (self.index.ejected_count + 1) * 2 <= self.index.listed.len()
     }
--- a/crates/core/src/balance/retry.rs
+++ b/crates/core/src/balance/retry.rs
@@ -1,4 +1,4 @@
-//! Which calls may have another attempt, and when one is sent.
+//! Decides which calls are retried, and at which endpoints another attempt is safe.
 
 use super::balancer::Balancer;
 use crate::call_table::{Attempt, Call, QueuePosition};
@@ -7,7 +7,7 @@
 use crate::ids::{CallId, Micros};
 use crate::settings::{DeduplicationScope, Idempotency};
 
-/// Whether an endpoint recognises a repeat of this attempt.
+/// Whether an endpoint recognises a repetition of this attempt.
 fn is_in_scope(scope: DeduplicationScope, first: &Attempt, endpoint: &Endpoint) -> bool {
     match scope {
         DeduplicationScope::All => true,
@@ -17,7 +17,7 @@
 }
 
 impl Call {
-    /// Whether an attempt at this endpoint is safe. All earlier attempts count, not only the last outcome.
+    /// Whether an attempt at this endpoint is safe. All earlier attempts count, not only the last one.
     pub(super) fn may_attempt(&self, now: Micros, endpoint: &Endpoint, clock_tick: Micros) -> bool {
         let Some(first) = self.first_possible_execution() else { return true };
         match self.class.idempotency {
@@ -30,14 +30,15 @@
         }
     }
 
-    /// Until when another attempt may be sent, where endpoints recognise repeats for a limited time.
+    /// Latest time of another attempt, if endpoints recognise repetitions only within a deduplication window.
     pub(super) fn deduplication_deadline(&self, clock_tick: Micros) -> Option<Micros> {
         let Idempotency::Deduplicated { window, .. } = self.class.idempotency else { return None };
         let first = self.first_possible_execution()?;
         Some(first.sent_at.saturating_add(window).saturating_sub(clock_tick))
     }
 
-    /// Whether a retry by the client is safe: the client does not know which endpoints recognise a repeat.
+    /// Whether the call may be rejected, so that its client retries it: the retry must be safe at any
+    /// endpoint, since the client does not know which endpoints recognise a repetition.
     pub(super) fn may_be_rejected(&self) -> bool {
         let is_safe_anywhere = matches!(
             self.class.idempotency,
@@ -48,7 +49,7 @@
 }
 
 impl Balancer {
-    /// After an attempt that did not serve the call: queues a retry, or ends the call.
+    /// Queues a retry after an attempt that did not serve the call, or ends the call.
     pub(super) fn retry_or_end(&mut self, id: CallId, outcome: Outcome) {
         if self.may_retry(&self.calls[id], outcome) {
             self.retry_budget = (self.retry_budget - 1.0).max(0.0);
@@ -58,9 +59,9 @@
         }
     }
 
-    /// Whether a retry is in time, safe at some endpoint, and within attempts and retry budget. A retry after
-    /// a failed connection is allowed with an empty budget, since it has cost the endpoint nothing; it still
-    /// takes from the budget.
+    /// Whether a retry can be in time, is safe at some endpoint, and is within the attempt limit and the
+    /// retry budget. A retry after a failed connection is allowed with an empty budget, since the failed
+    /// attempt cost the endpoint nothing, but it is charged to the budget.
     fn may_retry(&self, call: &Call, outcome: Outcome) -> bool {
         let typical_us = self.classes.typical_latency_us(call.class_id, call.class.latency_objective);
         let in_time = self.now as f64 + typical_us < call.weight_deadline() as f64;
@@ -76,7 +77,7 @@
         call.may_attempt(self.now, &self.endpoints[slot], self.settings.clock_tick)
     }
 
-    /// Whether both the settings of the call's arrival and those in force allow another attempt.
+    /// Whether both the settings at the call's arrival and the current settings allow another attempt.
     pub(super) fn has_attempts_left(&self, call: &Call) -> bool {
         (call.attempts.len() as u32) < call.max_attempts.min(self.settings.limits.max_attempts)
     }
--- a/crates/core/src/balance/slow_start.rs
+++ b/crates/core/src/balance/slow_start.rs
@@ -1,20 +1,21 @@
-//! Slow start: how many calls an endpoint gets whose process has just started.
+//! Slow start: limits the calls that are sent to an endpoint whose process has just started.
 
 use super::balancer::Balancer;
 use crate::ids::CallId;
 
-/// Probability with which a call goes to an endpoint in slow start, over that endpoint's present share of the
-/// capacity.
+/// Probability with which a call is sent to an endpoint in slow start, divided by that endpoint's current
+/// share of the capacity.
 const LOTTERY_SHARE_FACTOR: f64 = 1.2;
-/// At most this share of the load that overloads such an endpoint, at a load that all endpoints bear when
-/// warm. Where many endpoints warm up their present share of the capacity grows, but not what they can serve.
+/// Highest load of an endpoint in slow start, as a share of the load that overloads it, while the total load
+/// is one that all endpoints can serve when warm. If many endpoints warm up, their current shares of the
+/// capacity grow, but not the load that they can serve.
 const MAX_OVERLOAD_RATIO: f64 = 2.0 / 3.0;
 
 impl Balancer {
-    /// Chooses an endpoint in slow start with the probability of its present share of the capacity.
+    /// Chooses an endpoint in slow start with a probability that follows its current share of the capacity.
     ///
-    /// All client proxies learn of a new endpoint at the same time, and each finds it idle: without the
-    /// lottery they would overload it together. Each call takes part once.
+    /// All client proxies discover a new endpoint at the same time, and to each it appears idle: without the
+    /// lottery, they would overload it together. Each call takes part once.
     pub(super) fn slow_start_lottery(&mut self, id: CallId) -> Option<usize> {
         let call = self.calls.get_mut(id)?;
         if !call.slow_start_eligible || !call.attempts.is_empty() {
@@ -31,7 +32,7 @@
         self.has_capacity(slot).then_some(slot)
     }
 
-    /// Probability with which a call goes to any of the endpoints in slow start.
+    /// Probability with which a call is sent to any of the endpoints in slow start.
     fn slow_start_probability(&self) -> f64 {
         let rules = &self.settings.rules;
         let total_size = self.index.listed.total();
