--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! Cost of a decision by the number of endpoints. One iteration is a request and the outcome of an earlier
-//! one, or one changed entry of the endpoint list. `cargo bench -p oakport-core` first prints the allocations
-//! per request.
+//! Cost of a decision, depending on the number of endpoints. One iteration is a request and the outcome of an
+//! earlier request, or one changed entry of the endpoint list. `cargo bench -p oakport-core` first prints the
+//! allocations per request.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use oakport_core::*;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// An allocator that counts allocations.
-struct Counting;
+struct CountingAllocator;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: each call is passed on to the system's allocator unchanged; the counter does not allocate.
 #[allow(unsafe_code)]
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         System.alloc(layout)
@@ -33,13 +33,13 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Calls in flight, where endpoints serve them.
+/// Calls in flight, if endpoints serve them.
 const CALLS_IN_FLIGHT: usize = 8;
-/// Queued calls where all endpoints are at capacity.
+/// Queued calls, if all endpoints are at capacity.
 const QUEUED_CALLS: u64 = 500;
-/// Client proxies with which the initial budget of an endpoint is one call.
+/// Number of client proxies with which the initial budget of an endpoint is one call.
 const PROXIES_WITH_ONE_CALL: u32 = 7;
 const ENDPOINT_COUNTS: [u32; 4] = [10, 100, 1_000, 10_000];
 
@@ -51,7 +51,7 @@
     ThirdSilent,
     /// A tenth of them refuse connections.
     TenthUnreachable,
-    /// None of them answers by itself.
+    /// None of them answers; the benchmark ends the attempts.
     AllSilent,
 }
 
@@ -165,7 +165,7 @@
         });
     }
 
-    /// A request, and the outcome of an earlier one.
+    /// Makes a request and ends earlier attempts beyond `CALLS_IN_FLIGHT`.
     fn step(&mut self) {
         self.now += 100;
         self.request();
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A request that is queued, and the end of an attempt, whose capacity goes to the first queued call.
+    /// Makes a request that is queued, and ends an attempt, which frees capacity for the first queued call.
     fn step_at_capacity(&mut self) {
         self.now += 1;
         self.request();
@@ -257,7 +257,7 @@
                 bench.event(Event::EndpointList { kind: ListUpdateKind::Delta, endpoints: entries });
             });
         });
-        // A tenth of the list is replaced in one update; the time is for all of it.
+        // One update replaces a tenth of the list; the time is for the whole update.
         let mut bench = Bench::new(endpoint_count, 1, Fault::None);
         let mut round = 0;
         group.bench_function(BenchmarkId::new("a tenth replaced", endpoint_count), |b| {
--- a/crates/core/examples/picks.rs
+++ b/crates/core/examples/picks.rs
@@ -1,9 +1,9 @@
-//! Plays the same worlds from many seeds and counts which endpoint each call goes to, with a line per world,
-//! call and endpoint. Two versions that draw random numbers in another order print other counts of the same
-//! distribution.
+//! Runs the same cases with many seeds and counts the endpoints to which each call is sent, with one line per
+//! case, call and endpoint. Two versions that draw random numbers in a different order print different counts
+//! of the same distribution.
 //!
-//! `cargo run --release -p oakport-core --example picks > a`, the same with the other version, then
-//! `cargo run --release -p oakport-core --example picks -- a b` for the total variation distance of each world.
+//! `cargo run --release -p oakport-core --example picks > a`, the same with the other version, then `cargo
+//! run --release -p oakport-core --example picks -- a b` for the total variation distance of each case.
 
 use oakport_core::*;
 use std::collections::BTreeMap;
@@ -12,22 +12,22 @@
 const SEEDS: u64 = 100_000;
 const START: Micros = 100_000_000;
 
-/// What differs between the worlds.
-struct World {
+/// Parameters of a case.
+struct Case {
     name: &'static str,
     proxy_count: u32,
     endpoint_count: u32,
-    /// The last ones of the endpoints are in slow start.
+    /// Number of endpoints in slow start, which are the last ones.
     warming_up_count: u32,
-    /// Sizes are 1 to 4 instead of 1.
+    /// Whether sizes are 1 to 4 instead of 1.
     has_sizes: bool,
-    /// The first ones of the endpoints fail their calls.
+    /// Number of endpoints that fail their calls, which are the first ones.
     failing_count: u32,
     call_count: u32,
 }
 
-const WORLDS: [World; 7] = [
-    World {
+const CASES: [Case; 7] = [
+    Case {
         name: "calm",
         proxy_count: 1,
         endpoint_count: 6,
@@ -36,7 +36,7 @@
         failing_count: 0,
         call_count: 12,
     },
-    World {
+    Case {
         name: "sized",
         proxy_count: 1,
         endpoint_count: 6,
@@ -45,7 +45,7 @@
         failing_count: 0,
         call_count: 12,
     },
-    World {
+    Case {
         name: "cold",
         proxy_count: 1,
         endpoint_count: 5,
@@ -54,7 +54,7 @@
         failing_count: 0,
         call_count: 12,
     },
-    World {
+    Case {
         name: "all cold",
         proxy_count: 3,
         endpoint_count: 4,
@@ -63,7 +63,7 @@
         failing_count: 0,
         call_count: 6,
     },
-    World {
+    Case {
         name: "narrow",
         proxy_count: 7,
         endpoint_count: 5,
@@ -72,7 +72,7 @@
         failing_count: 0,
         call_count: 10,
     },
-    World {
+    Case {
         name: "failing",
         proxy_count: 1,
         endpoint_count: 6,
@@ -81,7 +81,7 @@
         failing_count: 2,
         call_count: 16,
     },
-    World {
+    Case {
         name: "sparse",
         proxy_count: 300,
         endpoint_count: 12,
@@ -92,7 +92,7 @@
     },
 ];
 
-impl World {
+impl Case {
     fn entry(&self, endpoint: u32) -> EndpointInfo {
         EndpointInfo {
             id: EndpointId(endpoint),
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The endpoint that each call of one seed went to; `u32::MAX` if none.
-    fn play(&self, seed: u64) -> Vec<u32> {
+    /// Runs the case with one seed; returns the endpoint to which each call was sent, `u32::MAX` if none.
+    fn run(&self, seed: u64) -> Vec<u32> {
         let class = Class { idempotency: Idempotency::Idempotent, ..Settings::default().classes[0] };
         let charges = Charges { cross_zone: 0.02, ..Charges::default() };
         let settings = Settings {
@@ -145,8 +145,8 @@
                     in_flight.push((call, endpoint.0));
                 }
             }
-            // Failing attempts end at once, so that their calls are retried; each third one of the others is
-            // served.
+            // Attempts at failing endpoints end at once; of the other attempts, one is served after every
+            // third call.
             let ends = in_flight
                 .iter()
                 .position(|sent: &(CallId, u32)| sent.1 < self.failing_count || number % 3 == 2);
@@ -183,31 +183,31 @@
     if let [one, other] = &files[..] {
         let one = read(one);
         let other = read(other);
-        for world in &WORLDS {
+        for case in &CASES {
             let distance = |call: u32| {
                 let of = |counts: &Counts, endpoint| {
-                    counts.get(&(world.name.to_string(), call, endpoint)).copied().unwrap_or(0.0)
+                    counts.get(&(case.name.to_string(), call, endpoint)).copied().unwrap_or(0.0)
                 };
                 let difference =
                     |endpoint: u32| (of(&one, endpoint) - of(&other, endpoint)).abs() / SEEDS as f64;
-                (0..world.endpoint_count).map(difference).sum::<f64>() / 2.0
+                (0..case.endpoint_count).map(difference).sum::<f64>() / 2.0
             };
-            let each: Vec<f64> = (0..world.call_count).map(distance).collect();
+            let each: Vec<f64> = (0..case.call_count).map(distance).collect();
             let max = each.iter().copied().fold(0.0, f64::max);
             let mean = each.iter().sum::<f64>() / each.len() as f64;
-            println!("{}: mean {mean:.4}, maximum of one call {max:.4}", world.name);
+            println!("{}: mean {mean:.4}, maximum of one call {max:.4}", case.name);
         }
         return;
     }
-    for world in &WORLDS {
+    for case in &CASES {
         let mut counts: BTreeMap<(usize, u32), u32> = BTreeMap::new();
         for seed in 0..SEEDS {
-            for (call, endpoint) in world.play(seed).into_iter().enumerate().filter(|w| w.1 != u32::MAX) {
+            for (call, endpoint) in case.run(seed).into_iter().enumerate().filter(|w| w.1 != u32::MAX) {
                 *counts.entry((call, endpoint)).or_default() += 1;
             }
         }
         for ((call, endpoint), count) in counts {
-            println!("{}\t{call}\t{endpoint}\t{count}", world.name);
+            println!("{}\t{call}\t{endpoint}\t{count}", case.name);
         }
     }
 }
--- a/crates/core/src/balance/request_queue.rs
+++ b/crates/core/src/balance/request_queue.rs
@@ -68,9 +68,7 @@
     fn send_readmission_trials(&mut self) {
         while let Some(&slot) = self.index.readmission_due.first() {
             let mut scanned = self.calls.queue().iter().take(MAX_QUEUED_CALLS_SCANNED);
-            let Some(position) = scanned.position(|&id| self.may_be_trial(&self.calls[id])) else {
-                break;
-            };
+            let Some(position) = scanned.position(|&id| self.may_be_trial(&self.calls[id])) else { break };
             let id = self.calls.queue()[position];
             self.calls.dequeue(position);
             self.send(id, slot, true);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A client proxy for tests: it feeds events to a balancer and records the actions, without any network.
+//! A client proxy for tests, which feeds events to a balancer and records the actions, without any network.
 #![allow(dead_code)]
 
 use oakport_core::*;
 
-/// A millisecond in microseconds.
+/// One millisecond in microseconds.
 pub const MS: Micros = 1_000;
 
 /// A client proxy that records the balancer's actions and carries out none of them.
@@ -33,13 +33,13 @@
     }
 }
 
-/// A list entry of an endpoint that is ready and warm.
+/// Endpoint list entry of a ready, warm endpoint.
 pub fn ready_endpoint(id: u32) -> EndpointInfo {
     EndpointInfo { id: EndpointId(id), state: EndpointState::Ready, ..EndpointInfo::default() }
 }
 
 impl RecordingProxy {
-    /// A started client proxy whose endpoint list has `endpoint_count` ready, warm endpoints, numbered from 1.
+    /// Creates a started client proxy with `endpoint_count` ready, warm endpoints, numbered from 1.
     pub fn new(settings: Settings, endpoint_count: u32) -> RecordingProxy {
         let mut proxy = RecordingProxy {
             balancer: Balancer::new(7, settings),
@@ -65,7 +65,7 @@
         self.event(Event::EndpointList { kind, endpoints })
     }
 
-    /// A new call of a class, with a client timeout of 1.2 s.
+    /// Makes a new call of a class, with a client timeout of 1.2 s.
     pub fn request_of_class(&mut self, class: usize) -> (CallId, Vec<Action>) {
         self.next_call += 1;
         let call = CallId(self.next_call);
@@ -74,12 +74,12 @@
         (call, self.event(event))
     }
 
-    /// A new call of the first class.
+    /// Makes a new call of the first class.
     pub fn request(&mut self) -> (CallId, Vec<Action>) {
         self.request_of_class(0)
     }
 
-    /// The end of an attempt; a served one closes its call.
+    /// Ends an attempt; a served one closes its call.
     pub fn end_attempt(
         &mut self,
         call: CallId,
@@ -92,7 +92,7 @@
         self.event(Event::AttemptEnded { call, attempt, outcome, elapsed, call_closed, load })
     }
 
-    /// A new call that is served after `elapsed`; returns the endpoint that it was sent to.
+    /// Makes a new call that is served after `elapsed`; returns the endpoint that the call was sent to.
     pub fn serve_one(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (call, actions) = self.request();
         let endpoint = sends(&actions).first().map(|send| send.1);
@@ -101,7 +101,7 @@
         endpoint
     }
 
-    /// Bursts of more calls than may be in flight; each that is sent is served after `elapsed`.
+    /// Makes bursts of more calls than may be in flight; each call that is sent is served after `elapsed`.
     pub fn serve_bursts(&mut self, burst_count: usize, elapsed: Micros) {
         for _ in 0..burst_count {
             let mut in_flight: Vec<CallId> =
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Lets time pass and fires the timer.
+    /// Advances the time and fires the timer.
     pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
         self.now += duration;
         self.event(Event::Timer)
     }
 }
 
-/// The attempts that the actions send: call and endpoint.
+/// Call and endpoint of each attempt that the actions send.
 pub fn sends(actions: &[Action]) -> Vec<(CallId, EndpointId)> {
     let send = |action: &Action| match action {
         Action::Send { call, endpoint, .. } => Some((*call, *endpoint)),
--- a/crates/core/tests/low_traffic.rs
+++ b/crates/core/tests/low_traffic.rs
@@ -1,5 +1,5 @@
-//! Low-traffic mode, where client proxies outnumber endpoints: load polls, machine groups, own zone,
-//! slow-start lottery.
+//! Low-traffic mode, in which client proxies outnumber endpoints: load polls, machine groups, preference of
+//! the own zone, slow-start lottery.
 
 mod common;
 use common::*;
@@ -8,7 +8,8 @@
 const OWN_ZONE: ZoneId = ZoneId(1);
 const OTHER_ZONE: ZoneId = ZoneId(2);
 
-/// A thousand client proxies; with `polls`, load polls report calls in flight and cost little.
+/// Settings of one of a thousand client proxies; with `polls`, load polls report calls in flight at a low
+/// cost.
 fn low_traffic_settings(polls: bool) -> Settings {
     let delivery = if polls { ReportDelivery::OnPoll } else { ReportDelivery::Off };
     let limits = Limits { load_polling: true, ..settings(Idempotency::Idempotent).limits };
@@ -37,23 +38,29 @@
 
 #[test]
 fn a_call_is_sent_to_the_polled_endpoint_with_fewer_calls_in_flight() {
-    for lighter in [0, 1] {
+    for less_loaded in [0, 1] {
         let mut proxy = RecordingProxy::new(low_traffic_settings(true), 6);
         let (call, actions) = proxy.request();
         let polled = polled_endpoints(&actions);
-        assert!(polled.len() == 2 && sends(&actions).is_empty(), "two at a cost of 0.01 each: {actions:?}");
+        assert!(
+            polled.len() == 2 && sends(&actions).is_empty(),
+            "two endpoints are polled, at a cost of 0.01 each: {actions:?}"
+        );
         proxy.now += MS;
-        let heavier = 1 - lighter;
+        let more_loaded = 1 - less_loaded;
         assert!(
-            sends(&end_load_poll(&mut proxy, polled[heavier], Some(3.0))).is_empty(),
-            "it waits for the other report"
+            sends(&end_load_poll(&mut proxy, polled[more_loaded], Some(3.0))).is_empty(),
+            "the call waits for the other load report"
+        );
+        assert_eq!(
+            sends(&end_load_poll(&mut proxy, polled[less_loaded], Some(1.0))),
+            [(call, polled[less_loaded])]
         );
-        assert_eq!(sends(&end_load_poll(&mut proxy, polled[lighter], Some(1.0))), [(call, polled[lighter])]);
     }
 }
 
 #[test]
-fn nothing_is_polled_where_endpoints_outnumber_client_proxies_or_report_nothing() {
+fn no_endpoint_is_polled_if_endpoints_outnumber_client_proxies_or_do_not_report_load() {
     let few_proxies = Settings { proxy_count: 3, ..low_traffic_settings(true) };
     for settings in [few_proxies, low_traffic_settings(false)] {
         let mut proxy = RecordingProxy::new(settings, 6);
@@ -72,7 +79,7 @@
     assert_eq!(
         sends(&proxy.advance(50 * MS)),
         [(call, polled[1])],
-        "not later than a small share of the objective"
+        "the call waits for at most a small share of its latency objective"
     );
     let mut proxy = RecordingProxy::new(low_traffic_settings(true), 6);
     let (call, actions) = proxy.request();
@@ -96,7 +103,7 @@
         actions = proxy.advance(5 * MS);
     }
     assert!(is_rejected(&proxy.actions, call), "rejected before its client times out");
-    assert!((4..=40).contains(&polls), "the pause between polls doubles: {polls} polls");
+    assert!((4..=40).contains(&polls), "the pause between load polls doubles: {polls} polls");
 }
 
 #[test]
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn overload_is_shed_by_the_evidence_of_machine_groups_and_its_end_is_noticed() {
+fn overload_is_shed_by_machine_group_statistics_and_its_end_is_detected() {
     let mut proxy = RecordingProxy::new(low_traffic_settings(false), 60);
     let round = |proxy: &mut RecordingProxy, outcome, elapsed| {
         let mut sent_count = 0;
@@ -137,7 +144,7 @@
     let sent_under_overload = round(&mut proxy, Outcome::TimedOut, 500 * MS);
     assert!(
         (1..=50).contains(&sent_under_overload),
-        "some calls must show when it ends: {sent_under_overload}"
+        "some calls are sent, to detect the end of the overload: {sent_under_overload}"
     );
     round(&mut proxy, Outcome::Served, 40 * MS);
     assert!(round(&mut proxy, Outcome::Served, 40 * MS) > 140);
@@ -163,12 +170,12 @@
     }
     assert!(
         (53..80).contains(&sent_to_faster),
-        "two random endpoints are of one machine type half the time: {sent_to_faster} of 80"
+        "two random endpoints have the same machine type half of the time: {sent_to_faster} of 80"
     );
 }
 
 #[test]
-fn the_own_zone_is_preferred_while_it_has_capacity_where_crossing_zones_has_a_cost() {
+fn the_own_zone_is_preferred_while_it_has_capacity_if_cross_zone_calls_have_a_cost() {
     let charges = Charges { cross_zone: 0.1, ..Charges::default() };
     for (charges, stays_in_zone) in [(charges, true), (Charges::default(), false)] {
         let mut proxy = RecordingProxy::new(Settings { charges, ..low_traffic_settings(false) }, 0);
@@ -177,10 +184,10 @@
             ListUpdateKind::Snapshot,
             (1..=8).map(|i| EndpointInfo { zone: zone(i), ..ready_endpoint(i) }).collect(),
         );
-        // So that the concurrency limit allows a call per endpoint at once.
+        // Raises the concurrency limit to at least one call per endpoint.
         proxy.serve_bursts(20, 20 * MS);
         let chosen: Vec<EndpointId> = (0..8).flat_map(|_| sends(&proxy.request().1)).map(|s| s.1).collect();
-        assert_eq!(chosen.len(), 8, "a call each uses up all budgets");
+        assert_eq!(chosen.len(), 8, "one call per endpoint uses up all budgets");
         assert_eq!(chosen[..4].iter().all(|endpoint| zone(endpoint.0) == OWN_ZONE), stays_in_zone);
     }
 }
@@ -205,12 +212,12 @@
         balancer.handle(1_000_002, event, &mut actions);
         sent_to_warming_up += sends(&actions).iter().filter(|s| s.1 == EndpointId(10)).count();
     }
-    // It has a tenth of a tenth of the capacity: 11 of 1,000 calls, where an even share is 100.
+    // The endpoint has a tenth of a tenth of the capacity, hence 11 of 1,000 calls; an even share is 100.
     assert!((3..=30).contains(&sent_to_warming_up), "{sent_to_warming_up}");
 }
 
 #[test]
-fn retries_of_clients_take_no_part_in_the_slow_start_lottery() {
+fn client_retries_are_excluded_from_the_slow_start_lottery() {
     for (is_retry, expected) in [(false, true), (true, false)] {
         let mut proxy = RecordingProxy::new(low_traffic_settings(false), 0);
         let mut entries: Vec<EndpointInfo> = (1..=4).map(ready_endpoint).collect();
@@ -231,7 +238,7 @@
 }
 
 #[test]
-fn a_client_proxy_uses_a_small_subset_of_the_endpoints_and_another_one_a_different_subset() {
+fn each_client_proxy_uses_its_own_small_subset_of_the_endpoints() {
     let subset = |seed: u64| {
         let mut proxy = RecordingProxy::new(low_traffic_settings(false), 0);
         proxy.balancer = Balancer::new(seed, low_traffic_settings(false));
@@ -247,12 +254,12 @@
         "connections are reused, not opened for each call: {one:?}"
     );
     assert_ne!(one, other);
-    // Many calls at once find the subset at capacity and use other endpoints, once the concurrency limit has
+    // With the subset at capacity, many concurrent calls use other endpoints, once the concurrency limit has
     // increased.
     let mut proxy = RecordingProxy::new(low_traffic_settings(false), 60);
     proxy.serve_bursts(60, 20 * MS);
     let chosen: Vec<EndpointId> = (0..40).flat_map(|_| sends(&proxy.request().1)).map(|s| s.1).collect();
     assert_eq!(chosen.len(), 40, "a busy client proxy is not limited to its subset");
-    // Budgets that have increased allow more than one call each.
+    // Increased budgets allow more than one call each, so some endpoints are sent several calls.
     assert!(std::collections::BTreeSet::from_iter(chosen).len() >= 30, "no endpoint is overloaded");
 }
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! In-flight budgets, trial attempts, endpoint selection and ejection, each by itself.
+//! In-flight budgets, trial attempts, endpoint selection and ejection, each tested in isolation.
 
 mod common;
 use common::*;
@@ -20,7 +20,7 @@
     let (trial, actions) = proxy.request();
     assert_eq!(sends(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.request();
-    assert!(sends(&actions).is_empty(), "one trial at a time");
+    assert!(sends(&actions).is_empty(), "only one trial attempt in flight");
 }
 
 #[test]
@@ -33,8 +33,8 @@
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(sends(&actions).is_empty(), "an attempt that was never sent has no outcome");
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one call each, one in use: the first queued call is sent, and no trial attempt before the
-    // new step has shown its effect.
+    // Two steps of one call each, with one call in flight: the first queued call is sent, but no trial
+    // attempt before the new step has shown its effect.
     assert_eq!(sends(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
@@ -45,10 +45,13 @@
     let d = proxy.request().0;
     let e = proxy.request().0;
     let sent: Vec<CallId> = sends(&proxy.actions).into_iter().map(|send| send.0).collect();
-    assert!(sent.ends_with(&[b, c, d]) && !sent.contains(&e), "the last one is the next trial: {sent:?}");
+    assert!(
+        sent.ends_with(&[b, c, d]) && !sent.contains(&e),
+        "the last call sent is the next trial attempt: {sent:?}"
+    );
 }
 
-/// Makes calls until one is sent as a trial attempt; returns the time until then, and the call.
+/// Makes calls until one is sent as a trial attempt; returns the elapsed time and the call.
 fn next_trial(proxy: &mut RecordingProxy) -> (Micros, CallId) {
     let start = proxy.now;
     loop {
@@ -58,7 +61,7 @@
         if let Some(&(call, _)) = sends(&actions).first() {
             return (proxy.now - start, call);
         }
-        assert!(proxy.now < start + 5_000 * MS, "no trial");
+        assert!(proxy.now < start + 5_000 * MS, "no trial attempt within 5 s");
     }
 }
 
@@ -88,7 +91,7 @@
     while let Some(&(call, _)) = sends(&proxy.request().1).first() {
         next = call;
     }
-    assert_ne!(next, trial, "the last call sent, beyond the budget, is the next trial");
+    assert_ne!(next, trial, "the last call sent, beyond the budget, is the next trial attempt");
     proxy.end_attempt(next, 0, Outcome::Error, MS);
     assert!(next_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
@@ -134,17 +137,17 @@
 }
 
 #[test]
-fn a_choice_at_capacity_is_repeated_among_endpoints_with_capacity() {
-    // Where one of twenty has capacity, two random choices alone would rarely find it, and a trial would be
-    // needed.
+fn a_choice_at_capacity_is_repeated_among_the_endpoints_with_capacity() {
+    // If one of twenty endpoints has capacity, two random choices alone would rarely find it, and a trial
+    // attempt would be sent instead.
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 20);
     let endpoints: std::collections::BTreeSet<EndpointId> =
         (0..20).map(|_| sends(&proxy.request().1)[0].1).collect();
     assert_eq!(endpoints.len(), 20, "every budget is used up before any is exceeded");
 }
 
-/// How many calls an endpoint is sent at once, the last one as a trial attempt, after six served calls and
-/// one with this outcome.
+/// Number of concurrent calls that an endpoint is sent, the last one as a trial attempt, after six served
+/// calls and one with this outcome.
 fn calls_sent_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy =
@@ -163,10 +166,10 @@
 #[test]
 fn a_rejection_decreases_the_concurrency() {
     assert_eq!(calls_sent_after(Outcome::Served), 8);
-    assert_eq!(calls_sent_after(Outcome::Rejected), 7, "four fifths of seven, and a trial attempt");
+    assert_eq!(calls_sent_after(Outcome::Rejected), 7, "four fifths of seven, plus a trial attempt");
 }
 
-/// Makes calls until one is queued and serves the others after 40 ms; returns how many were sent at once.
+/// Makes calls until one is queued and serves the others after 40 ms; returns the number of calls sent.
 fn use_up_budget(proxy: &mut RecordingProxy) -> usize {
     let mut calls = vec![proxy.request()];
     while !sends(&calls[calls.len() - 1].1).is_empty() {
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn steps_are_capped_so_that_as_many_connection_failures_remove_them() {
+fn budget_steps_are_capped_and_removed_by_as_many_connection_failures() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = RecordingProxy::new(Settings { limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let sent_at_once: Vec<usize> = (0..30).map(|_| use_up_budget(&mut proxy)).collect();
@@ -197,11 +200,14 @@
         }
     }
     let remaining = use_up_budget(&mut proxy);
-    assert!(remaining <= 3, "one step of ten is left, and a trial: {remaining} after {sent_at_once:?}");
+    assert!(
+        remaining <= 3,
+        "one step of ten is left, plus a trial attempt: {remaining} after {sent_at_once:?}"
+    );
 }
 
 #[test]
-fn an_endpoint_ejected_by_a_connection_failure_is_skipped_during_backoff_then_gets_one_trial_attempt() {
+fn an_endpoint_ejected_by_a_connection_failure_is_skipped_during_backoff_then_sent_one_trial_attempt() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.request();
     let broken = sends(&actions)[0].1;
@@ -217,21 +223,21 @@
     let (trial, actions) = proxy.request();
     assert_eq!(sends(&actions), [(trial, broken)]);
     let (second, actions) = proxy.request();
-    assert_eq!(sends(&actions)[0].1, other, "one trial attempt only");
+    assert_eq!(sends(&actions)[0].1, other, "only one trial attempt is sent");
     proxy.end_attempt(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end_attempt(trial, 0, Outcome::Served, MS);
     let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve_one(MS)).collect();
     used.sort();
     used.dedup();
-    assert_eq!(used.len(), 2, "re-admitted");
+    assert_eq!(used.len(), 2, "both endpoints are used after the re-admission");
 }
 
 #[test]
 fn with_all_endpoints_ejected_calls_are_rejected_with_retry_after() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset ejects one of the two endpoints, half of them at most; then the list is reduced to the ejected
-    // one.
+    // A reset ejects one of the two endpoints, since at most half of them may be ejected; then the endpoint
+    // list is reduced to the ejected one.
     let (call, actions) = proxy.request();
     let broken = sends(&actions)[0].1;
     proxy.now += MS;
@@ -258,7 +264,7 @@
     assert!(!proxy.actions.iter().any(|a| matches!(a, Action::Log { .. })), "{:?}", proxy.actions);
 }
 
-/// Endpoints 1 and 2 of five let calls of the second class time out and serve all others.
+/// At endpoints 1 and 2 of five, calls of the second class time out and all others are served.
 #[test]
 fn a_class_that_fails_at_some_endpoints_is_sent_to_the_others() {
     let mut settings = settings(Idempotency::Idempotent);
@@ -274,7 +280,7 @@
             proxy.now += 20 * MS;
             proxy.end_attempt(call, 0, Outcome::Served, 20 * MS);
         } else {
-            // Other calls are served there meanwhile.
+            // The endpoint serves other calls meanwhile.
             for _ in 0..10 {
                 proxy.serve_one(50 * MS);
             }
@@ -284,7 +290,7 @@
     }
     assert!(!timed_out.is_empty() && timed_out.len() <= 40, "an even share would be 80: {timed_out:?}");
     let actions_of_first_class = proxy.request().1;
-    assert_eq!(sends(&actions_of_first_class).len(), 1, "no endpoint is ejected for it");
+    assert_eq!(sends(&actions_of_first_class).len(), 1, "no endpoint is ejected for the failing class");
 }
 
 #[test]
@@ -296,14 +302,14 @@
         };
         actions.iter().filter_map(retry_after).collect()
     };
-    // Queued in vain behind a used-up budget and its trial attempt.
+    // A call that is queued until it would be late, behind a used-up budget and a trial attempt.
     let (mut proxy, _) = endpoint_at_capacity(Idempotency::NonIdempotent);
     proxy.request();
     let (_, actions) = proxy.request();
     assert!(sends(&actions).is_empty());
     let found = retry_afters(&proxy.advance(500 * MS));
     assert!(found.len() == 1 && found[0] > 0, "{found:?}");
-    // Out of attempts, none of which was ever sent.
+    // A call without attempts left, all of which failed to connect.
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 9);
     let (call, _) = proxy.request();
     (0..5).for_each(|attempt| drop(proxy.end_attempt(call, attempt, Outcome::ConnectFailed, MS)));
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -5,9 +5,9 @@
 use common::*;
 use oakport_core::*;
 
-/// Cores of a simulated server; more calls than cores share them evenly.
+/// Cores of a simulated server; if there are more calls than cores, the calls share the cores evenly.
 const CORES: f64 = 3.0;
-/// Work of a call, in microseconds of a core.
+/// Work of a call, in microseconds of one core.
 const WORK_US: Micros = 80 * MS;
 /// Resolution of the simulation.
 const STEP_US: Micros = 5 * MS;
@@ -15,7 +15,7 @@
 /// An attempt in progress at a simulated server.
 #[derive(Clone, Copy)]
 struct Work {
-    /// Remaining work, in microseconds of a core.
+    /// Remaining work, in microseconds of one core.
     remaining_us: f64,
     proxy: usize,
     call: CallId,
@@ -69,16 +69,16 @@
         }
     }
 
-    /// Simulates a time with this rate of calls per second over all client proxies; returns the share of
-    /// calls served within their latency objective.
-    fn play(&mut self, calls_per_sec: f64, span: Micros) -> f64 {
+    /// Simulates `span` with this rate of calls over all client proxies; returns the share of calls served
+    /// within their latency objective.
+    fn simulate(&mut self, calls_per_sec: f64, span: Micros) -> f64 {
         let mut arrived = 0u32;
         let mut served_in_time = 0u32;
         for _ in 0..span / STEP_US {
             self.due_calls += calls_per_sec * STEP_US as f64 / 1e6;
             while self.due_calls >= 1.0 {
                 self.due_calls -= 1.0;
-                // Some client proxies get several times the calls of others.
+                // Some client proxies receive several times as many calls as others.
                 self.call_count += 1;
                 let proxy = self.call_count * self.call_count % self.proxies.len();
                 arrived += 1;
@@ -111,17 +111,17 @@
     }
 }
 
-/// 12 servers bear 450 calls per second. During a burst of three times as many, part of the calls is served
-/// and no server is overloaded; a short time after it, the share of calls in time is as before.
+/// 12 servers can serve 450 calls per second. During a burst of three times that rate, part of the calls is
+/// served and no server is overloaded; 4 s after the burst, the share of calls in time is as before.
 #[test]
 fn goodput_recovers_soon_after_a_burst() {
     for proxy_count in [30, 60, 120] {
         let mut fleet = Fleet::new(proxy_count, 12);
-        let before = fleet.play(250.0, 6_000 * MS);
-        let during = fleet.play(1_350.0, 6_000 * MS);
+        let before = fleet.simulate(250.0, 6_000 * MS);
+        let during = fleet.simulate(1_350.0, 6_000 * MS);
         let max_calls = fleet.max_calls_in_progress();
-        fleet.play(250.0, 4_000 * MS);
-        let after = fleet.play(250.0, 6_000 * MS);
+        fleet.simulate(250.0, 4_000 * MS);
+        let after = fleet.simulate(250.0, 6_000 * MS);
         println!("{proxy_count}: {before:.3} {during:.3} {after:.3}, at most {max_calls} calls at a server");
         assert!(before > 0.9, "{proxy_count}: {before} before");
         assert!(during > 0.15, "{proxy_count}: {during} of a load that is three times the capacity");
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -1,4 +1,4 @@
-//! Long random event sequences, unusual but legal ones included; the invariants are checked on every action.
+//! Long random event sequences, including unusual but legal ones; the invariants are checked on every action.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
 const MAX_ATTEMPTS: usize = 4;
 const DEDUPLICATION_WINDOW: Micros = 300 * MS;
 
-/// An attempt as the checker sees it.
+/// State of an attempt for the invariant checks.
 struct SentAttempt {
     endpoint: EndpointId,
     outcome: Option<Outcome>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A call as the checker sees it.
+/// State of a call for the invariant checks.
 #[derive(Default)]
 struct CheckedCall {
     attempts: Vec<SentAttempt>,
@@ -38,8 +38,8 @@
     }
 }
 
-/// A client proxy under random events, and what the checker knows of them.
-struct World {
+/// A client proxy under random events, with the state for the invariant checks.
+struct Harness {
     proxy: RecordingProxy,
     random: Pcg32,
     calls: BTreeMap<CallId, CheckedCall>,
@@ -48,18 +48,18 @@
     hedging: bool,
 }
 
-/// `DAYS=1000` plays more of them than by default.
+/// `DAYS=1000` runs 1,000 event sequences instead of 24.
 #[test]
-fn invariants_hold_on_every_action_of_random_days() {
-    let days = std::env::var("DAYS").ok().and_then(|days| days.parse().ok()).unwrap_or(24);
-    (0..days).for_each(play_day);
+fn invariants_hold_on_every_action_of_random_event_sequences() {
+    let sequence_count = std::env::var("DAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(24);
+    (0..sequence_count).for_each(run_sequence);
 }
 
-fn play_day(seed: u64) {
+fn run_sequence(seed: u64) {
     let mut random = Pcg32::seed_from_u64(seed);
     let settings = random_settings(seed, &mut random);
     let proxy_count = settings.proxy_count;
-    let mut world = World {
+    let mut harness = Harness {
         random,
         calls: BTreeMap::new(),
         list: BTreeMap::new(),
@@ -68,15 +68,15 @@
         proxy: RecordingProxy::new(settings, 0),
     };
     for step in 0..4_000_u64 {
-        world.step(step);
+        harness.step(step);
     }
-    world.let_all_calls_end();
-    let unended: Vec<_> = world.calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
-    assert!(unended.is_empty(), "seed {seed}: never ended {unended:?}");
-    let sent = world.calls.values().filter(|call| !call.attempts.is_empty()).count();
-    // Many client proxies shed calls by the evidence of machine groups.
+    harness.end_all_calls();
+    let unended: Vec<_> = harness.calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
+    assert!(unended.is_empty(), "seed {seed}: calls that never ended: {unended:?}");
+    let sent = harness.calls.values().filter(|call| !call.attempts.is_empty()).count();
+    // With many client proxies, machine-group statistics cause calls to be shed.
     let min_sent = if proxy_count == 300 { 30 } else { 100 };
-    assert!(sent > min_sent, "seed {seed}: too few calls sent for a result: {sent}");
+    assert!(sent > min_sent, "seed {seed}: too few calls sent for a meaningful check: {sent}");
 }
 
 fn below(random: &mut Pcg32, n: u64) -> u64 {
@@ -101,7 +101,7 @@
     settings
 }
 
-impl World {
+impl Harness {
     fn below(&mut self, n: u64) -> u64 {
         below(&mut self.random, n)
     }
@@ -118,7 +118,7 @@
             8 if step.is_multiple_of(7) => self.change_endpoint(),
             8 if step.is_multiple_of(31) => self.proxy.endpoint_list(ListUpdateKind::Failed, vec![]),
             _ => {
-                // Deadlines come first, as the client proxy's clock would have it.
+                // Overdue attempts time out before the timer fires, as in a client proxy.
                 self.time_out_overdue_attempts();
                 self.proxy.event(Event::Timer)
             }
@@ -154,7 +154,7 @@
     }
 
     fn end_attempt(&mut self, id: CallId, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        let call = self.calls.get_mut(&id).expect("a call that came in");
+        let call = self.calls.get_mut(&id).expect("unknown call");
         call.attempts[attempt].outcome = Some(outcome);
         call.ended |= outcome == Outcome::Served;
         let elapsed = self.proxy.now - call.attempts[attempt].sent_at;
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Lets time pass until the deadlines of all calls.
-    fn let_all_calls_end(&mut self) {
+    /// Advances the time beyond the deadlines of all calls and times out their attempts.
+    fn end_all_calls(&mut self) {
         for _ in 0..3 {
             self.proxy.now += 700 * MS;
             let actions = self.proxy.event(Event::Timer);
@@ -201,7 +201,7 @@
     }
 
     fn time_out_if_in_flight(&mut self, id: CallId, attempt: usize) {
-        let call = self.calls.get_mut(&id).expect("a call that came in");
+        let call = self.calls.get_mut(&id).expect("unknown call");
         if call.attempts[attempt].outcome.is_none() {
             call.attempts[attempt].outcome = Some(Outcome::TimedOut);
             let actions = self.proxy.end_attempt(id, attempt as u32, Outcome::TimedOut, 700 * MS);
@@ -216,7 +216,10 @@
                 Action::Reject { call, .. } => self.check_rejection(call),
                 Action::Fail { call } => self.end_call(call),
                 Action::Cancel { call, attempt } => {
-                    assert!((attempt as usize) < self.calls[&call].attempts.len(), "no such attempt")
+                    assert!(
+                        (attempt as usize) < self.calls[&call].attempts.len(),
+                        "cancelled an attempt that was not sent"
+                    )
                 }
                 _ => {}
             }
@@ -225,19 +228,28 @@
 
     fn check_send(&mut self, id: CallId, endpoint: EndpointId) {
         let now = self.proxy.now;
-        let call = self.calls.get_mut(&id).expect("a call that came in");
-        assert!(!call.ended, "sent after its end");
-        assert!(self.list.get(&endpoint) == Some(&EndpointState::Ready), "sent to an endpoint not ready");
-        assert!(call.attempts.len() < MAX_ATTEMPTS, "more attempts than allowed");
+        let call = self.calls.get_mut(&id).expect("unknown call");
+        assert!(!call.ended, "an attempt was sent after the end of its call");
+        assert!(
+            self.list.get(&endpoint) == Some(&EndpointState::Ready),
+            "an attempt was sent to an endpoint that is not ready"
+        );
+        assert!(call.attempts.len() < MAX_ATTEMPTS, "more than MAX_ATTEMPTS attempts");
         let in_flight = call.attempts_in_flight().len();
-        assert!(in_flight == 0 || self.hedging && in_flight == 1, "more attempts at once than allowed");
+        assert!(in_flight == 0 || self.hedging && in_flight == 1, "more concurrent attempts than allowed");
         let first = call.attempts.iter().find(|attempt| attempt.may_have_started());
         match (self.classes[call.class].idempotency, first) {
             (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent call was retried"),
             (Idempotency::Deduplicated { scope, window }, Some(first)) => {
                 let same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
-                assert!(scope == DeduplicationScope::All || same_cell, "sent to another cell");
-                assert!(now <= first.sent_at + window, "sent after its deduplication window");
+                assert!(
+                    scope == DeduplicationScope::All || same_cell,
+                    "an attempt of a deduplicated call was sent to another cell"
+                );
+                assert!(
+                    now <= first.sent_at + window,
+                    "an attempt of a deduplicated call was sent after its window"
+                );
             }
             _ => {}
         }
@@ -248,21 +260,24 @@
         self.end_call(id);
         let call = &self.calls[&id];
         let not_started = call.attempts.iter().all(|attempt| !attempt.may_have_started());
-        let retry_is_harmless = matches!(
+        let retry_is_safe = matches!(
             self.classes[call.class].idempotency,
             Idempotency::Idempotent | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. }
         );
-        assert!(not_started || retry_is_harmless, "rejected although it may have run");
+        assert!(
+            not_started || retry_is_safe,
+            "a call was rejected although an attempt may have run and a retry is not safe"
+        );
     }
 
     fn end_call(&mut self, id: CallId) {
-        let call = self.calls.get_mut(&id).expect("a call that came in");
-        assert!(!std::mem::replace(&mut call.ended, true), "ended twice");
+        let call = self.calls.get_mut(&id).expect("unknown call");
+        assert!(!std::mem::replace(&mut call.ended, true), "a call was ended twice");
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn equal_event_sequences_produce_equal_actions() {
     let run = || {
         let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The invariants of the service, and regression tests: each fails without the code that it covers.
+//! Tests of the balancer's invariants, and regression tests, each of which fails without the code it covers.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
     (1..=4).map(|i| EndpointInfo { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready_endpoint(i) }).collect()
 }
 
-// Each call gets an answer.
+// Each call is ended.
 
 #[test]
 fn queued_calls_are_ended_before_their_client_times_out() {
@@ -21,7 +21,7 @@
         let after =
             actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
         let actions = proxy.advance(after.expect("a timer for the queued call"));
-        assert!(is_rejected(&actions, call), "never sent, so rejected");
+        assert!(is_rejected(&actions, call), "a call that was never sent is rejected");
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
     }
 }
@@ -41,7 +41,7 @@
     }
 }
 
-// No duplicated execution.
+// No call is executed twice.
 
 const UNSERVED_OUTCOMES: [Outcome; 8] = [
     Outcome::Error,
@@ -88,19 +88,28 @@
                     }
                 );
                 if is_scoped && !not_started {
-                    assert_eq!(retries[0].1 .0 % 2, first_endpoint.0 % 2, "stays within its scope");
+                    assert_eq!(
+                        retries[0].1 .0 % 2,
+                        first_endpoint.0 % 2,
+                        "the retry stays within the deduplication scope"
+                    );
                 }
-                // The second attempt ends too late for another one: rejected only where a retry is harmless.
+                // The second attempt ends too late for a third one: the call is rejected only if a client
+                // retry is safe.
                 proxy.now += 450 * MS;
                 let actions = proxy.end_attempt(call, 1, second, MS);
-                let harmless = match idempotency {
+                let is_retry_safe = match idempotency {
                     Idempotency::Idempotent
                     | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
                     _ => not_started && second.proves_not_started(),
                 };
-                assert!(sends(&actions).is_empty(), "too late to be in time");
-                assert_eq!(is_rejected(&actions, call), harmless, "{idempotency:?} {first:?} {second:?}");
-                assert_eq!(is_failed(&actions, call), !harmless);
+                assert!(sends(&actions).is_empty(), "a third attempt would be late");
+                assert_eq!(
+                    is_rejected(&actions, call),
+                    is_retry_safe,
+                    "{idempotency:?} {first:?} {second:?}"
+                );
+                assert_eq!(is_failed(&actions, call), !is_retry_safe);
             }
         }
     }
@@ -144,7 +153,7 @@
     }
 }
 
-/// A call that needs long does so at any endpoint: a hedged attempt would only double the work.
+/// A slow call is slow at any endpoint: a hedged attempt would only double the work.
 #[test]
 fn a_call_is_not_hedged_if_its_endpoint_serves_others_meanwhile() {
     for (serves_others, expected_hedges) in [(false, 1), (true, 0)] {
@@ -159,7 +168,7 @@
         let first_endpoint = sends(&actions)[0].1;
         let start = proxy.now;
         let mut served_there = false;
-        // Calls at the other endpoint stay in flight, until one is sent to this one.
+        // Calls sent to the other endpoint stay in flight, until a call is sent to the first call's endpoint.
         while serves_others && !served_there && proxy.now < start + 200 * MS {
             let (call, actions) = proxy.request();
             proxy.now += 5 * MS;
@@ -168,16 +177,16 @@
                 proxy.end_attempt(call, 0, Outcome::Served, 5 * MS);
             }
         }
-        assert_eq!(served_there, serves_others, "another call is sent to this endpoint");
+        assert_eq!(served_there, serves_others, "another call is served by the first call's endpoint");
         proxy.now = start;
         let hedges = sends(&proxy.advance(430 * MS)).iter().filter(|send| send.0 == first).count();
-        assert_eq!(hedges, expected_hedges, "other calls served: {serves_others}");
+        assert_eq!(hedges, expected_hedges, "another call was served: {serves_others}");
     }
 }
 
-/// Otherwise calls would be rejected although endpoints in slow start could take some.
+/// Without this rule, calls would be rejected although endpoints in slow start could serve some of them.
 #[test]
-fn an_endpoint_in_slow_start_takes_calls_when_no_warm_one_has_capacity_within_its_even_share() {
+fn an_endpoint_in_slow_start_is_sent_calls_within_its_even_share_when_no_warm_one_has_capacity() {
     for (proxy_count, age, expected) in [(1, 0.5, true), (7, 0.9, true), (7, 0.2, false)] {
         let settings = Settings { proxy_count, ..settings(Idempotency::Idempotent) };
         let warm_up_us = settings.rules.warm_up_duration as f64;
@@ -187,17 +196,18 @@
         proxy.endpoint_list(ListUpdateKind::Delta, vec![EndpointInfo { started_at, ..ready_endpoint(2) }]);
         let mut endpoints = Vec::new();
         for call in (0..40).map(|n| CallId(900 + n)) {
-            // A client's retry takes no part in the lottery: only a lack of capacity brings it to slow start.
+            // Client retries are excluded from the slow-start lottery: they are sent to an endpoint in slow
+            // start only for lack of capacity.
             let class = ClassId(0);
             let remaining_time = 1_200 * MS;
             let event = Event::Request { call, class, tenant: None, remaining_time, is_retry: true };
             endpoints.extend(sends(&proxy.event(event)).iter().map(|s| s.1 .0));
         }
-        assert_eq!(endpoints[0], 1, "the warm one comes first");
+        assert_eq!(endpoints[0], 1, "the warm endpoint is used first");
         assert_eq!(
             endpoints.contains(&2),
             expected,
-            "{proxy_count} proxies, {age} of slow start: {endpoints:?}"
+            "{proxy_count} client proxies, {age} of slow start passed: {endpoints:?}"
         );
     }
 }
@@ -209,7 +219,7 @@
     let mut proxy = RecordingProxy::new(settings, 3);
     let (call, _) = proxy.request();
     proxy.event(Event::ResponseStarted { call, attempt: 0 });
-    assert!(sends(&proxy.advance(450 * MS)).is_empty(), "no hedged attempt");
+    assert!(sends(&proxy.advance(450 * MS)).is_empty(), "no hedged attempt is sent");
     let actions = proxy.end_attempt(call, 0, Outcome::Reset, 450 * MS);
     assert!(sends(&actions).is_empty());
 }
@@ -223,7 +233,7 @@
         proxy.serve_one(40 * MS);
     }
     let (call, _) = proxy.request();
-    assert_eq!(sends(&proxy.advance(430 * MS)).len(), 1, "a hedged attempt");
+    assert_eq!(sends(&proxy.advance(430 * MS)).len(), 1, "a hedged attempt is sent");
     let actions = proxy.event(Event::ResponseStarted { call, attempt: 1 });
     assert_eq!(actions, [Action::Cancel { call, attempt: 0 }]);
     let outcome = Outcome::Cancelled;
@@ -233,12 +243,12 @@
 }
 
 #[test]
-fn a_streamed_response_counts_by_its_start_and_releases_its_in_flight_slot_then() {
+fn a_streamed_response_counts_and_frees_its_in_flight_slot_when_it_starts() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 1);
     for _ in 0..20 {
         proxy.serve_one(40 * MS);
     }
-    // More streaming responses than any budget has calls.
+    // More streamed responses than any in-flight budget allows calls.
     for _ in 0..200 {
         let (call, actions) = proxy.request();
         assert_eq!(sends(&actions).len(), 1);
@@ -297,7 +307,7 @@
     let mut proxy = RecordingProxy::new(old.clone(), 4);
     let (call, actions) = proxy.request();
     assert_eq!(sends(&actions).len(), 1);
-    // One attempt only; the first class is removed, and one with a long client timeout is new.
+    // The new settings allow one attempt only, remove the first class and add one with a long client timeout.
     let removed = Class { active: false, ..old.classes[0] };
     let long_timeout =
         Class { latency_objective: 60_000 * MS, client_timeout: 90_000 * MS, ..old.classes[0] };
@@ -314,7 +324,7 @@
 // Draining.
 
 #[test]
-fn a_draining_or_removed_endpoint_is_sent_nothing_also_after_a_cached_list() {
+fn a_draining_or_removed_endpoint_is_sent_no_calls_even_after_a_cached_list() {
     for kind in [ListUpdateKind::Delta, ListUpdateKind::Snapshot] {
         for state in [EndpointState::Draining, EndpointState::Removed] {
             let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 0);
@@ -331,15 +341,15 @@
         assert_eq!(
             proxy.serve_one(MS),
             Some(EndpointId(2)),
-            "an endpoint that a snapshot leaves out is removed"
+            "an endpoint that is missing from a snapshot is removed"
         );
     }
 }
 
 // Slow start.
 
-/// Attempts within six seconds at an endpoint in slow start that ends them with `outcome`, beside two or
-/// three warm ones.
+/// Number of attempts within six seconds at an endpoint in slow start that ends them with `outcome`, next to
+/// two or three warm endpoints.
 fn sends_to_warming_up(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -369,12 +379,12 @@
 }
 
 #[test]
-fn an_endpoint_in_slow_start_gets_its_share_also_when_it_rejects_or_fails_fast_and_after_a_restart() {
+fn an_endpoint_in_slow_start_is_sent_its_share_even_if_it_rejects_or_fails_fast_or_was_restarted() {
     for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::ConnectFailed] {
         for restart in [false, true] {
             let count = sends_to_warming_up(outcome, restart);
-            // A warm endpoint's share of 600 calls is 150 to 300; this one has a tenth to a third of its
-            // capacity.
+            // A warm endpoint's share of 600 calls is 150 to 300; the endpoint in slow start has a tenth to a
+            // third of a warm one's capacity.
             assert!((1..=90).contains(&count), "{outcome:?} {restart}: {count}");
         }
     }
@@ -397,7 +407,7 @@
 }
 
 #[test]
-fn one_served_trial_attempt_does_not_readmit_an_endpoint_that_fails_most() {
+fn one_served_trial_attempt_does_not_readmit_an_endpoint_that_fails_most_calls() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_bad = 0;
     for round in 0..400 {
@@ -417,7 +427,7 @@
         }
         assert!(round < 400);
     }
-    assert!(to_bad <= 40, "a healthy one would get 100 or more: {to_bad}");
+    assert!(to_bad <= 40, "a healthy endpoint would be sent 100 or more calls: {to_bad}");
 }
 
 #[test]
@@ -425,14 +435,14 @@
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.request();
-        assert_eq!(sends(&actions).len(), 1, "half of the fleet still takes calls");
+        assert_eq!(sends(&actions).len(), 1, "half of the fleet is still sent calls");
         proxy.now += 2 * MS;
         proxy.end_attempt(call, 0, Outcome::Error, 2 * MS);
     }
 }
 
 #[test]
-fn the_queue_is_limited_by_wait_so_that_not_all_calls_are_late() {
+fn the_queue_wait_is_limited_so_that_not_all_calls_are_late() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut rejected_at_once = 0;
     for _ in 0..60 {
@@ -458,10 +468,10 @@
         let (call, actions) = proxy.request();
         is_rejected(&actions, call)
     };
-    assert!(!rejected_beside(700 * MS), "30 ms are less than a tenth of the objective");
+    assert!(!rejected_beside(700 * MS), "30 ms are less than a tenth of the latency objective");
     assert!(
         rejected_beside(100 * MS),
-        "calls of the shorter objective may wait 10 ms, so the others wait 20 ms at most"
+        "calls with the shorter objective may wait 10 ms, so the others may wait 20 ms at most"
     );
 }
 
@@ -469,28 +479,31 @@
 fn a_failed_list_poll_is_repeated_after_a_backoff() {
     let mut proxy =
         RecordingProxy::new(Settings { polls_endpoint_list: true, ..settings(Idempotency::Idempotent) }, 2);
-    assert!(proxy.actions.contains(&Action::PollEndpointList), "at the start");
+    assert!(proxy.actions.contains(&Action::PollEndpointList), "the list is polled at the start");
     let actions = proxy.endpoint_list(ListUpdateKind::Failed, vec![]);
-    assert!(!actions.contains(&Action::PollEndpointList), "not at once");
+    assert!(!actions.contains(&Action::PollEndpointList), "the list is not polled again at once");
     let after =
         actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
     assert!(proxy.advance(after.expect("a timer")).contains(&Action::PollEndpointList));
-    assert_eq!(proxy.serve_one(MS).map(|s| s.0 <= 2), Some(true), "the old list stays in force");
+    assert_eq!(proxy.serve_one(MS).map(|s| s.0 <= 2), Some(true), "the old list stays in use");
     let mut push = RecordingProxy::new(settings(Idempotency::Idempotent), 1);
     push.endpoint_list(ListUpdateKind::Failed, vec![]);
     push.advance(60_000 * MS);
-    assert!(!push.actions.contains(&Action::PollEndpointList), "only where the list is polled");
+    assert!(
+        !push.actions.contains(&Action::PollEndpointList),
+        "the list is not polled where discovery pushes it"
+    );
 }
 
 #[test]
-fn an_endpoint_that_rejects_a_call_gets_none_for_its_typical_latency() {
+fn an_endpoint_that_rejects_a_call_is_sent_none_for_the_typical_latency() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve_one(40 * MS);
     }
     let mut sent_to_full = 0;
     for _ in 0..20 {
-        // 2 ms a round: 40 ms in all, the typical latency.
+        // 20 rounds of 2 ms are 40 ms, the typical latency.
         let (call, actions) = proxy.request();
         let mut at = sends(&actions).first().map(|s| s.1);
         proxy.now += 2 * MS;
@@ -510,7 +523,7 @@
 }
 
 #[test]
-fn an_overloaded_endpoint_gets_no_trial_attempts() {
+fn an_overloaded_endpoint_is_sent_no_trial_attempts() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 1);
     for _ in 0..10 {
         proxy.serve_one(40 * MS);
@@ -532,7 +545,7 @@
         RecordingProxy::new(Settings { proxy_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
-        // Of the calls at each endpoint the first is served and the others time out.
+        // At each endpoint, the first call is served and the others time out.
         let calls: Vec<(CallId, Vec<Action>)> = (0..9).map(|_| proxy.request()).collect();
         let at = |i: usize| sends(&calls[i].1).first().map(|s| s.1);
         let first = |i: usize| (0..i).all(|j| at(j) != at(i));
@@ -547,15 +560,15 @@
         proxy.advance(600 * MS);
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
-    assert!(failures > 20, "too few time-outs for a result: {failures}");
+    assert!(failures > 20, "too few time-outs for a meaningful check: {failures}");
     let ejections =
         log.iter().filter(|a| matches!(a, Action::Log(DecisionEvent::EndpointEjected { .. }))).count();
-    assert_eq!(ejections, 0, "slow, but alive");
+    assert_eq!(ejections, 0, "slow but alive endpoints are not ejected");
 }
 
 /// Serves calls in 40 ms with this load report; returns whether a call beyond the budget is then sent as a
 /// trial attempt.
-fn gets_trial_after(load: LoadReport) -> bool {
+fn is_sent_trial_after(load: LoadReport) -> bool {
     let mut proxy =
         RecordingProxy::new(Settings { proxy_count: 12, ..settings(Idempotency::NonIdempotent) }, 1);
     for _ in 0..40 {
@@ -566,7 +579,7 @@
         proxy.event(Event::AttemptEnded { call, attempt: 0, outcome, elapsed, call_closed: true, load });
         proxy.advance(100 * MS);
     }
-    assert_eq!(sends(&proxy.request().1).len(), 1, "the budget's own call");
+    assert_eq!(sends(&proxy.request().1).len(), 1, "the call within the budget is sent");
     sends(&proxy.request().1).len() == 1
 }
 
@@ -575,15 +588,15 @@
     let busy = |b| LoadReport { utilisation: Some(b), ..LoadReport::default() };
     let queue = |w| LoadReport { in_flight: Some(10.0), queued: Some(w), ..LoadReport::default() };
     assert!(
-        gets_trial_after(LoadReport::default())
-            && gets_trial_after(busy(0.5))
-            && gets_trial_after(queue(1.0))
+        is_sent_trial_after(LoadReport::default())
+            && is_sent_trial_after(busy(0.5))
+            && is_sent_trial_after(queue(1.0))
     );
-    assert!(!gets_trial_after(busy(1.0)), "full utilisation");
-    assert!(!gets_trial_after(queue(5.5)), "more calls queued than in progress");
+    assert!(!is_sent_trial_after(busy(1.0)), "full utilisation");
+    assert!(!is_sent_trial_after(queue(5.5)), "more calls queued than in progress");
 }
 
-/// A request whose client waits this long.
+/// Makes a request whose client times out after `remaining_time`.
 fn request_with_timeout(
     proxy: &mut RecordingProxy,
     id: u64,
@@ -605,22 +618,28 @@
 }
 
 #[test]
-fn a_client_retry_past_its_objective_is_rejected_where_other_calls_are_queued() {
+fn a_client_retry_past_its_latency_objective_is_rejected_if_other_calls_are_queued() {
     let mut proxy = proxy_at_capacity();
     let (call, actions) = request_with_timeout(&mut proxy, 1_010, 300 * MS);
-    assert!(!is_rejected(&actions, call), "no call has been rejected: this client has a shorter timeout");
+    assert!(
+        !is_rejected(&actions, call),
+        "no call has been rejected, so this is a client with a shorter timeout, not a retry"
+    );
     proxy.advance(400 * MS);
-    assert!(is_rejected(&proxy.actions, CallId(1_003)), "queued until it could no longer be in time");
+    assert!(is_rejected(&proxy.actions, CallId(1_003)), "rejected once it could no longer be in time");
     let (queued, _) = request_with_timeout(&mut proxy, 1_020, 1_200 * MS);
     proxy.now += 10 * MS;
     let (call, actions) = request_with_timeout(&mut proxy, 1_021, 1_190 * MS);
-    assert!(!is_rejected(&actions, call) && !is_rejected(&actions, queued), "about the same timeout");
+    assert!(
+        !is_rejected(&actions, call) && !is_rejected(&actions, queued),
+        "calls with about the same timeout are not client retries"
+    );
     let (call, actions) = request_with_timeout(&mut proxy, 1_022, 300 * MS);
-    assert!(is_rejected(&actions, call), "the 900 ms already spent are more than its objective");
+    assert!(is_rejected(&actions, call), "the 900 ms already spent exceed its latency objective");
 }
 
 #[test]
-fn a_client_retry_too_late_for_its_objective_is_sent_without_a_timeout_where_there_is_capacity() {
+fn a_client_retry_too_late_for_its_latency_objective_is_sent_without_a_timeout_if_there_is_capacity() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 4);
     request_with_timeout(&mut proxy, 1_001, 1_200 * MS);
     proxy.end_attempt(CallId(1_001), 0, Outcome::Error, MS);
@@ -633,7 +652,7 @@
             }
         })
     };
-    // 400 ms are spent: 100 ms remain to the objective, less than the typical latency.
+    // 400 ms are already spent: 100 ms remain of the latency objective, less than the typical latency.
     let (_, actions) = request_with_timeout(&mut proxy, 1_010, 800 * MS);
     assert_eq!(timeout_at(&actions), Some(None), "{actions:?}");
     let (_, actions) = request_with_timeout(&mut proxy, 1_011, 1_200 * MS);
