--- a/crates/core/examples/recorded/main.rs
+++ b/crates/core/examples/recorded/main.rs
@@ -1,12 +1,12 @@
-//! Plays a fixed stream of events to the balancer and prints each event with the actions that it brought. Two
-//! versions that decide alike print the same bytes, whatever their types and fields are called. The test
-//! `recorded` has the hash of these bytes.
+//! Feeds a fixed stream of events to the balancer and prints each event with the resulting actions. Two
+//! versions that make the same decisions print the same bytes, whatever their types and fields are called.
+//! The test `recorded` checks the hash of these bytes.
 
 mod script;
-mod worlds;
+mod simulations;
 
 fn main() {
-    for script in worlds::play() {
+    for script in simulations::run_all() {
         print!("{script}");
     }
 }
--- a/crates/core/examples/recorded/script.rs
+++ b/crates/core/examples/recorded/script.rs
@@ -1,8 +1,9 @@
-//! Events and actions as text: fixed words and numbers, independent of what types and fields are called.
+//! Formats events and actions as text of fixed words and numbers, independent of the names of types and
+//! fields.
 
 use oakport_core::*;
 
-/// One event, all of its fields.
+/// Formats an event with all of its fields.
 pub fn event(event: &Event) -> String {
     match event {
         Event::Start => "start".to_owned(),
@@ -37,7 +38,7 @@
     }
 }
 
-/// One action, all of its fields.
+/// Formats an action with all of its fields.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Send { call, endpoint, timeout_at, send_before } => {
@@ -108,7 +109,7 @@
     )
 }
 
-/// The settings that the worlds change.
+/// Formats the settings that the simulations change.
 fn settings_in_force(settings: &Settings) -> String {
     format!("settings {} attempts {}", settings.proxy_count, settings.limits.max_attempts)
 }
--- a/crates/core/examples/recorded/worlds.rs
+++ b/crates/core/examples/recorded/simulations.rs
@@ -1,6 +1,6 @@
-//! Random worlds, played to the balancer: calls of four classes; endpoints that are fast, slow, failing, in
-//! slow start or silent; changes of the endpoint list and the settings; load polls, streamed bodies, clients
-//! that disconnect. Each event is written with the actions that follow from it, as [`script`] has it.
+//! Random simulations of the balancer: calls of four classes; endpoints that are fast, slow, failing, in slow
+//! start or silent; changes of the endpoint list and the settings; load polls, streamed bodies, clients that
+//! disconnect. Each event is written with the resulting actions, in the format of [`script`].
 
 use crate::script;
 use oakport_core::*;
@@ -10,8 +10,8 @@
 use std::fmt::Write;
 
 const MS: Micros = 1_000;
-/// Steps of each world; each brings one event, and the timers and ends of attempts before it.
-const STEPS_PER_WORLD: usize = 3_000;
+/// Steps of each simulation. Each step runs the pending events that are due, and feeds one new event.
+const STEPS_PER_SIMULATION: usize = 3_000;
 
 struct Random(Pcg32);
 
@@ -25,20 +25,20 @@
     }
 }
 
-struct World {
+struct Simulation {
     script: String,
     balancer: Balancer,
     random: Random,
     now: Micros,
     timers: BTreeSet<Micros>,
-    /// Events to come, by time and order.
+    /// Pending events, by time and order of scheduling.
     pending: BTreeMap<(Micros, u64), Event>,
     attempts: BTreeMap<CallId, u32>,
     entries: Vec<EndpointInfo>,
     scheduled_count: u64,
 }
 
-fn settings(world: u64) -> Settings {
+fn settings(number: u64) -> Settings {
     let class = |latency_objective, client_timeout, priority_weight, idempotency| Class {
         latency_objective,
         client_timeout,
@@ -49,7 +49,7 @@
     };
     let window = 400 * MS;
     Settings {
-        proxy_count: [1, 4, 300, 20, 1_000, 2][world as usize % 6],
+        proxy_count: [1, 4, 300, 20, 1_000, 2][number as usize % 6],
         zone: ZoneId(1),
         polls_endpoint_list: true,
         classes: vec![
@@ -69,27 +69,27 @@
             ),
         ],
         limits: Limits {
-            load_polling: world.is_multiple_of(2),
-            hedging: !world.is_multiple_of(3),
+            load_polling: number.is_multiple_of(2),
+            hedging: !number.is_multiple_of(3),
             max_attempts: 3,
             ..Settings::default().limits
         },
         charges: Charges { cross_zone: 0.02, load_poll: 0.005, ..Charges::default() },
         load_reporting: LoadReporting {
-            delivery: if world.is_multiple_of(2) { ReportDelivery::OnPoll } else { ReportDelivery::Inline },
+            delivery: if number.is_multiple_of(2) { ReportDelivery::OnPoll } else { ReportDelivery::Inline },
             includes_in_flight: true,
         },
-        weight_source: if world.is_multiple_of(3) { WeightSource::Approximate } else { WeightSource::Off },
+        weight_source: if number.is_multiple_of(3) { WeightSource::Approximate } else { WeightSource::Off },
         ..Settings::default()
     }
 }
 
-impl World {
-    fn new(world: u64) -> Self {
-        let mut made = World {
+impl Simulation {
+    fn new(number: u64) -> Self {
+        let mut simulation = Simulation {
             script: String::new(),
-            balancer: Balancer::new(world, settings(world)),
-            random: Random(Pcg32::seed_from_u64(world)),
+            balancer: Balancer::new(number, settings(number)),
+            random: Random(Pcg32::seed_from_u64(number)),
             now: 1_000_000_000,
             timers: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -97,9 +97,9 @@
             entries: Vec::new(),
             scheduled_count: 0,
         };
-        let endpoint_count = [6, 12, 40, 9, 25, 3][world as usize % 6];
-        made.entries = (0..endpoint_count).map(|endpoint| made.entry(endpoint)).collect();
-        made
+        let endpoint_count = [6, 12, 40, 9, 25, 3][number as usize % 6];
+        simulation.entries = (0..endpoint_count).map(|endpoint| simulation.entry(endpoint)).collect();
+        simulation
     }
 
     fn entry(&mut self, endpoint: u32) -> EndpointInfo {
@@ -149,8 +149,13 @@
                 );
             }
             Action::Cancel { call, attempt } => {
-                let out = |e: &Event| matches!(e, Event::AttemptEnded { call: c, attempt: a, .. } if (*c, *a) == (call, attempt));
-                let found = self.pending.iter().find(|(_, e)| out(e)).map(|(k, _)| *k);
+                let is_its_end = |e: &Event| {
+                    matches!(
+                        e,
+                        Event::AttemptEnded { call: c, attempt: a, .. } if (*c, *a) == (call, attempt)
+                    )
+                };
+                let found = self.pending.iter().find(|(_, e)| is_its_end(e)).map(|(k, _)| *k);
                 if let Some(Event::AttemptEnded { call, attempt, load, .. }) =
                     found.and_then(|k| self.pending.remove(&k))
                 {
@@ -182,7 +187,8 @@
         }
     }
 
-    /// Outcome and latency of an attempt: by endpoint and time, so that faults last.
+    /// Outcome and latency of an attempt, which depend on the endpoint and a period of 3 s, so that faults
+    /// persist.
     fn outcome_of_attempt(&mut self, endpoint: EndpointId) -> (Outcome, Micros) {
         let phase = self.now / 3_000_000 + u64::from(endpoint.0) * 7;
         let latency = 10 * MS + self.random.below(60 * MS);
@@ -214,7 +220,7 @@
         self.pending.insert((self.now + after, self.scheduled_count), event);
     }
 
-    /// Plays timers and pending events up to `until`.
+    /// Fires the timers and feeds the pending events that are due until `until`.
     fn run_until(&mut self, until: Micros) {
         loop {
             let pending = self.pending.first_key_value().map(|(&key, _)| key);
@@ -278,16 +284,16 @@
     }
 }
 
-/// Plays all worlds; the text of each.
-pub fn play() -> impl Iterator<Item = String> {
+/// Runs all simulations; returns the text of each.
+pub fn run_all() -> impl Iterator<Item = String> {
     (0..6).map(|number| {
-        let mut world = World::new(number);
+        let mut simulation = Simulation::new(number);
         let settings = settings(number);
-        world.event(Event::Start);
-        for step in 0..STEPS_PER_WORLD {
-            world.step(step, &settings);
+        simulation.event(Event::Start);
+        for step in 0..STEPS_PER_SIMULATION {
+            simulation.step(step, &settings);
         }
-        world.run_until(world.now + 10_000_000);
-        world.script
+        simulation.run_until(simulation.now + 10_000_000);
+        simulation.script
     })
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -441,7 +441,8 @@
         let served_ratio = served as f64 / arrived as f64;
         let name = scale.name();
         println!(
-            "{name} restarted: {served_ratio:.4} of {arrived} calls served, at most {max_budget_ratio:.2} budgets sent"
+            "{name} restarted: {served_ratio:.4} of {arrived} calls served, \
+             at most {max_budget_ratio:.2} budgets sent"
         );
     }
     for (parameters, summary) in &violations {
