--- a/crates/core/examples/picks.rs
+++ b/crates/core/examples/picks.rs
@@ -2,8 +2,8 @@
 //! case, call and endpoint. Two versions that draw random numbers in a different order print different counts
 //! of the same distribution.
 //!
-//! `cargo run --release -p oakport-core --example picks > a`, the same with the other version, then `cargo
-//! run --release -p oakport-core --example picks -- a b` for the total variation distance of each case.
+//! `cargo run --release -p oakport-core --example picks > a`, the same with the other version, then
+//! `cargo run --release -p oakport-core --example picks -- a b` for the total variation distance of each case.
 
 use oakport_core::*;
 use std::collections::BTreeMap;
--- a/crates/core/src/balance/attempt_feedback.rs
+++ b/crates/core/src/balance/attempt_feedback.rs
@@ -186,8 +186,8 @@
         group.admitted_ratio = (group.admitted_ratio * exponent.exp()).clamp(FEEDBACK_WEIGHT / 2.0, 1.0);
     }
 
-    /// Updates the endpoint's latency ratio. A sample has more weight the longer ago the previous one was, so
-    /// that old samples of an endpoint with little traffic decay.
+    /// Updates the endpoint's latency ratio. The weight of a sample grows with the time since the previous
+    /// one, so that old samples of an endpoint with little traffic decay.
     fn update_latency_ratio(&mut self, feedback: &Feedback) {
         let endpoint = &mut self.endpoints[feedback.slot];
         let since_last_us = self.now.saturating_sub(endpoint.last_feedback_at) as f64;
@@ -383,7 +383,7 @@
 fn health_signal(outcome: Outcome, served_others: bool) -> HealthSignal {
     match outcome {
         Outcome::Served => HealthSignal::Healthy,
-        // The endpoint is slow but alive: it gets fewer calls, but is not ejected.
+        // The endpoint is slow but alive: it is sent fewer calls, but is not ejected.
         Outcome::TimedOut if served_others => HealthSignal::Healthy,
         Outcome::Cancelled | Outcome::NotSent | Outcome::InvalidRequest => HealthSignal::Unknown,
         _ => HealthSignal::Failed,
--- a/crates/core/src/balance/concurrency_limit.rs
+++ b/crates/core/src/balance/concurrency_limit.rs
@@ -105,8 +105,8 @@
 
     fn record(&mut self, now: Micros, release: &Release, is_late: bool, max_objective_us: f64) {
         let late = self.late_responses.entry(release.machine_group).or_default();
-        // A sample has more weight the longer ago the previous one was, so that old samples of a group with
-        // little traffic decay.
+        // The weight of a sample grows with the time since the previous one, so that old samples of a group
+        // with little traffic decay.
         let since_last = now.saturating_sub(late.updated_at) as f64 / max_objective_us;
         let weight = (FEEDBACK_WEIGHT / 2.0).max(1.0 - (-since_last).exp());
         let sample = if is_late { 1.0 } else { 0.0 };
--- a/crates/core/src/balance/endpoint_selection.rs
+++ b/crates/core/src/balance/endpoint_selection.rs
@@ -132,7 +132,7 @@
     }
 
     /// Whether an endpoint in slow start may be sent calls outside the slow-start lottery: if no warm
-    /// endpoint is available, or if none has capacity and this endpoint can bear the same number of calls
+    /// endpoint is available, or if none has capacity and this endpoint can serve the same number of calls
     /// from every client proxy. Not in low-traffic mode, where each of many client proxies would send it one
     /// call.
     fn may_bypass_lottery(&self, slot: usize) -> bool {
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -309,7 +309,7 @@
     assert!(sends(&actions).is_empty());
     let found = retry_afters(&proxy.advance(500 * MS));
     assert!(found.len() == 1 && found[0] > 0, "{found:?}");
-    // A call without attempts left, all of which failed to connect.
+    // A call that has used up its attempts, all of which failed to connect.
     let mut proxy = RecordingProxy::new(settings(Idempotency::NonIdempotent), 9);
     let (call, _) = proxy.request();
     (0..5).for_each(|attempt| drop(proxy.end_attempt(call, attempt, Outcome::ConnectFailed, MS)));
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_streamed_response_counts_and_frees_its_in_flight_slot_when_it_starts() {
+fn a_streamed_response_is_measured_and_frees_its_in_flight_slot_when_it_starts() {
     let mut proxy = RecordingProxy::new(settings(Idempotency::Idempotent), 1);
     for _ in 0..20 {
         proxy.serve_one(40 * MS);
