--- a/crates/core/src/call_table/tests.rs
+++ b/crates/core/src/call_table/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the call table and its request queue.
+//! Tests of the call table and the request queue.
 
 use super::*;
 
 #[test]
-fn queued_calls_stay_in_order_and_leave_the_queue_however_they_end() {
+fn queued_calls_keep_their_order_and_leave_the_queue_when_dequeued_or_ended() {
     let mut calls = CallTable::default();
     for id in 1..=4 {
         let position = if id == 4 { QueuePosition::Front } else { QueuePosition::Back };
@@ -20,11 +20,14 @@
     assert_eq!(calls.timers.pop_expired(20), Some(CallId(2)));
     calls.remove_if_done(CallId(1));
     calls.remove_if_done(CallId(2));
-    assert!(calls.get(CallId(1)).is_none() && calls.get(CallId(2)).is_some(), "only what has ended");
+    assert!(
+        calls.get(CallId(1)).is_none() && calls.get(CallId(2)).is_some(),
+        "only the ended call is removed"
+    );
 }
 
 #[test]
-fn an_attempt_ends_once_and_a_call_with_one_in_flight_stays() {
+fn an_attempt_ends_only_once_and_a_call_with_an_attempt_in_flight_is_not_removed() {
     let mut calls = CallTable::default();
     let attempt = Attempt {
         endpoint: EndpointId(1),
@@ -39,7 +42,7 @@
     let call = CallId(7);
     calls.insert(call, Call { attempts: vec![attempt, attempt], ..Call::default() });
     assert!(calls.end_attempt(call, 0, Outcome::ConnectFailed).is_some());
-    assert!(calls.end_attempt(call, 0, Outcome::Served).is_none(), "once");
+    assert!(calls.end_attempt(call, 0, Outcome::Served).is_none(), "an attempt ends only once");
     assert!(calls.end_attempt(call, 9, Outcome::Served).is_none());
     assert_eq!(calls.cancel_losers(call, None).collect::<Vec<_>>(), [Action::Cancel { call, attempt: 1 }]);
     assert_eq!(calls.cancel_losers(call, Some(1)).count(), 0);
--- a/crates/core/src/endpoint_index/tests.rs
+++ b/crates/core/src/endpoint_index/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of the endpoint index against a plain list of statuses.
+//! Compares the endpoint index with a plain list of statuses under random changes.
 
 use super::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// After any changes, each set contains what the last status of each slot says.
+/// Guards against sets that drift from the recorded statuses as statuses change, expire or get ranked.
 #[test]
-fn each_set_contains_what_the_statuses_say() {
+fn sets_match_the_last_status_of_each_slot() {
     let mut random = Pcg32::seed_from_u64(5);
     for slot_count in [2, 60] {
         apply_random_changes(slot_count, &mut random);
@@ -23,7 +23,7 @@
         expected[slot] = entry;
         while let Some(slot) = index.pop_expired_status(step) {
             let valid_until = expected[slot].status.valid_until.take();
-            assert!(valid_until.is_some_and(|at| at <= step), "expires when it is due, once");
+            assert!(valid_until.is_some_and(|at| at <= step), "a status expires once, when it is due");
         }
         if step % 50 == 0 {
             index.enable_ranking(step % 1_000 >= 100);
@@ -76,5 +76,5 @@
     let warming_up = expected.iter().filter(|entry| entry.status.warming_up);
     let age_sum: f64 = warming_up.map(|entry| entry.key.size * (step - entry.key.started_at) as f64).sum();
     let actual = index.warming_up_age_sum_us(step);
-    assert!((actual - age_sum).abs() < 1e-3, "{actual} {age_sum}");
+    assert!((actual - age_sum).abs() < 1e-3, "age sum {actual}, expected {age_sum}");
 }
--- a/crates/core/src/event_loop/tests.rs
+++ b/crates/core/src/event_loop/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that the index of endpoints follows all events.
+//! Tests that every event updates the endpoint index.
 
 use crate::action::Action;
 use crate::balance::Balancer;
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Actions of a balancer under random events: list updates, restarts, failures, settings and the passing of
-/// time.
+/// Sends random events to a balancer: timers, list updates, restarts, requests, failures and settings, with
+/// random time between them.
 struct RandomEvents {
     random: Pcg32,
     settings: Settings,
@@ -24,15 +24,15 @@
     attempt: u32,
 }
 
-/// After each event every endpoint is filed under its present status. Only what changes with the fleet's
-/// latencies, or with the progress of slow start, may lag.
+/// Guards against an event handler that changes an endpoint without updating the index. Only the parts of a
+/// status that change with the latencies of all endpoints or with the progress of slow start may be outdated.
 #[test]
-fn each_endpoint_is_filed_under_its_present_status() {
+fn the_index_matches_the_current_status_of_each_endpoint_after_each_event() {
     for seed in 0..60 {
         let class = Class { idempotency: Idempotency::Idempotent, ..Settings::default().classes[0] };
         let proxy_count = [1, 7, 300][seed as usize % 3];
         let settings = Settings { proxy_count, classes: vec![class], ..Settings::default() };
-        let mut world = RandomEvents {
+        let mut run = RandomEvents {
             random: Pcg32::seed_from_u64(seed),
             balancer: Balancer::new(seed, settings.clone()),
             settings,
@@ -40,8 +40,8 @@
             in_flight: Vec::new(),
         };
         for step in 0..1_500u64 {
-            world.step(step);
-            world.check(seed, step);
+            run.step(step);
+            run.check(seed, step);
         }
     }
 }
@@ -105,15 +105,15 @@
 
     fn check(&self, seed: u64, step: u64) {
         for slot in 0..self.balancer.endpoints.len() {
-            let present = self.balancer.endpoint_status(&self.balancer.endpoints[slot]);
-            let filed = self.balancer.index.status(slot);
-            assert_eq!(stable_part(filed), stable_part(present), "seed {seed}, step {step}, slot {slot}");
+            let current = self.balancer.endpoint_status(&self.balancer.endpoints[slot]);
+            let indexed = self.balancer.index.status(slot);
+            assert_eq!(checked_part(indexed), checked_part(current), "seed {seed}, step {step}, slot {slot}");
         }
     }
 }
 
-/// The part of a status that must not lag.
-fn stable_part(status: EndpointStatus) -> EndpointStatus {
+/// The part of a status that must be up to date in the index.
+fn checked_part(status: EndpointStatus) -> EndpointStatus {
     if !status.listed {
         return EndpointStatus::default();
     }
--- a/crates/core/src/weighted_set/tests.rs
+++ b/crates/core/src/weighted_set/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the weighted set against a plain list of weights.
+//! Compares the weighted set with a plain list of weights under random changes.
 
 use super::*;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// After any changes, the members and the frequency of each sample follow the weights.
+/// Guards against members or sampling frequencies that deviate from the weights after changes.
 #[test]
-fn members_and_samples_follow_a_plain_list_of_weights() {
+fn members_and_sampling_frequencies_match_the_weights() {
     let mut random = Pcg32::seed_from_u64(3);
-    for world in 0..40 {
+    for run in 0..40 {
         let slot_count = 1 + random.gen_range(0..200);
         let mut set = WeightedSet::default();
         let mut weights = vec![0.0; slot_count];
@@ -19,12 +19,12 @@
             weights[slot] = weight;
         }
         let members: Vec<usize> = (0..slot_count).filter(|&slot| weights[slot] > 0.0).collect();
-        assert_eq!(set.iter().collect::<Vec<_>>(), members, "world {world}");
+        assert_eq!(set.iter().collect::<Vec<_>>(), members, "run {run}: members");
         assert_eq!(set.len(), members.len());
         assert!((set.total() - weights.iter().sum::<f64>()).abs() < 1e-6);
-        let excluded = members.first().copied().filter(|_| world % 2 == 0);
-        // Where few slots are accepted, the set is scanned.
-        let acceptance = |slot: usize| match (world % 3, slot % 97) {
+        let excluded = members.first().copied().filter(|_| run % 2 == 0);
+        // In every third run few slots are accepted, so that the set is sampled by a scan.
+        let acceptance = |slot: usize| match (run % 3, slot % 97) {
             (0, 1) => 1.0,
             (0, _) => 0.0,
             _ => 0.5,
@@ -37,7 +37,7 @@
         for _ in 0..4_000 {
             match set.sample(&mut random, excluded, acceptance) {
                 Some(slot) => frequency[slot] += 1.0 / 4_000.0,
-                None => assert_eq!(total, 0.0, "world {world}: a slot could be sampled"),
+                None => assert_eq!(total, 0.0, "run {run}: no sample although a slot is eligible"),
             }
         }
         let difference = |slot: usize| {
@@ -48,7 +48,7 @@
             }
         };
         let distance = (0..slot_count).map(difference).sum::<f64>() / 2.0;
-        assert!(distance < 0.12, "world {world}: total variation {distance}");
+        assert!(distance < 0.12, "run {run}: total variation distance {distance}");
     }
 }
 
