--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -1,31 +1,32 @@
-//! Actions: what the balancer asks the client proxy to do.
+//! Actions that the balancer returns for the client proxy to carry out.
 
 use crate::event::Outcome;
 use crate::ids::{CallId, ClassId, EndpointId, Micros};
 use std::fmt;
 
-/// What the balancer asks the client proxy to do.
+/// An action that the client proxy carries out for the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of the call to an endpoint; attempts of a call are numbered from 0.
+    /// Send the next attempt of the call to an endpoint; attempts of a call are numbered from 0.
     Send {
         /// The call.
         call: CallId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// The moment at which the attempt times out; `None`: when the client's time is up.
+        /// When the attempt times out; `None` if only the client's deadline limits it.
         timeout_at: Option<Micros>,
-        /// The moment before which it must be sent, if at all: later, endpoints no longer drop it as a repeat.
+        /// Time before which the attempt must be sent, or not at all: later, endpoints no longer recognise it
+        /// as a duplicate. `None` if there is no such limit.
         send_before: Option<Micros>,
     },
-    /// End the call unserved; the client may safely retry it.
+    /// Reject the call without serving it; the client may safely retry.
     Reject {
         /// The call.
         call: CallId,
-        /// After how long the client should retry, in microseconds.
+        /// Delay after which the client should retry, in microseconds.
         retry_after: Micros,
     },
-    /// End the call with an error; it may have been executed.
+    /// Fail the call; it may have been executed.
     Fail {
         /// The call.
         call: CallId,
@@ -42,9 +43,9 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send [`Event::Timer`](crate::Event::Timer) after this time.
+    /// Send [`Event::Timer`](crate::Event::Timer) after a delay.
     SetTimer {
-        /// How long from now, in microseconds.
+        /// The delay, in microseconds.
         after: Micros,
     },
     /// Poll discovery for the endpoint list.
@@ -53,24 +54,24 @@
     Log(DecisionEvent),
 }
 
-/// A decision that on-call staff should see in the log. As text it names endpoints and classes by number.
+/// A decision that is logged for operators. Its `Display` form identifies endpoints and classes by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionEvent {
-    /// Every listed endpoint is ejected: calls are rejected from now on.
+    /// Every listed endpoint is ejected, and calls are rejected.
     AllEndpointsEjected,
-    /// An endpoint gets nothing but a trial attempt now and then.
+    /// An endpoint has been ejected: it is sent only occasional trial attempts.
     EndpointEjected {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Outcome of the attempt that caused it.
+        /// Outcome of the attempt that caused the ejection.
         outcome: Outcome,
     },
-    /// An ejected endpoint has served its trial attempt.
+    /// An ejected endpoint has been re-admitted after it served a trial attempt.
     EndpointReadmitted {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Calls of one class fail at an endpoint, whether or not others do.
+    /// Calls of one class fail too often at an endpoint, whether or not other classes are served there.
     ClassFailing {
         /// The endpoint.
         endpoint: EndpointId,
--- a/crates/core/src/call_table.rs
+++ b/crates/core/src/call_table.rs
@@ -1,4 +1,4 @@
-//! Calls from arrival to end: their attempts, the request queue and the calls' timers.
+//! Table of the calls in progress, with their attempts and timers, and the request queue.
 
 use crate::action::Action;
 use crate::event::Outcome;
@@ -11,14 +11,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Whether an attempt has been executed.
+/// Whether an endpoint has executed an attempt, as far as the balancer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Execution {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It provably did not start.
+    /// The attempt has ended and its execution provably did not start.
     NotStarted,
-    /// It has ended and may have run.
+    /// The attempt has ended and may have been executed.
     MayHaveRun,
 }
 
@@ -29,12 +29,12 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) sent_at: Micros,
-    /// It is a trial attempt: its result raises the endpoint's budget or re-admits it.
+    /// Whether this is a trial attempt, which re-admits the endpoint or raises its budget if served.
     pub(crate) is_trial: bool,
-    /// The endpoint's load by a recent load poll, see [`Endpoint::polled_load`](crate::endpoint::Endpoint); 0
-    /// if none.
+    /// The endpoint's load when the attempt was sent, from a recent load poll (see
+    /// [`Endpoint::polled_load`](crate::endpoint::Endpoint)); 0 if there was none.
     pub(crate) polled_load: f64,
-    /// Its response has begun to stream: the endpoint has done its work.
+    /// Whether the response has started to stream, so that the endpoint counts as having served the attempt.
     pub(crate) response_started: bool,
     pub(crate) execution: Execution,
 }
@@ -46,32 +46,32 @@
     pub(crate) class_id: usize,
 }
 
-/// A call from its arrival until it has ended and no attempt is in flight.
+/// A call, kept until it has ended and none of its attempts is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Call {
     pub(crate) class: Class,
     pub(crate) class_id: usize,
-    /// Attempts that the settings allowed when it arrived.
+    /// Limit of attempts in the settings at the call's arrival.
     pub(crate) max_attempts: u32,
     pub(crate) arrived_at: Micros,
-    /// When its client sent its first request, as far as is known.
+    /// Estimated time of the client's first request, which the client may have retried since.
     pub(crate) first_requested_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
-    /// It may still take part in the slow-start lottery.
+    /// Whether the call may still take part in the slow-start lottery.
     pub(crate) slow_start_eligible: bool,
-    /// Random number from 0 to 1 that samples the call for partial measures, such as those of a machine
-    /// group.
+    /// Random number from 0 to 1, for decisions that apply to a share of the calls, such as the admission by
+    /// a machine group.
     pub(crate) sample: f64,
-    /// Endpoints that are being polled for their load; the call goes to one of them.
+    /// Endpoints that are being polled for their load, as candidates for this call.
     pub(crate) polled_endpoints: Vec<EndpointId>,
     pub(crate) poll_started_at: Micros,
-    /// It may poll again from this moment.
+    /// Earliest time of the next load polls for this call.
     pub(crate) next_poll_at: Micros,
-    /// How often all polled endpoints were at capacity.
+    /// Number of rounds of load polls in which no polled endpoint had capacity.
     pub(crate) at_capacity_count: u32,
     pub(crate) queued: bool,
-    /// Its response has begun to stream.
+    /// Whether a response to the call has started to stream.
     pub(crate) streaming: bool,
     pub(crate) ended: bool,
 }
@@ -82,12 +82,12 @@
         self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 
-    /// The first attempt that may have run; deduplication of later ones depends on it.
+    /// The first attempt that may have been executed; the deduplication of later attempts depends on it.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.execution != Execution::NotStarted)
     }
 
-    /// The moment after which a response has no priority weight left.
+    /// Time after which a response no longer earns any priority weight.
     pub(crate) fn weight_deadline(&self) -> Micros {
         let limit = if self.class.late_weight_ratio > 0.0 {
             self.class.client_timeout
@@ -97,7 +97,7 @@
         self.deadline.min(self.first_requested_at.saturating_add(limit))
     }
 
-    /// Whether no attempt has been sent to this endpoint.
+    /// Whether no attempt of the call has been sent to this endpoint.
     pub(crate) fn has_not_attempted(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().all(|attempt| attempt.endpoint != endpoint)
     }
@@ -110,7 +110,7 @@
     Back,
 }
 
-/// All calls, the request queue and the calls' timers.
+/// Calls in progress, the request queue and the calls' timers.
 #[derive(Debug, Default)]
 pub(crate) struct CallTable {
     calls: HashMap<CallId, Call>,
@@ -139,12 +139,12 @@
         self.calls.insert(id, call);
     }
 
-    /// Queued calls, the next one first.
+    /// Queued calls, front of the queue first.
     pub(crate) fn queue(&self) -> &VecDeque<CallId> {
         &self.queue
     }
 
-    /// Queues a call until `deadline` at the latest.
+    /// Adds a call to the queue and sets its timer to `deadline`.
     pub(crate) fn enqueue(&mut self, id: CallId, position: QueuePosition, deadline: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes the call at this index out of the queue.
+    /// Removes the call at this index from the queue.
     pub(crate) fn dequeue(&mut self, index: usize) {
         if let Some(call) = self.queue.remove(index).and_then(|id| self.calls.get_mut(&id)) {
             call.queued = false;
@@ -180,7 +180,8 @@
         Some(AttemptWithClass { attempt: *ended, class_id: call.class_id })
     }
 
-    /// Records that the response of an attempt has begun to stream; returns the attempt the first time.
+    /// Records that the response of an attempt has started to stream. Returns the attempt as it was before;
+    /// `None` if the attempt is unknown or has ended, or if its response had already started.
     pub(crate) fn start_response(&mut self, id: CallId, attempt: u32) -> Option<AttemptWithClass> {
         let call = self.calls.get_mut(&id)?;
         call.streaming = true;
@@ -194,7 +195,7 @@
         Some(AttemptWithClass { attempt: before, class_id: call.class_id })
     }
 
-    /// Actions that cancel the attempts in flight, but for `winner` and those whose responses stream.
+    /// Actions that cancel the attempts in flight, except `winner` and those whose responses have started.
     pub(crate) fn cancel_losers(&self, id: CallId, winner: Option<u32>) -> impl Iterator<Item = Action> + '_ {
         let attempts = self.calls.get(&id).map_or(&[][..], |call| &call.attempts);
         let is_loser = move |number: u32, attempt: &Attempt| {
@@ -204,7 +205,7 @@
         losers.map(move |(attempt, _)| Action::Cancel { call: id, attempt })
     }
 
-    /// Records that the call has its final answer.
+    /// Marks a call as ended, cancels its timer and removes it from the queue.
     pub(crate) fn end(&mut self, id: CallId) {
         self.timers.set(id, None);
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Removes a call that has ended and has no attempt in flight.
+    /// Removes a call if it has ended and has no attempt in flight.
     pub(crate) fn remove_if_done(&mut self, id: CallId) {
         if self.calls.get(&id).is_some_and(|call| call.ended && call.attempts_in_flight() == 0) {
             self.calls.remove(&id);
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The record of an endpoint: its entry in the endpoint list and what the balancer has learned about it.
+//! The balancer's record of an endpoint: its entry in the endpoint list, its load and its health.
 
 use crate::endpoint_table::EndpointTable;
 use crate::event::{EndpointInfo, EndpointState};
@@ -6,33 +6,33 @@
 use crate::settings::{Rules, WeightSource};
 use std::collections::{BTreeMap, HashSet};
 
-/// In-flight budget of one endpoint: `steps` times `concurrency` calls.
+/// In-flight budget of one endpoint: `steps` times `concurrency` attempts of this balancer.
 ///
-/// Each served trial attempt adds a step; a backoff separates trial attempts.
+/// A served trial attempt adds a step, up to a limit; a failed one is followed by a backoff.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightBudget {
-    /// 0: the endpoint is ejected.
+    /// 0 if the endpoint is ejected.
     pub(crate) steps: u32,
     /// Calls per step.
     pub(crate) concurrency: f64,
-    /// Calls that decreases for mild overload leave at least.
+    /// Smallest budget, in calls, to which mild overload may decrease it.
     pub(crate) floor: f64,
     pub(crate) trial_in_flight: bool,
     pub(crate) backoff_doublings: u32,
     pub(crate) backoff_end: Micros,
 }
 
-/// How calls of one class do at an endpoint; they may fail there while other classes are served.
+/// Health of one class at an endpoint; its calls may fail there while other classes are served.
 #[derive(Debug, Default)]
 pub(crate) struct ClassHealth {
-    /// Moving share of failed attempts.
+    /// Moving average of the share of failed attempts.
     pub(crate) failure_rate: f64,
     pub(crate) backoff_doublings: u32,
-    /// While the class fails, its next attempt may go to the endpoint at this moment.
+    /// While the class fails, its calls avoid the endpoint until this time.
     pub(crate) backoff_end: Micros,
 }
 
-/// Endpoints of one machine type in one zone, which are expected to perform alike.
+/// Identifies the endpoints of one machine type in one zone, which are expected to perform alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MachineGroupKey {
     pub(crate) zone: ZoneId,
@@ -46,42 +46,44 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) machine_type: MachineTypeId,
-    /// Random order of preference of this balancer, the lowest first.
+    /// Random rank, by which this balancer prefers endpoints in low-traffic mode; the lowest rank first.
     pub(crate) rank: u32,
-    /// Relative capacity by the endpoint list; 1 if unknown.
+    /// Relative capacity according to the endpoint list; 1 if unknown.
     pub(crate) size: f64,
     pub(crate) listed: bool,
-    /// When its process started; 0 if long ago.
+    /// Start time of the endpoint's process; 0 if long ago.
     pub(crate) started_at: Micros,
-    /// Attempts of this balancer in flight there.
+    /// Attempts of this balancer in flight at the endpoint.
     pub(crate) in_flight: u32,
     pub(crate) budget: InFlightBudget,
-    /// Moving mean of latencies over the limits of their classes; above 1 the endpoint is overloaded.
+    /// Moving average of the latency divided by the latency limit of the class; above 1 the endpoint is
+    /// overloaded.
     pub(crate) latency_ratio: f64,
-    /// Latency samples since the budget last changed.
+    /// Number of latency samples since the budget last changed.
     pub(crate) samples_since_change: u32,
-    /// Load of its last report, on the scale of `latency_ratio`.
+    /// Load in the endpoint's last load report, on the scale of `latency_ratio`.
     pub(crate) reported_load_ratio: f64,
-    /// Calls of all client proxies in flight there by its last load poll, plus own attempts since.
+    /// Calls of all client proxies in flight according to the last load poll, plus this balancer's attempts
+    /// since; `f64::MAX` if the poll failed.
     pub(crate) polled_in_flight: f64,
-    /// When its last load poll ended; 0 if never.
+    /// When the last load poll ended; 0 if there was none.
     pub(crate) polled_at: Micros,
-    /// When its budget last changed.
+    /// When the budget last changed; 0 if it never has.
     pub(crate) budget_changed_at: Micros,
-    /// When an attempt there last ended.
+    /// When the last attempt ended.
     pub(crate) last_feedback_at: Micros,
-    /// When it last served an attempt.
+    /// When the endpoint last served an attempt.
     pub(crate) last_served_at: Micros,
-    /// Moving share of failed attempts of all classes.
+    /// Moving average of the share of failed attempts, over all classes.
     pub(crate) failure_rate: f64,
-    /// The same for each class, by class index.
+    /// Health of each class, by class index.
     pub(crate) class_health: BTreeMap<usize, ClassHealth>,
-    /// It gets no calls before this moment, since it rejected one at capacity.
+    /// The endpoint has rejected a call at capacity and is sent none before this time.
     pub(crate) rejection_backoff_end: Micros,
 }
 
 impl Endpoint {
-    /// An endpoint as the endpoint list has it.
+    /// A new record for an entry of the endpoint list.
     pub(crate) fn new(info: &EndpointInfo, weight_source: WeightSource, budget: InFlightBudget) -> Self {
         let weight_is_capacity = matches!(weight_source, WeightSource::Nominal | WeightSource::Approximate);
         let valid = info.weight.is_normal() && info.weight > 0.0;
@@ -101,7 +103,7 @@
         MachineGroupKey { zone: self.zone, machine_type: self.machine_type }
     }
 
-    /// Share of its capacity that the endpoint has at least, 0 to 1; it grows linearly during slow start.
+    /// Least share of its full capacity that the endpoint has, 0 to 1; grows linearly during slow start.
     pub(crate) fn warm_up_factor(&self, now: Micros, rules: &Rules) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= rules.warm_up_duration {
@@ -111,7 +113,7 @@
             + (1.0 - rules.warm_up_initial_ratio) * age as f64 / rules.warm_up_duration as f64
     }
 
-    /// Calls of all client proxies in flight there with one more, over its present size; 0 if never polled.
+    /// Load by the last poll with one more call: calls in flight per unit of current size; 0 if never polled.
     pub(crate) fn polled_load(&self, now: Micros, rules: &Rules) -> f64 {
         if self.polled_at == 0 {
             return 0.0;
@@ -120,18 +122,18 @@
     }
 }
 
-/// A slot whose endpoint an update of the endpoint list changed.
+/// A slot whose endpoint was changed by an update of the endpoint list.
 pub(crate) struct ChangedSlot {
     pub(crate) slot: usize,
-    /// The record of the earlier process, where a new one has started.
+    /// The record that was replaced, if the endpoint is new or its process has restarted.
     pub(crate) replaced: Option<Endpoint>,
 }
 
 impl EndpointTable<Endpoint> {
-    /// Applies an update of the endpoint list: a snapshot or changed entries.
+    /// Applies an update of the endpoint list: a snapshot, or changed entries only.
     ///
-    /// A new endpoint and one whose process has restarted get a `new_record`; a restarted one keeps its count
-    /// of attempts in flight.
+    /// New endpoints and those whose process has restarted get a `new_record`; restarted ones keep their
+    /// attempts in flight, including a trial attempt.
     pub(crate) fn apply_update(
         &mut self,
         is_snapshot: bool,
@@ -161,7 +163,7 @@
         changed
     }
 
-    /// Marks listed endpoints that a snapshot does not contain as unlisted.
+    /// Marks endpoints that are missing from a snapshot as unlisted.
     fn unlist_missing(&mut self, snapshot: &[EndpointInfo]) -> Vec<ChangedSlot> {
         let present: HashSet<EndpointId> = snapshot.iter().map(|entry| entry.id).collect();
         let mut changed = Vec::new();
--- a/crates/core/src/endpoint_index.rs
+++ b/crates/core/src/endpoint_index.rs
@@ -1,4 +1,4 @@
-//! Sets of endpoints by status, kept up to date with each change of a status.
+//! Sets of endpoints by status, updated whenever the status of an endpoint changes.
 
 use crate::ids::Micros;
 use crate::timer_queue::TimerQueue;
@@ -8,29 +8,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Status of an endpoint at a moment; each flag puts it into a set of the index.
+/// Status of an endpoint, from which its membership in the sets of the index follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EndpointStatus {
     pub(crate) listed: bool,
     /// Listed and ejected.
     pub(crate) ejected: bool,
-    /// Ejected, and due for the trial attempt that may re-admit it.
+    /// Ejected and due for a trial attempt that may re-admit the endpoint.
     pub(crate) readmission_due: bool,
     /// Listed and in slow start.
     pub(crate) warming_up: bool,
     /// Listed, past slow start, neither ejected nor in rejection backoff.
     pub(crate) available: bool,
-    /// Available and under its in-flight budget.
+    /// Available and below its in-flight budget.
     pub(crate) has_capacity: bool,
-    /// Available, at its in-flight budget, and due for the trial attempt that may raise it.
+    /// Available, at its in-flight budget and due for a trial attempt that may raise the budget.
     pub(crate) growth_trial_due: bool,
     /// In this balancer's own zone.
     pub(crate) same_zone: bool,
-    /// When the passing of time alone changes the status.
+    /// When the status changes without an event; `None` if it does not.
     pub(crate) valid_until: Option<Micros>,
 }
 
-/// Attributes by which the sets weight and order an endpoint.
+/// Attributes by which the sets weight and rank an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EndpointKey {
     pub(crate) size: f64,
@@ -38,28 +38,28 @@
     pub(crate) started_at: Micros,
 }
 
-/// An endpoint as it was last filed.
+/// The last recorded status and attributes of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct IndexEntry {
     status: EndpointStatus,
     key: EndpointKey,
 }
 
-/// An endpoint with capacity in the order of preference.
+/// A slot ordered by the rank of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RankedSlot {
     pub(crate) rank: u32,
     pub(crate) slot: usize,
 }
 
-/// A class that fails at an endpoint.
+/// A class whose calls fail at the endpoint in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FailingClass {
     class_id: usize,
     slot: usize,
 }
 
-/// Sets of slots; a change of a status costs O(log n).
+/// Sets of slots by the status of their endpoints; a change of status costs O(log n).
 #[derive(Debug, Default)]
 pub(crate) struct EndpointIndex {
     pub(crate) listed: WeightedSet,
@@ -71,20 +71,20 @@
     pub(crate) ejected_count: usize,
     /// Endpoints with capacity by rank; empty unless ranking is enabled.
     pub(crate) ranked: BTreeSet<RankedSlot>,
-    /// Those of them in this balancer's own zone.
+    /// The members of `ranked` in this balancer's own zone.
     pub(crate) ranked_same_zone: BTreeSet<RankedSlot>,
     failing_classes: BTreeSet<FailingClass>,
     ranking_enabled: bool,
     status_timers: TimerQueue<usize>,
     entries: Vec<IndexEntry>,
-    /// Sum of size times start (after `epoch`) over the endpoints in slow start.
+    /// Sum of size times start time, relative to `epoch`, over the endpoints in slow start.
     warming_up_start_sum: f64,
-    /// The start from which others are counted, which keeps the sum exact.
+    /// Origin of the start times in the sum; it keeps them small, so that the sum stays exact.
     epoch: Micros,
 }
 
 impl EndpointIndex {
-    /// Files the endpoint in this slot under its present status.
+    /// Records the current status of the endpoint in this slot and updates the sets.
     pub(crate) fn update(&mut self, slot: usize, status: EndpointStatus, key: EndpointKey) {
         if slot >= self.entries.len() {
             self.entries.resize(slot + 1, IndexEntry::default());
@@ -148,7 +148,7 @@
             self.warming_up_start_sum -= old.key.size * self.since_epoch(old.key.started_at);
         }
         if new.status.warming_up && !old.status.warming_up && self.warming_up.len() == 1 {
-            // The only member: start anew, without earlier rounding errors.
+            // This is the only member: reset the sum to discard accumulated rounding errors.
             self.epoch = new.key.started_at;
             self.warming_up_start_sum = 0.0;
         }
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Records whether a class fails at the endpoint in this slot.
+    /// Records whether calls of a class fail at the endpoint in this slot.
     pub(crate) fn set_class_failing(&mut self, class_id: usize, slot: usize, failing: bool) {
         let key = FailingClass { class_id, slot };
         if failing {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Clears the failing classes of a slot, since its process is a new one or has been removed.
+    /// Clears the failing classes of a slot after its endpoint has restarted or been removed.
     pub(crate) fn clear_failing_classes<'a>(
         &mut self,
         slot: usize,
@@ -178,14 +178,15 @@
         }
     }
 
-    /// Slots of the endpoints at which a class fails.
+    /// Slots of the endpoints at which calls of a class fail.
     pub(crate) fn slots_failing_class(&self, class_id: usize) -> impl Iterator<Item = usize> + '_ {
         let first = FailingClass { class_id, slot: 0 };
         let last = FailingClass { class_id, slot: usize::MAX };
         self.failing_classes.range(first..=last).map(|failing| failing.slot)
     }
 
-    /// Turns the order by rank on or off; it costs time with each change of capacity.
+    /// Enables or disables the sets by rank, which make every change of an endpoint's capacity more
+    /// expensive.
     pub(crate) fn enable_ranking(&mut self, enabled: bool) {
         if self.ranking_enabled == enabled {
             return;
@@ -198,25 +199,25 @@
         }
         for slot in 0..self.entries.len() {
             let entry = self.entries[slot];
-            let unfiled = IndexEntry { status: EndpointStatus::default(), key: entry.key };
-            self.update_ranking(slot, &unfiled, &entry);
+            let unranked = IndexEntry { status: EndpointStatus::default(), key: entry.key };
+            self.update_ranking(slot, &unranked, &entry);
         }
     }
 
-    /// The status under which the endpoint in this slot was last filed.
+    /// The last recorded status of the endpoint in this slot.
     #[cfg(test)]
     pub(crate) fn status(&self, slot: usize) -> EndpointStatus {
         self.entries.get(slot).map_or(EndpointStatus::default(), |entry| entry.status)
     }
 
-    /// A slot whose status has been changed by the passing of time alone.
+    /// Removes and returns a slot whose recorded status is outdated since its `valid_until` has passed.
     pub(crate) fn pop_expired_status(&mut self, now: Micros) -> Option<usize> {
         let slot = self.status_timers.pop_expired(now)?;
         self.entries[slot].status.valid_until = None;
         Some(slot)
     }
 
-    /// When the passing of time alone next changes a status.
+    /// When the next recorded status expires.
     pub(crate) fn next_status_expiry(&self) -> Option<Micros> {
         self.status_timers.next_deadline()
     }
@@ -226,7 +227,7 @@
         (self.warming_up.total() * self.since_epoch(now) - self.warming_up_start_sum).max(0.0)
     }
 
-    /// Microseconds from the epoch; negative before it.
+    /// Microseconds since `epoch`; negative for times before it.
     fn since_epoch(&self, at: Micros) -> f64 {
         at.wrapping_sub(self.epoch) as i64 as f64
     }
--- a/crates/core/src/endpoint_table.rs
+++ b/crates/core/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! Endpoints by their ids, each in a slot whose index stays the same.
+//! Table of endpoint records in slots. An endpoint keeps its slot index until it is removed.
 
 use crate::ids::EndpointId;
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Records in slots; the cost of an update does not depend on the number of slots. A free slot holds the
-/// default.
+/// Records by endpoint id and slot index. Lookups and updates take constant time; free slots contain the
+/// default record.
 #[derive(Debug)]
 pub(crate) struct EndpointTable<T> {
     records: Vec<T>,
@@ -27,7 +27,7 @@
         self.slots.get(&id).copied()
     }
 
-    /// The slot of an endpoint, allocated if it has none.
+    /// The slot of an endpoint; allocates one if the endpoint has none.
     pub(crate) fn slot_or_insert(&mut self, id: EndpointId) -> usize {
         *self.slots.entry(id).or_insert_with(|| {
             self.free_slots.pop().unwrap_or_else(|| {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the client proxy reports to the balancer.
+//! Events that the client proxy reports to the balancer.
 
 use crate::ids::{CallId, CellId, ClassId, EndpointId, MachineTypeId, Micros, TenantId, ZoneId};
 use crate::settings::Settings;
@@ -6,12 +6,12 @@
 /// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts calls.
+    /// The endpoint accepts calls.
     #[default]
     Ready,
-    /// It finishes the calls in flight and accepts no more.
+    /// The endpoint finishes the calls in flight and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The endpoint has been removed.
     Removed,
 }
 
@@ -28,122 +28,123 @@
     pub cell: CellId,
     /// Its machine type.
     pub machine_type: MachineTypeId,
-    /// A value to compare endpoints by, see [`WeightSource`](crate::WeightSource); 0 or less if unknown.
+    /// Relative weight, with the meaning given by [`WeightSource`](crate::WeightSource); 0 or less if
+    /// unknown.
     pub weight: f64,
-    /// When its process started; 0 if long ago.
+    /// Start time of its process; 0 if long ago.
     pub started_at: Micros,
 }
 
-/// What an update of the endpoint list contains.
+/// The contents of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
     /// Changed entries only.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as last stored, maybe outdated.
+    /// The complete list from the local cache, possibly outdated.
     Cached,
-    /// Nothing: the poll failed or the watch broke.
+    /// Nothing: the poll of discovery failed or the watch was interrupted.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The endpoint served the attempt.
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// The request itself is at fault: no endpoint would serve it, and this one is healthy.
+    /// The request itself is invalid: no endpoint would serve it, and this one is healthy.
     InvalidRequest,
-    /// The endpoint rejected it unprocessed: it is at capacity or draining.
+    /// The endpoint rejected the attempt without processing it, since it is at capacity or draining.
     Rejected,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke while the attempt was in flight.
+    /// The connection was lost while the attempt was in flight.
     Reset,
-    /// This client proxy cancelled it.
+    /// This client proxy cancelled the attempt.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// Anything else; it may have run.
+    /// Any other outcome; the attempt may have been executed.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether this proves that the endpoint did not start to execute the attempt.
+    /// Whether the outcome proves that the endpoint did not start to execute the attempt.
     pub fn proves_not_started(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// An endpoint's report of its load; a value that it does not report is absent.
+/// An endpoint's load report; `None` for each value that the endpoint does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight, waiting ones included.
+    /// Requests in flight, queued ones included.
     pub in_flight: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Requests in the endpoint's queue.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Share of the endpoint's cores that is busy, 0 to 1.
     pub utilisation: Option<f64>,
     /// Errors per second.
     pub error_rate: Option<f64>,
 }
 
-/// What the client proxy reports to the balancer.
+/// An event that the client proxy reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The client proxy starts. Its cached endpoint list, if any, comes next.
+    /// The client proxy has started. Its cached endpoint list, if any, is the next event.
     Start,
     /// An update of the endpoint list.
     EndpointList {
-        /// What the update contains.
+        /// The contents of the update.
         kind: ListUpdateKind,
-        /// Its entries.
+        /// The entries of the update.
         endpoints: Vec<EndpointInfo>,
     },
-    /// A call has arrived.
+    /// A client has sent a request, which starts a call.
     Request {
         /// The call.
         call: CallId,
-        /// Its class.
+        /// The class of the call.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant of the call.
         tenant: Option<TenantId>,
         /// How long the client still waits, in microseconds.
         remaining_time: Micros,
-        /// The client says that this is a retry.
+        /// Whether the client has marked the request as a retry.
         is_retry: bool,
     },
     /// An attempt has ended.
     AttemptEnded {
         /// The call.
         call: CallId,
-        /// The attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// How long it took, in microseconds.
+        /// How long the attempt took, in microseconds.
         elapsed: Micros,
-        /// The call has its final answer.
+        /// Whether the call has ended.
         call_closed: bool,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// The last byte of a streamed request has arrived: the client's time counts from now.
+    /// The last byte of a streamed request has arrived: latency and deadline of the call count from now.
     RequestComplete {
         /// The call.
         call: CallId,
         /// How long the client still waits, in microseconds.
         remaining_time: Micros,
     },
-    /// The answer of an attempt has begun to stream to the client; no other attempt can answer the call.
+    /// The response to an attempt has started to stream to the client; no other attempt can serve the call.
     ResponseStarted {
         /// The call.
         call: CallId,
-        /// The attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
     /// A load poll has ended.
@@ -152,18 +153,19 @@
         endpoint: EndpointId,
         /// How the poll ended.
         outcome: Outcome,
-        /// How long it took, in microseconds.
+        /// How long the poll took, in microseconds.
         elapsed: Micros,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// The client of this call has disconnected.
+    /// The client of a call has disconnected.
     ClientDisconnected {
         /// The call.
         call: CallId,
     },
-    /// The time set by [`Action::SetTimer`](crate::Action::SetTimer) has passed.
+    /// The timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     Timer,
-    /// New settings are in force. Classes keep their numbers; new ones follow, none is left out.
+    /// The settings have changed. Known classes keep their ids, also those that are no longer active; ids of
+    /// new classes follow.
     Settings(Box<Settings>),
 }
--- a/crates/core/src/event_loop.rs
+++ b/crates/core/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! Dispatch of events to the rules of the balancer, and the time of its next timer.
+//! Entry point of the balancer: dispatches events to their handlers and sets the next timer.
 
 use crate::action::Action;
 use crate::balance::{Balancer, NewCall};
@@ -20,8 +20,8 @@
 }
 
 impl Balancer {
-    /// Handles one event at time `now` (microseconds, never decreasing) and appends the actions that follow
-    /// from it.
+    /// Handles one event and appends the resulting actions. `now` is the current time in microseconds and
+    /// must never decrease.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         while let Some(slot) = self.index.pop_expired_status(now) {
@@ -47,7 +47,7 @@
             }
             Event::EndpointList { kind, endpoints } => self.on_endpoint_list(kind, &endpoints),
             Event::Request { call, class, remaining_time, is_retry, .. } => {
-                // The id of a call that is in progress is not used again.
+                // A request with the id of a call in progress is a duplicate and is ignored.
                 if self.calls.get(call).is_none() {
                     self.on_request(NewCall { id: call, class, remaining_time, is_retry });
                 }
@@ -85,7 +85,8 @@
         self.on_attempt_ended(end.call, end.outcome, end.call_closed);
     }
 
-    /// The endpoint has served the attempt; no other attempt can answer the call.
+    /// Handles the start of a response: the endpoint counts as having served the attempt, and the call's
+    /// other attempts are cancelled.
     fn start_response(&mut self, id: CallId, attempt: u32) {
         if self.calls.get(id).is_none_or(|call| call.ended) {
             return;
@@ -96,7 +97,7 @@
         self.cancel_attempts(id, Some(attempt));
     }
 
-    /// Asks for a timer at the next deadline, unless an earlier timer is set.
+    /// Requests a timer for the next deadline, unless a timer is already set for that time or earlier.
     fn set_timer(&mut self) {
         let next = self.next_deadline();
         if next < self.timer_at {
@@ -105,7 +106,8 @@
         }
     }
 
-    /// The next deadline; statuses of endpoints and pauses before sends matter only while a call is queued.
+    /// The next deadline. Expiries of endpoint statuses and pauses before polls or sends count only while a
+    /// call is queued.
     fn next_deadline(&self) -> Micros {
         let next_call_timer = self.calls.timers.next_deadline().unwrap_or(Micros::MAX);
         let mut next = self.next_list_poll_at.min(next_call_timer);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,13 +1,13 @@
-//! Numbers that the client proxy gives to calls, endpoints, classes, tenants and localities.
+//! Ids that the client proxy assigns to calls, endpoints, classes, tenants, zones, machine types and cells.
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// One request of a client with all its attempts, as the client proxy numbers it; a number is never used again.
+/// Id of a call: one request of a client with all its attempts. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An endpoint; it keeps its number when its process restarts.
+/// Id of an endpoint, which stays the same when the endpoint's process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone.
+/// Id of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A machine type.
+/// Id of a machine type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineTypeId(pub u32);
 
-/// A cell: a group of endpoints that share their record of executed calls, for deduplication.
+/// Id of a cell: a group of endpoints that share their record of executed calls for deduplication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
--- a/crates/core/src/latency_stats.rs
+++ b/crates/core/src/latency_stats.rs
@@ -1,34 +1,34 @@
-//! Classes of calls with their measured latencies.
+//! Classes of calls with their latency statistics.
 
 use crate::ids::Micros;
 use crate::settings::Class;
 
-/// Weight of a new sample in the mean latency: about twenty samples count.
+/// Weight of a new sample in the mean latency, which thus covers about twenty samples.
 const MEAN_LATENCY_WEIGHT: f64 = 0.05;
-/// Time over which the unloaded latency may drift up to the mean, in microseconds.
+/// Time constant with which the unloaded latency drifts up to the mean, in microseconds.
 const UNLOADED_LATENCY_DRIFT_US: f64 = 120e6;
-/// Number of first samples that are averaged with equal weights.
+/// Number of initial samples that are averaged without clamping; the unloaded latency follows their mean.
 const WARM_UP_SAMPLE_COUNT: u32 = 8;
-/// Later samples count as at most this multiple of the unloaded latency, so that one outlier does not move
+/// Later samples are clamped to this multiple of the unloaded latency, so that a single outlier hardly moves
 /// the mean.
 const MAX_SAMPLE_FACTOR: f64 = 8.0;
-/// Latency of an unloaded endpoint as a share of the latency objective, until it is measured.
+/// Assumed latency of a class before its first sample, as a share of its latency objective.
 const INITIAL_LATENCY_RATIO: f64 = 0.25;
 
-/// Latency of a class, and what is known about how long its clients wait.
+/// Statistics of a class: its latency, and the client timeouts and rejections that identify retries.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyStats {
-    /// Moving mean, in microseconds: the typical latency.
+    /// Moving average of the latency, in microseconds; it serves as the typical latency.
     pub(crate) mean_us: f64,
-    /// Lowest mean so far, in microseconds; it stands for an unloaded endpoint.
+    /// Lowest recent mean, in microseconds; it serves as the latency at an unloaded endpoint.
     pub(crate) unloaded_us: f64,
     sample_count: u32,
     last_sample_at: Micros,
-    /// Calls of the class that have arrived.
+    /// Number of calls of the class that have arrived.
     pub(crate) call_count: f64,
-    /// The longest time that a client of the class has waited for one request.
+    /// Longest remaining time with which a request of the class has arrived.
     pub(crate) max_client_timeout: Micros,
-    /// Rejected calls whose clients have not been seen to retry.
+    /// Number of rejected or failed calls that have not been matched with a retry by their client.
     pub(crate) unretried_rejections: u32,
 }
 
@@ -38,7 +38,7 @@
         LatencyStats { mean_us: initial_us, unloaded_us: initial_us, ..LatencyStats::default() }
     }
 
-    /// Adds a sample. The unloaded latency drifts up towards the mean, since the fleet and its work change.
+    /// Adds a sample. The unloaded latency drifts up towards the mean, since endpoints and workload change.
     pub(crate) fn record(&mut self, now: Micros, elapsed_us: f64) {
         self.sample_count = self.sample_count.saturating_add(1);
         let warming_up = self.sample_count <= WARM_UP_SAMPLE_COUNT;
@@ -70,7 +70,7 @@
 pub(crate) struct ClassTable(Vec<ClassRecord>);
 
 impl ClassTable {
-    /// Takes over the classes of new settings; the statistics of known classes stay.
+    /// Replaces the classes with those of new settings; known classes keep their statistics.
     pub(crate) fn apply_settings(&mut self, classes: Vec<Class>) {
         for (index, class) in classes.into_iter().enumerate() {
             match self.0.get_mut(index) {
@@ -88,7 +88,7 @@
         self.0.get_mut(class_id).map(|record| &mut record.stats)
     }
 
-    /// The classes that the settings in force name.
+    /// The classes of the current settings.
     pub(crate) fn active(&self) -> impl Iterator<Item = &ClassRecord> {
         self.0.iter().filter(|record| record.class.active)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! oakport-core makes the decisions of a client-side load balancer: which endpoint gets a call, and when a call is
-//! queued, retried, hedged, rejected or failed. It does no I/O and reads no clock.
+//! The decision logic of a client-side load balancer: which endpoint a call is sent to, and when a call is
+//! queued, retried, hedged, rejected or failed. The crate does no I/O and reads no clock.
 //!
-//! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
+//! A client proxy creates one [`Balancer`], passes it [`Event`]s and carries out the resulting [`Action`]s:
 //!
 //! ```
 //! use oakport_core::{
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings that decisions follow: classes of calls, tenants, limits, rules and costs.
+//! Settings of the balancer: classes of calls, tenants, limits, rules and charges.
 
 use crate::ids::{Micros, ZoneId};
 
-/// Which endpoints recognise a repeated call and do not execute it again.
+/// The endpoints that deduplicate a repeated call, which means that they do not execute it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
@@ -16,171 +16,176 @@
 /// Whether a call of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating it is harmless.
+    /// A call may be executed any number of times.
     Idempotent,
-    /// Endpoints of `scope` drop a repeat that is sent within `window` of the first attempt that may have run.
+    /// Endpoints of `scope` do not execute a repeat that is sent within `window` of the first attempt that
+    /// may have been executed.
     Deduplicated {
-        /// Which endpoints drop the repeat.
+        /// The endpoints that recognise a repeat.
         scope: DeduplicationScope,
-        /// How long they do, in microseconds.
+        /// How long they recognise it, in microseconds.
         window: Micros,
     },
-    /// It must run at most once.
+    /// A call must be executed at most once.
     #[default]
     NonIdempotent,
 }
 
-/// A class of calls: how soon, how important and how repeatable they are.
+/// A class of calls, with its latency objective, priority and idempotency.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time has its full priority weight, in microseconds.
+    /// Time within which a response earns the full priority weight, in microseconds.
     pub latency_objective: Micros,
-    /// How long the client waits in all, in microseconds.
+    /// How long the client waits for a response, including its own retries, in microseconds.
     pub client_timeout: Micros,
-    /// Priority weight of a call that is answered within its latency objective.
+    /// Priority weight of a call that is served within its latency objective.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer between latency objective and client timeout has, 0 to 1.
+    /// Share of the priority weight for a response between latency objective and client timeout, 0 to 1.
     pub late_weight_ratio: f64,
     /// Whether a call may be executed more than once.
     pub idempotency: Idempotency,
-    /// Whether the settings in force name the class; one that they dropped keeps its number for calls in flight.
+    /// Whether the current settings contain the class; a class that was dropped keeps its id for calls in
+    /// flight.
     pub active: bool,
 }
 
-/// A tenant's part of the service.
+/// A tenant's share of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
     /// Share of the service, 0 to 1.
     pub share: f64,
-    /// Calls per second over all client proxies that are within the share; 0 if unknown.
+    /// Calls per second, over all client proxies, up to which the tenant is within its share; 0 if unknown.
     pub quota_per_sec: f64,
 }
 
-/// What [`EndpointInfo::weight`](crate::EndpointInfo::weight) means.
+/// The meaning of [`EndpointInfo::weight`](crate::EndpointInfo::weight).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Nothing.
+    /// The weight has no meaning.
     #[default]
     Off,
-    /// The registered capacity of the endpoint.
+    /// The endpoint's registered capacity.
     Nominal,
-    /// Its approximate capacity.
+    /// The endpoint's approximate capacity.
     Approximate,
-    /// Its capacity over its load at some recent moment.
+    /// The endpoint's capacity divided by its load at some recent time.
     LoadAdjusted,
 }
 
 /// How endpoints deliver load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportDelivery {
-    /// Not at all.
+    /// Endpoints send no load reports.
     #[default]
     Off,
-    /// With each answer, to calls and to load polls.
+    /// With each response to a call or a load poll.
     Inline,
-    /// With answers to load polls only.
+    /// With responses to load polls only.
     OnPoll,
 }
 
-/// What endpoints report of their load, and how.
+/// Delivery and contents of load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReporting {
-    /// How reports are delivered.
+    /// How load reports are delivered.
     pub delivery: ReportDelivery,
-    /// Whether reports include [`LoadReport::in_flight`](crate::LoadReport::in_flight).
+    /// Whether load reports include [`LoadReport::in_flight`](crate::LoadReport::in_flight).
     pub includes_in_flight: bool,
 }
 
-/// What an operation costs, as a share of the priority weight of one call.
+/// Costs of operations, as a share of the priority weight of one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Charges {
-    /// An attempt that crosses zones.
+    /// An attempt at an endpoint in another zone.
     pub cross_zone: f64,
     /// A load poll.
     pub load_poll: f64,
     /// A new connection.
     pub handshake: f64,
-    /// Work of an endpoint that gave no answer, as much as a call needs. Used by no decision.
+    /// Endpoint work of one call that led to no response. Not used in decisions.
     pub wasted_work: f64,
-    /// A call that failed only after its latency objective. Used by no decision.
+    /// A call that failed only after its latency objective. Not used in decisions.
     pub late_failure: f64,
 }
 
-/// What the deployment allows.
+/// Limits that the deployment sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Endpoints may be polled for their load.
+    /// Whether endpoints may be polled for their load.
     pub load_polling: bool,
-    /// A call may have two attempts in flight at once.
+    /// Whether a call may have two attempts in flight at once.
     pub hedging: bool,
-    /// Attempts per call.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
-    /// Longest `Retry-After` that clients heed, in microseconds; 0 if they heed none.
+    /// Longest `Retry-After` that clients respect, in microseconds; 0 if they ignore it.
     pub max_retry_after: Micros,
-    /// Attempts that one connection carries at a time; 0 if unknown. Used by no decision.
+    /// Maximum number of concurrent attempts per connection; 0 if unknown. Not used in decisions.
     pub max_streams: u32,
 }
 
-/// Parameters of the invariants that the service must keep.
+/// Parameters of the invariants that client proxies must maintain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Share of its capacity that an endpoint has at least when it starts, 0 to 1.
+    /// Share of its full capacity that an endpoint has at least when its process starts, 0 to 1.
     pub warm_up_initial_ratio: f64,
-    /// Time after which it has its full capacity, in microseconds.
+    /// Time from its start until an endpoint has its full capacity, in microseconds.
     pub warm_up_duration: Micros,
-    /// Multiple of its present capacity that overloads an endpoint that is warming up.
+    /// Multiple of its current capacity at which the load overloads an endpoint during warm-up.
     pub warm_up_overload_factor: f64,
-    /// Span over which that load is counted, in microseconds. Used by no decision.
+    /// Time over which that load is counted, in microseconds. Not used in decisions.
     pub warm_up_overload_window: Micros,
-    /// How long calls may still go to an endpoint after it was reported draining or removed, in microseconds.
+    /// How long calls may still be sent to an endpoint after it was reported draining or removed, in
+    /// microseconds.
     pub drain_grace: Micros,
-    /// Longest time between polls of the endpoint list, in microseconds.
+    /// Longest interval between polls of the endpoint list, in microseconds.
     pub max_poll_interval: Micros,
 }
 
-/// Weights of the parts of the service objective.
+/// Weights of the terms of the service objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObjectiveWeights {
-    /// All calls together.
+    /// Weight of all calls together.
     pub overall: f64,
-    /// The worst-served class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share. Used by no decision.
+    /// Weight of the worst-served tenant, within its share. Not used in decisions.
     pub worst_tenant: f64,
-    /// The worst-served window of time. Used by no decision.
+    /// Weight of the worst-served time window. Not used in decisions.
     pub worst_window: f64,
 }
 
-/// What a balancer is given at start, and again by [`Event::Settings`](crate::Event::Settings).
+/// All settings of a balancer, passed at creation and replaced by
+/// [`Event::Settings`](crate::Event::Settings).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Client proxies that send to these endpoints, this one included.
+    /// Number of client proxies that send to these endpoints, this one included.
     pub proxy_count: u32,
     /// The zone of this client proxy.
     pub zone: ZoneId,
-    /// Smallest step of the clock, in microseconds.
+    /// Resolution of the clock, in microseconds.
     pub clock_tick: Micros,
-    /// Whether the endpoint list has to be polled for updates.
+    /// Whether the balancer polls discovery for the endpoint list, rather than receiving pushed updates.
     pub polls_endpoint_list: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
-    /// Tenants, if there are any. Used by no decision.
+    /// Tenants, if there are any. Not used in decisions.
     pub tenants: Vec<Tenant>,
-    /// What the deployment allows.
+    /// Limits that the deployment sets.
     pub limits: Limits,
     /// Parameters of the invariants.
     pub rules: Rules,
-    /// Weights of the service objective.
+    /// Weights of the terms of the service objective.
     pub objective_weights: ObjectiveWeights,
-    /// What operations cost.
+    /// Costs of operations.
     pub charges: Charges,
-    /// What endpoints report.
+    /// Delivery and contents of load reports.
     pub load_reporting: LoadReporting,
-    /// What the weights of the endpoint list mean.
+    /// Meaning of the weights in the endpoint list.
     pub weight_source: WeightSource,
-    /// Priority weight of a call beyond its tenant's share, against one within it. Used by no decision.
+    /// Priority weight of a call beyond its tenant's share, relative to a call within it. Not used in
+    /// decisions.
     pub over_share_weight: f64,
 }
 
--- a/crates/core/src/timer_queue.rs
+++ b/crates/core/src/timer_queue.rs
@@ -1,10 +1,10 @@
-//! Orders keys by their deadlines.
+//! Queue of deadlines by key.
 
 use crate::ids::Micros;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// Deadlines of keys; each key has at most one.
+/// Keys ordered by their deadlines; each key has at most one deadline.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<K> {
     queue: BTreeSet<(Micros, K)>,
@@ -40,7 +40,7 @@
         self.queue.first().map(|&(at, _)| at)
     }
 
-    /// Removes and returns the key with the earliest deadline if that has passed.
+    /// Removes and returns the key with the earliest deadline if that deadline has been reached.
     pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<K> {
         let &(at, key) = self.queue.first().filter(|&&(at, _)| at <= now)?;
         self.queue.remove(&(at, key));
--- a/crates/core/src/weighted_set.rs
+++ b/crates/core/src/weighted_set.rs
@@ -1,4 +1,4 @@
-//! A set of slots with weights, sampled in proportion to them.
+//! A set of slots with weights, from which members are sampled in proportion to their weights.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -6,19 +6,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Units in a weight of 1. Weights are stored as whole numbers, so that sums stay exact after any number of
+/// Units per weight of 1. Weights are stored as integers, so that sums stay exact after any number of
 /// changes.
 const UNITS_PER_WEIGHT: f64 = (1u64 << 20) as f64;
 /// Weights outside these bounds are clamped.
 const MIN_WEIGHT: f64 = 1.0 / UNITS_PER_WEIGHT;
 const MAX_WEIGHT: f64 = UNITS_PER_WEIGHT;
-/// Rejected samples after which all members are scanned.
+/// Number of rejected samples after which all members are scanned.
 const MAX_REJECTED_SAMPLES: usize = 32;
 
-/// Slots, each with a weight above 0, in a Fenwick tree: a change and a sample cost O(log n).
+/// Slots with weights above 0, in a Fenwick tree: changing a weight and sampling cost O(log n).
 #[derive(Debug, Default)]
 pub(crate) struct WeightedSet {
-    /// Weight in units by slot; 0: not a member.
+    /// Weight in units by slot; 0 if the slot is not a member.
     units: Vec<u64>,
     /// The Fenwick tree over `units`; its length is a power of two.
     tree: Vec<u64>,
@@ -27,7 +27,7 @@
 }
 
 impl WeightedSet {
-    /// Makes a slot a member with this weight; `None` removes it.
+    /// Adds a slot or changes its weight; `None` removes the slot.
     pub(crate) fn set(&mut self, slot: usize, weight: Option<f64>) {
         let new = weight.map_or(0, |w| (w.clamp(MIN_WEIGHT, MAX_WEIGHT) * UNITS_PER_WEIGHT) as u64);
         if slot >= self.units.len() {
@@ -71,8 +71,8 @@
         self.units.iter().enumerate().filter(|(_, &units)| units > 0).map(|(slot, _)| slot)
     }
 
-    /// Samples a member other than `excluded`, in proportion to its weight times `acceptance`, which is from
-    /// 0 to 1.
+    /// Samples a member other than `excluded`, in proportion to its weight times its `acceptance`, a
+    /// probability from 0 to 1.
     pub(crate) fn sample(
         &self,
         random: &mut impl Rng,
@@ -97,7 +97,7 @@
         self.sample_by_scan(random, excluded, acceptance)
     }
 
-    /// The same at a cost of O(n), for an `acceptance` that is low nearly everywhere.
+    /// Like [`sample`](Self::sample) but in O(n), for an `acceptance` that is low for most members.
     fn sample_by_scan(
         &self,
         random: &mut impl Rng,
@@ -123,7 +123,7 @@
         sampled
     }
 
-    /// Samples two different members that are `eligible`, or as many as there are.
+    /// Samples two different `eligible` members, or fewer if there are fewer.
     pub(crate) fn sample_two(
         &self,
         random: &mut impl Rng,
@@ -158,7 +158,7 @@
         sum
     }
 
-    /// The member that covers this offset when the units of all slots are laid end to end.
+    /// The member whose range contains `offset` when the units of all slots are concatenated.
     fn slot_at(&self, mut offset: u64) -> usize {
         let mut slot = 0;
         let mut step = self.tree.len();
