--- a/crates/core/src/settings_wire.rs
+++ b/crates/core/src/settings_wire.rs
@@ -1,9 +1,10 @@
-//! Reads the settings object of the wire, which the adapter gets in its first message and the program in its
-//! configuration, and converts it into [`Settings`].
+//! Parses the settings object of the wire format and converts it into [`Settings`]. The adapter receives the
+//! object when it creates an instance; a client proxy reads it from its configuration file.
 //!
-//! Unknown keys are ignored, absent ones get harmless values. The types with `JsonSchema` are the one description of
-//! the format: `oakport schema` prints the schema drawn from them, doc comments included, and `oakport check` validates
-//! by it. Their field names, and the names of their definitions in the schema, are therefore those of the wire.
+//! Unknown keys are ignored, and absent optional keys get harmless defaults. The types that derive
+//! `JsonSchema` are the only definition of the format: `oakport schema` prints the schema generated from
+//! them, doc comments included, and `oakport check` validates against it. Their field names and the names of
+//! their schema definitions are therefore names of the wire format.
 
 use crate::ids::{MachineTypeId, Micros, ZoneId};
 use crate::settings::{
@@ -14,49 +15,49 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Upper bound of all time-outs and windows that the schema limits, in microseconds (one hour): a greater value was
-/// meant in another unit.
+/// Upper bound of the timeouts and time spans that the schema limits, in microseconds (one hour): a greater
+/// value is taken for one in another unit.
 const MAX_TIMEOUT_US: u64 = 3_600_000_000;
 
-/// What the site has settled: classes of requests, limits, rules, prices.
+/// Settings of a balancer: classes of calls, limits, rules and charges.
 #[derive(Debug, Deserialize, Serialize, JsonSchema)]
 pub struct SettingsFile {
-    /// How many client proxies send to these servers, this one included.
+    /// Number of client proxies that send to these endpoints, this one included.
     #[schemars(range(min = 1))]
     balancers: u32,
-    /// The classes of requests; the first part of a request's path names its class.
+    /// Classes of calls; the first segment of the request path names the class.
     #[schemars(length(min = 1))]
     classes: Vec<ClassDocument>,
     /// Tenants, if there are any.
     #[serde(default)]
     tenants: Vec<TenantDocument>,
-    /// "push" or "ask"; on sockets the list always comes by a watch.
+    /// How the endpoint list is updated: "push" or "ask" (polling). Over the network it is always watched.
     #[serde(default)]
     discovery: String,
-    /// What the site allows.
+    /// Limits that the deployment sets.
     limits: LimitsDocument,
-    /// Figures of the rules that must hold.
+    /// Parameters of the invariants that client proxies must maintain.
     invariants: RulesDocument,
-    /// Weights of the parts of the result.
+    /// Weights of the terms of the service objective.
     #[serde(default)]
     result_mix: ObjectiveDocument,
-    /// Smallest step of the clock, in microseconds.
+    /// Resolution of the clock, in microseconds.
     #[serde(default)]
     tick_us: u64,
-    /// The zone of this client proxy, as the list names it.
+    /// Zone of this client proxy, as named in the endpoint list.
     #[serde(default)]
     locality: String,
-    /// What costs points.
+    /// Costs of operations, as a share of the priority weight of one call.
     #[serde(default)]
     charges: ChargesDocument,
-    /// What servers report of their load.
+    /// Load reports of the endpoints.
     #[serde(default)]
     report: ReportDocument,
-    /// What the list's weights mean.
+    /// Meaning of the weights in the endpoint list.
     #[serde(default)]
     #[schemars(extend("enum" = ["", "off", "nominal", "rough", "live"]))]
     weight_source: String,
-    /// What a request is worth beyond its tenant's share, against one within.
+    /// Priority weight of a call beyond its tenant's share, relative to a call within it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     over_share_worth: Option<f64>,
 }
@@ -65,15 +66,15 @@
 #[serde(default)]
 #[schemars(rename = "ChargeFacts")]
 struct ChargesDocument {
-    /// Price of an attempt that crosses zones.
+    /// Cost of an attempt at an endpoint in another zone.
     cross_zone: f64,
-    /// Price of a probe.
+    /// Cost of a load poll.
     probe: f64,
-    /// Price of a new connection.
+    /// Cost of a new connection.
     handshake: f64,
-    /// Price of server work that gave no answer.
+    /// Cost of endpoint work that led to no response.
     waste: f64,
-    /// Price of worth that failed only after its aim.
+    /// Cost of priority weight that failed only after its latency objective.
     late_fail: f64,
 }
 
@@ -81,38 +82,38 @@
 #[serde(default)]
 #[schemars(rename = "ReportFacts")]
 struct ReportDocument {
-    /// Where servers report their load.
+    /// Delivery of load reports: "inline" (with every response) or "on_probe" (with load polls only).
     #[schemars(extend("enum" = ["", "off", "inline", "on_probe"]))]
     how: String,
-    /// Names of the figures that they report.
+    /// Names of the values in a load report.
     columns: Vec<String>,
 }
 
 #[derive(Debug, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "ClassFacts")]
 struct ClassDocument {
-    /// The class, as the first part of the path has it.
+    /// Name of the class, which is the first segment of the request path.
     #[schemars(length(min = 1))]
     name: String,
-    /// The aim: an answer within this time earns the full worth, in microseconds.
+    /// Latency objective: time within which a response earns the full priority weight, in microseconds.
     objective_us: u64,
-    /// How long a client waits in all, in microseconds.
+    /// Client timeout: how long a client waits in total, in microseconds.
     #[schemars(range(min = 1))]
     deadline_us: u64,
-    /// Worth of an answer in time.
+    /// Priority weight of a call that is served within its latency objective.
     #[serde(default)]
     worth: f64,
-    /// Share of the worth for an answer between aim and deadline, 0 to 1.
+    /// Share of the priority weight for a response between latency objective and client timeout, 0 to 1.
     #[serde(default)]
     late_value: f64,
-    /// Whether a request may run again: "free", "guarded" (where servers drop repeats) or "single_shot" (never).
+    /// Whether a call may be executed again: "free" (yes), "guarded" (deduplicated) or "single_shot" (no).
     #[schemars(extend("enum" = ["free", "guarded", "single_shot"]))]
     idempotency: String,
-    /// Which servers drop repeats of a guarded request.
+    /// Which endpoints deduplicate a guarded call.
     #[serde(default)]
     #[schemars(extend("enum" = ["", "all", "zone", "cell"]))]
     dedup_scope: String,
-    /// For how long they do, in microseconds.
+    /// How long endpoints recognise a repeat of a guarded call, in microseconds.
     #[serde(default)]
     repeat_window_us: u64,
 }
@@ -120,12 +121,12 @@
 #[derive(Debug, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "TenantFacts")]
 struct TenantDocument {
-    /// The tenant, as `X-Tenant-Id` has it.
+    /// Name of the tenant, as given in `X-Tenant-Id`.
     name: String,
-    /// Its share of the service, 0 to 1.
+    /// Share of the service, 0 to 1.
     #[serde(default)]
     portion: f64,
-    /// Requests a second over all client proxies that are within its share; 0: not told.
+    /// Calls per second, over all client proxies, up to which the tenant is within its share; 0 if unknown.
     #[serde(default)]
     quota_per_s: f64,
 }
@@ -134,28 +135,28 @@
 #[serde(default)]
 #[schemars(rename = "LimitFacts")]
 struct LimitsDocument {
-    /// Whether an attempt may be called off.
+    /// Whether attempts may be cancelled.
     cancel: bool,
-    /// Whether servers may be probed.
+    /// Whether endpoints may be polled for their load.
     probes: bool,
-    /// Whether a request may have two attempts out at once.
+    /// Whether a call may have two attempts in flight at once (hedging).
     second_copies: bool,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per call.
     #[schemars(range(min = 1))]
     max_attempts: u32,
-    /// Whether clients heed `Retry-After`.
+    /// Whether clients respect `Retry-After`.
     retry_after: bool,
-    /// The longest that they heed, in microseconds.
+    /// Longest `Retry-After` that clients respect, in microseconds.
     max_retry_after_us: u64,
-    /// Attempts that one connection carries at a time; 0: not told.
+    /// Maximum number of concurrent attempts per connection; 0 if unknown.
     max_streams: u32,
-    /// Requests that may be open at once; more are turned away.
+    /// Maximum number of open calls; further calls are rejected.
     #[schemars(range(min = 1))]
     max_open: usize,
-    /// Servers close a connection that has been idle for this long, in microseconds.
+    /// Time after which endpoints close an idle connection, in microseconds.
     #[schemars(range(min = 1, max = MAX_TIMEOUT_US))]
     conn_idle_us: u64,
-    /// A connection that is not up by then has failed, in microseconds.
+    /// Time within which a connection must be established, in microseconds.
     #[schemars(range(min = 1, max = MAX_TIMEOUT_US))]
     connect_timeout_us: u64,
 }
@@ -180,21 +181,21 @@
 #[derive(Debug, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "RuleFacts")]
 struct RulesDocument {
-    /// A server starts at this share of its capacity or more, 0 to 1.
+    /// Least share of its full capacity that an endpoint has at start, 0 to 1.
     cold_from: f64,
-    /// And is warm after this at the latest, in microseconds.
+    /// Longest warm-up time, after which an endpoint has its full capacity, in microseconds.
     cold_us: u64,
-    /// A cold server that is sent too much for this long falls over, in microseconds.
+    /// Time after which overload during warm-up makes an endpoint fail, in microseconds.
     #[schemars(range(min = 1, max = MAX_TIMEOUT_US))]
     tip_after_us: u64,
-    /// Too much is this multiple of what it can then do.
+    /// Multiple of its current capacity at which the load overloads an endpoint during warm-up.
     #[serde(skip_serializing_if = "Option::is_none")]
     fall_multiple: Option<f64>,
-    /// Latest that requests may still go to a server after word that it drains or is gone, in microseconds.
+    /// How long calls may still be sent to an endpoint reported as draining or removed, in microseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = MAX_TIMEOUT_US))]
     drain_grace_us: Option<u64>,
-    /// Longest that a client proxy may go without asking for the list, in microseconds.
+    /// Longest interval between polls of the endpoint list, in microseconds.
     #[serde(default = "default_poll_interval_us")]
     #[schemars(range(min = 1, max = MAX_TIMEOUT_US))]
     ask_every_us: u64,
@@ -208,13 +209,13 @@
 #[serde(default)]
 #[schemars(rename = "GoalFacts")]
 struct ObjectiveDocument {
-    /// Weight of all requests together.
+    /// Weight of all calls together.
     whole: f64,
     /// Weight of the worst-served class.
     worst_class: f64,
     /// Weight of the worst-served tenant, within its share.
     worst_tenant: f64,
-    /// Weight of the worst stretch of time.
+    /// Weight of the worst-served time window.
     worst_window: f64,
 }
 
@@ -224,56 +225,57 @@
     }
 }
 
-/// The part of the settings that concerns connections and requests rather than decisions.
+/// Settings of connections and admission, which the client proxy itself applies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransportSettings {
-    /// Requests that may be open at once.
+    /// Maximum number of open calls; further calls are rejected.
     pub max_open_requests: usize,
-    /// Endpoints close a connection that has been idle for this long, in microseconds.
+    /// Time after which endpoints close an idle connection, in microseconds.
     pub idle_connection_timeout: Micros,
-    /// A connection that is not established by then has failed, in microseconds.
+    /// Time within which a connection must be established, in microseconds.
     pub connect_timeout: Micros,
-    /// What a new connection costs, as a share of the priority weight of one call.
+    /// Cost of a new connection, as a share of the priority weight of one call.
     pub handshake_charge: f64,
-    /// The shortest latency objective of a class, in microseconds.
+    /// Shortest latency objective of all classes, in microseconds.
     pub shortest_latency_objective: Micros,
 }
 
 /// A settings object after parsing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedSettings {
-    /// What decisions follow.
+    /// Settings of the balancer.
     pub settings: Settings,
     /// Names of the classes, by [`ClassId`](crate::ClassId).
     pub class_names: Vec<String>,
     /// Names of the tenants, by [`TenantId`](crate::TenantId).
     pub tenant_names: Vec<String>,
-    /// What connections and requests follow.
+    /// Settings of connections and admission.
     pub transport: TransportSettings,
 }
 
-/// A number for a name (FNV-1a), the same in every process.
+/// FNV-1a hash of a name, the same in every process.
 fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// The number of a zone by its name.
+/// Id of the zone with this name.
 pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name_hash(name))
 }
 
-/// The number of a machine type by its name.
+/// Id of the machine type with this name.
 pub fn machine_type_id(name: &str) -> MachineTypeId {
     MachineTypeId(name_hash(name))
 }
 
-/// Why settings cannot be used although each key has a value of its type.
+/// Error of settings that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {problem}", pointer.trim_start_matches('/').replace('/', "."))]
 pub struct InvalidSettings {
-    /// Where, as a JSON pointer into the settings (`/classes/0/deadline_us`); empty: the settings as a whole.
+    /// JSON pointer to the invalid value in the settings (`/classes/0/deadline_us`); empty if it concerns the
+    /// settings as a whole.
     pub pointer: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub problem: String,
 }
 
@@ -286,7 +288,7 @@
 /// Parses the settings object.
 ///
 /// # Errors
-/// Names the part that is missing or invalid.
+/// If a key is missing or a value is invalid.
 pub fn parse(object: &Value) -> Result<ParsedSettings, InvalidSettings> {
     convert(SettingsFile::deserialize(object).map_err(|e| InvalidSettings::new("", e.to_string()))?)
 }
@@ -294,7 +296,7 @@
 /// Converts a settings object that has been deserialized.
 ///
 /// # Errors
-/// A client timeout or a number of attempts of 0, and a class that is named twice.
+/// If a client timeout or the number of attempts is 0, or if two classes have the same name.
 pub fn convert(file: SettingsFile) -> Result<ParsedSettings, InvalidSettings> {
     let classes = convert_classes(&file.classes)?;
     if file.limits.max_attempts == 0 {
@@ -369,7 +371,7 @@
         }
     }
 
-    /// An idempotency or a deduplication scope that is not known allows no repeat.
+    /// An unknown idempotency or deduplication scope counts as non-idempotent, which allows no repeat.
     fn idempotency(&self) -> Idempotency {
         let scope = match self.dedup_scope.as_str() {
             "all" => Some(DeduplicationScope::All),
