--- a/crates/core/src/settings_wire.rs
+++ b/crates/core/src/settings_wire.rs
@@ -300,7 +300,7 @@
 pub fn convert(file: SettingsFile) -> Result<ParsedSettings, InvalidSettings> {
     let classes = convert_classes(&file.classes)?;
     if file.limits.max_attempts == 0 {
-        return Err(InvalidSettings::new("/limits/max_attempts", "0 attempts"));
+        return Err(InvalidSettings::new("/limits/max_attempts", "expected at least 1, found 0"));
     }
     let defaults = Settings::default();
     let settings = Settings {
@@ -328,7 +328,10 @@
     let mut classes = Vec::with_capacity(documents.len());
     for (index, document) in documents.iter().enumerate() {
         if document.deadline_us == 0 {
-            return Err(InvalidSettings::new(format!("/classes/{index}/deadline_us"), "a deadline of 0"));
+            return Err(InvalidSettings::new(
+                format!("/classes/{index}/deadline_us"),
+                "expected at least 1, found 0",
+            ));
         }
         if documents[..index].iter().any(|earlier| earlier.name == document.name) {
             let problem = format!("class {} is named twice", document.name);
