--- a/crates/adapter/src/adapter.rs
+++ b/crates/adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All balancer instances of the process and the endpoint lists that they share.
+//! Dispatches inputs to the balancer instances of the process, which share endpoint lists.
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
@@ -6,7 +6,7 @@
 use oakport_core::{settings_wire, Event};
 use std::collections::HashMap;
 
-/// Handles batches for all instances of this process.
+/// All balancer instances by number, and all endpoint lists by id.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<i64, Instance>,
@@ -14,10 +14,10 @@
 }
 
 impl Adapter {
-    /// Handles one batch and returns the reply, both as a line of JSON.
+    /// Handles a batch and returns the reply, each as one line of JSON.
     ///
     /// # Errors
-    /// The first input that is not understood. Inputs before it have been handled.
+    /// If the line or one of its inputs is invalid; the inputs before that one have been handled.
     pub fn handle_batch(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::InvalidBatch)?;
         let mut reply = Reply { commands: Vec::with_capacity(batch.input.len()) };
@@ -36,14 +36,14 @@
         }
     }
 
-    /// POOL: an endpoint list, under a number that later inputs refer to.
+    /// POOL: stores an endpoint list under an id to which MEMBERS inputs refer.
     fn set_endpoint_list(&mut self, input: Input) -> Result<(), AdapterError> {
         let list_id = input.require(input.list_id, "roster_id")?;
         self.endpoint_lists.insert(list_id, input.endpoints.unwrap_or_default());
         Ok(())
     }
 
-    /// CREATE: a new instance with its settings, in place of one that had its number.
+    /// CREATE: creates an instance with its settings; replaces an instance of the same number.
     fn create_instance(&mut self, now_us: u64, input: Input, reply: &mut Reply) -> Result<(), AdapterError> {
         let proxy = input.require(input.proxy, "proxy")?;
         let settings = input.require(input.settings.as_ref(), "facts")?;
@@ -55,14 +55,14 @@
         Ok(())
     }
 
-    /// DETACH: removes the instance.
+    /// DETACH: removes an instance.
     fn remove_instance(&mut self, input: &Input) -> Result<(), AdapterError> {
         let proxy = input.require(input.proxy, "proxy")?;
         self.instances.remove(&proxy);
         Ok(())
     }
 
-    /// All other verbs: an event of one instance.
+    /// All other verbs: handles an event of one instance.
     fn handle_event(&mut self, now_us: u64, input: Input, reply: &mut Reply) -> Result<(), AdapterError> {
         let proxy = input.require(input.proxy, "proxy")?;
         let Some(instance) = self.instances.get_mut(&proxy) else {
--- a/crates/adapter/src/call_names.rs
+++ b/crates/adapter/src/call_names.rs
@@ -1,4 +1,4 @@
-//! The wire's names of calls, and the ids that a balancer has for them.
+//! Maps the call names of the wire to the call ids of a balancer.
 
 use oakport_core::CallId;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
     ended: bool,
 }
 
-/// The calls of one instance, by name and by id.
+/// The known calls of one instance, by name and by id.
 #[derive(Default)]
 pub struct CallNames {
     ids: HashMap<String, CallId>,
@@ -23,7 +23,7 @@
         self.ids.get(name).copied()
     }
 
-    /// The id of a call, which is a new one unless the call is known.
+    /// The id of a call; assigns a new one if the call is unknown.
     pub fn id_or_insert(&mut self, name: &str) -> CallId {
         if let Some(id) = self.id(name) {
             return id;
@@ -41,28 +41,28 @@
         self.calls.get(&id).map(|call| call.name.clone())
     }
 
-    /// An attempt of the call is sent. Returns the call's name.
+    /// Counts an attempt that is sent and returns the call's name; `None` if the call is unknown.
     pub fn attempt_sent(&mut self, id: CallId) -> Option<String> {
         let call = self.calls.get_mut(&id)?;
         call.attempts_in_flight += 1;
         Some(call.name.clone())
     }
 
-    /// An attempt of the call has ended.
+    /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.attempts_in_flight = call.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// The call has ended; its name stays known while an attempt is in flight.
+    /// Marks a call as ended; its name stays known while an attempt is in flight.
     pub fn call_ended(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.ended = true;
         }
     }
 
-    /// Forgets a call once it has ended and none of its attempts is in flight.
+    /// Removes a call if it has ended and none of its attempts is in flight.
     pub fn remove_if_finished(&mut self, id: CallId) {
         if !self.calls.get(&id).is_some_and(|call| call.ended && call.attempts_in_flight == 0) {
             return;
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer on the wire: turns inputs into events, and actions into commands.
+//! A balancer instance: converts inputs into events, and actions into commands.
 
 use crate::call_names::CallNames;
 use crate::error::AdapterError;
@@ -9,19 +9,19 @@
 };
 use std::collections::HashMap;
 
-/// A balancer with the names that the wire uses for its calls, classes and tenants.
+/// A balancer, with the names of its calls, classes and tenants on the wire.
 pub struct Instance {
     proxy: i64,
     balancer: Balancer,
     class_names: Vec<String>,
     tenant_names: Vec<String>,
     calls: CallNames,
-    /// Buffer for the actions that follow on an event.
+    /// Buffer for the actions that result from an event.
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// `proxy` is the number that the wire gives this instance.
+    /// Creates an instance; `proxy` is its number on the wire.
     pub fn new(proxy: i64, seed: u64, settings: ParsedSettings) -> Self {
         Instance {
             proxy,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Has the balancer handle an event, and appends the commands that follow to the reply.
+    /// Passes an event to the balancer and appends the resulting commands to the reply.
     pub fn handle(&mut self, now_us: u64, event: Event, reply: &mut Reply) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now_us, event, &mut actions);
@@ -43,7 +43,7 @@
         self.actions = actions;
     }
 
-    /// MEMBERS: discovery sent an endpoint list, or failed.
+    /// MEMBERS: discovery has sent an endpoint list or has failed.
     pub fn endpoint_list(
         &mut self,
         now_us: u64,
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// JOB_IN: a client sent a request.
+    /// JOB_IN: a client has sent a request.
     pub fn request(&mut self, now_us: u64, input: &Input, reply: &mut Reply) -> Result<(), AdapterError> {
         let call = self.calls.id_or_insert(input.require(input.call.as_deref(), "call")?);
         let class = position(&self.class_names, input.require(input.class.as_deref(), "tier_class")?);
@@ -87,7 +87,7 @@
             remaining_time: input.require(input.remaining_time_us, "time_budget_us")?,
             is_retry: input.is_retry,
         };
-        self.handle_of_call(now_us, call, event, reply);
+        self.handle_call_event(now_us, call, event, reply);
         Ok(())
     }
 
@@ -112,7 +112,7 @@
         if input.call_closed {
             self.calls.call_ended(call);
         }
-        self.handle_of_call(now_us, call, event, reply);
+        self.handle_call_event(now_us, call, event, reply);
         Ok(())
     }
 
@@ -125,7 +125,7 @@
     ) -> Result<(), AdapterError> {
         let Some(call) = self.known_call(input)? else { return Ok(()) };
         let attempt = input.require(input.attempt, "seq_no")?;
-        self.handle_of_call(now_us, call, Event::ResponseStarted { call, attempt }, reply);
+        self.handle_call_event(now_us, call, Event::ResponseStarted { call, attempt }, reply);
         Ok(())
     }
 
@@ -138,22 +138,22 @@
     ) -> Result<(), AdapterError> {
         let Some(call) = self.known_call(input)? else { return Ok(()) };
         self.calls.call_ended(call);
-        self.handle_of_call(now_us, call, Event::ClientDisconnected { call }, reply);
+        self.handle_call_event(now_us, call, Event::ClientDisconnected { call }, reply);
         Ok(())
     }
 
-    /// The call that an input names. None: it is not known, or no longer.
+    /// The call that an input names; `None` if the call is unknown or has been removed.
     fn known_call(&self, input: &Input) -> Result<Option<CallId>, AdapterError> {
         let name = input.require(input.call.as_deref(), "call")?;
         Ok(self.calls.id(name))
     }
 
-    fn handle_of_call(&mut self, now_us: u64, call: CallId, event: Event, reply: &mut Reply) {
+    fn handle_call_event(&mut self, now_us: u64, call: CallId, event: Event, reply: &mut Reply) {
         self.handle(now_us, event, reply);
         self.calls.remove_if_finished(call);
     }
 
-    /// The command for an action. None: it is about a call that the wire does not know any more.
+    /// The command for an action; `None` if its call has been removed.
     fn command(&mut self, action: Action) -> Option<Command> {
         let proxy = self.proxy;
         Some(match action {
@@ -172,11 +172,11 @@
             Action::PollLoad { endpoint } => Command::PollLoad { proxy, endpoint: endpoint.0 },
             Action::SetTimer { after } => Command::SetTimer { proxy, after_us: after, tag: 0 },
             Action::PollEndpointList => Command::PollEndpointList { proxy, enable: true },
-            Action::Log(decision) => Command::Log { proxy, text: wire::note_text(decision) },
+            Action::Log(decision) => Command::Log { proxy, text: wire::log_text(decision) },
         })
     }
 
-    /// The balancer has ended a call. Returns the call's name.
+    /// Marks a call as ended by the balancer and returns the call's name.
     fn end_call(&mut self, call: CallId) -> Option<String> {
         let name = self.calls.name(call)?;
         self.calls.call_ended(call);
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs balancers on the wire of the operators' simulator: reads one JSON batch a line, writes one JSON reply a line.
-//! It decides nothing.
+//! Connects balancers to the operators' simulator: reads JSON batches from standard input and writes JSON
+//! replies to standard output, one per line. All decisions are made by the balancers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages of the wire, with its names mapped to those of the balancer.
+//! Messages of the wire, with the wire's names mapped to those of the balancer.
 
 use crate::error::AdapterError;
 use oakport_core::settings_wire;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// A line of input.
+/// A line of input: what happens at one time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     pub clock_us: u64,
@@ -16,7 +16,7 @@
     pub input: Vec<Input<'a>>,
 }
 
-/// One input of a batch. Which fields it has depends on its verb.
+/// One input of a batch. Its verb determines which fields are present.
 #[derive(Deserialize)]
 pub struct Input<'a> {
     #[serde(borrow)]
@@ -55,12 +55,12 @@
 }
 
 impl Input<'_> {
-    /// The value of a field that the verb needs; `field` is its name on the wire.
+    /// The value of a field that the verb requires; `field` is its name on the wire.
     pub fn require<T>(&self, value: Option<T>, field: &'static str) -> Result<T, AdapterError> {
         value.ok_or_else(|| AdapterError::MissingField { verb: self.verb.to_string(), field })
     }
 
-    /// The load that the endpoint reported; empty if it reported none.
+    /// The endpoint's load report; empty if there is none.
     pub fn load_report(&self) -> LoadReport {
         self.load.as_ref().map(WireLoad::to_report).unwrap_or_default()
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// An endpoint of a list.
+/// An entry of an endpoint list.
 #[derive(Deserialize)]
 pub struct WireEndpoint {
     #[serde(default, rename = "last_start_us")]
@@ -108,7 +108,7 @@
 }
 
 impl WireEndpoint {
-    /// The endpoint for the balancer.
+    /// Converts the entry for the balancer.
     pub fn to_info(&self) -> Result<EndpointInfo, AdapterError> {
         let state = match self.state {
             0 => EndpointState::Draining,
@@ -128,7 +128,7 @@
     }
 }
 
-/// The kind of a list update, by its number on the wire.
+/// The kind of a list update, from its code on the wire.
 pub fn list_update_kind(code: i64) -> Result<ListUpdateKind, AdapterError> {
     match code {
         0 => Ok(ListUpdateKind::Failed),
@@ -139,7 +139,7 @@
     }
 }
 
-/// The outcome of an attempt or load poll, by its word on the wire.
+/// The outcome of an attempt or load poll, from its code on the wire.
 pub fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
@@ -154,14 +154,14 @@
     }
 }
 
-/// A line of output.
+/// A line of output: the commands that result from a batch.
 #[derive(Serialize)]
 pub struct Reply {
     #[serde(rename = "cmds")]
     pub commands: Vec<Command>,
 }
 
-/// What an instance has to do.
+/// A command for the client proxy of an instance.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 pub enum Command {
@@ -213,12 +213,12 @@
     },
 }
 
-/// The text of a logged decision, in the fixed words of the wire.
-pub fn note_text(decision: DecisionEvent) -> String {
+/// The log text of a decision. Its wording is part of the wire format.
+pub fn log_text(decision: DecisionEvent) -> String {
     match decision {
         DecisionEvent::AllEndpointsEjected => "no server is up: refusing".to_owned(),
         DecisionEvent::EndpointEjected { endpoint, outcome } => {
-            format!("server {} set aside: {}", endpoint.0, outcome_word(outcome))
+            format!("server {} set aside: {}", endpoint.0, outcome_name(outcome))
         }
         DecisionEvent::EndpointReadmitted { endpoint } => format!("server {} taken back", endpoint.0),
         DecisionEvent::ClassFailing { endpoint, class } => {
@@ -227,7 +227,7 @@
     }
 }
 
-fn outcome_word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "Served",
         Outcome::Error => "Error",
