--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// A line of input: what happens at one time.
+/// A line of input: the inputs of all instances at one point in time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     pub clock_us: u64,
--- a/crates/core/src/event_loop.rs
+++ b/crates/core/src/event_loop.rs
@@ -86,7 +86,7 @@
     }
 
     /// Handles the start of a response: the endpoint counts as having served the attempt, and the call's
-    /// other attempts are cancelled.
+    /// other attempts are cancelled if the settings allow it.
     fn start_response(&mut self, id: CallId, attempt: u32) {
         if self.calls.get(id).is_none_or(|call| call.ended) {
             return;
