--- a/crates/cli/build.rs
+++ b/crates/cli/build.rs
@@ -1,4 +1,4 @@
-//! Tells the program which commit it is built from, for `--version`.
+//! Sets `OAKPORT_VERSION`, which `--version` prints, to the package version and the git commit.
 
 use std::path::Path;
 use std::process::Command;
@@ -9,7 +9,7 @@
 }
 
 fn main() {
-    // Of sources that are no checkout nothing is known, and that is said.
+    // Sources outside a git checkout have no commit.
     let commit = git(&["rev-parse", "--short=10", "HEAD"]).unwrap_or_else(|| "commit unknown".to_owned());
     println!("cargo:rustc-env=OAKPORT_VERSION={} ({commit})", env!("CARGO_PKG_VERSION"));
     println!("cargo:rerun-if-changed=build.rs");
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line. Its doc comments are the help texts.
+//! Command-line arguments. The doc comments of these types are the help texts.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
@@ -12,14 +12,14 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  oakport check deploy/example.toml               what a file would do, or all that is wrong with it
-  oakport serve --config deploy/example.toml      serve by it
-  oakport ctl 127.0.0.1:9901 watch                follow a process that serves
-  kill -HUP PID                                   have it read its file again
-  kill -TERM PID                                  have it finish what it took, and end";
+  oakport check deploy/example.toml               summarise a configuration file, or list its errors
+  oakport serve --config deploy/example.toml      serve clients with this configuration
+  oakport ctl 127.0.0.1:9901 watch                watch the metrics of a running process
+  kill -HUP PID                                   reload its configuration file
+  kill -TERM PID                                  shut down after completing accepted requests";
 
-/// A client proxy with client-side load balancing: takes an application's HTTP/1.1 requests and sends each to one of
-/// the servers that discovery has named.
+/// A client proxy with client-side load balancing: accepts an application's HTTP/1.1 requests and sends each to one of
+/// the endpoints that discovery lists.
 #[derive(Debug, Parser)]
 #[command(name = "oakport", version = env!("OAKPORT_VERSION"), after_help = EXAMPLES, arg_required_else_help = true)]
 pub struct Arguments {
@@ -31,42 +31,44 @@
 pub enum Command {
     /// Serve clients until SIGTERM
     Serve(ServeArguments),
-    /// Read configuration files as serve would, and tell what they would do or all that is wrong with them
-    #[command(after_help = "Exit status: 0 all are good, 1 some are not, 2 the command line is wrong.")]
+    /// Check configuration files, and print a summary of each or all its errors
+    #[command(
+        after_help = "Exit status: 0 all files are valid, 1 some are invalid, 2 the command line is invalid."
+    )]
     Check {
-        /// Files: TOML if their names end in .toml, else JSON
+        /// Configuration files: TOML if the name ends in .toml, else JSON
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Ask a process that serves, at its operators' address
+    /// Query the admin endpoint of a running process
     Ctl(CtlArguments),
     /// Print the JSON schema of the configuration
     Schema,
-    /// Print the completions for a shell
+    /// Print the completion script for a shell
     Completions {
-        /// Which shell
+        /// Name of the shell
         shell: Shell,
     },
 }
 
 #[derive(Debug, Args)]
 pub struct ServeArguments {
-    /// The configuration: TOML if its name ends in .toml, else JSON [default: the file that $RELAY_CONFIG names]
+    /// Configuration file: TOML if the name ends in .toml, else JSON [default: the file that $RELAY_CONFIG names]
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// How log lines are written to standard error
+    /// Format of the log lines on standard error
     #[arg(long, value_name = "FORMAT", value_enum, default_value_t = LogFormat::Text)]
     pub log_format: LogFormat,
-    /// The least level that is logged; goes before $OAKPORT_LOG
+    /// Lowest level that is logged; overrides $OAKPORT_LOG
     #[arg(long, value_name = "LEVEL", value_enum)]
     pub log_level: Option<LogLevel>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// For people
+    /// Plain text
     Text,
-    /// One JSON object a line
+    /// One JSON object per line
     Json,
 }
 
@@ -81,7 +83,7 @@
 
 #[derive(Debug, Args)]
 pub struct CtlArguments {
-    /// The operators' address of the process: `operator` of its configuration
+    /// Address of the admin endpoint: `operator` in the configuration of the process
     pub address: SocketAddr,
     #[command(subcommand)]
     pub command: CtlCommand,
@@ -89,41 +91,41 @@
 
 #[derive(Debug, Subcommand)]
 pub enum CtlCommand {
-    /// Does it take clients? Exit status 0: yes, 1: no, or no answer
+    /// Check whether the process accepts clients. Exit status 0: yes, 1: no, or no answer
     Health,
-    /// Its figures, once
+    /// Print the metrics once
     Dump {
-        /// As JSON, as the process tells them
+        /// Print the JSON of the process's report
         #[arg(long)]
         json: bool,
     },
-    /// Who else is present, as it sees them
+    /// Print the other client proxies that the process knows
     Peers {
-        /// As JSON, as the process tells them
+        /// Print the JSON of the process's report
         #[arg(long)]
         json: bool,
     },
-    /// Its figures with their rates, again and again until it is ended
+    /// Print the metrics and their rates repeatedly
     Watch {
-        /// How long between two looks, such as 500ms
-        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = interval)]
+        /// Interval between two reports, such as 500ms; at least 50ms
+        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = parse_interval)]
         every: Duration,
-        /// How many looks [default: until it is ended]
+        /// Number of reports [default: no limit]
         #[arg(long, value_name = "N")]
         count: Option<u64>,
     },
 }
 
-/// Why the interval of `watch` is not accepted.
+/// Why the interval of `watch` is invalid.
 #[derive(Debug, Error)]
 enum InvalidInterval {
     #[error(transparent)]
     NotADuration(#[from] humantime::DurationError),
-    #[error("at least 50ms, so that asking costs little")]
+    #[error("must be at least 50ms, to limit the load on the queried process")]
     TooShort,
 }
 
-fn interval(text: &str) -> Result<Duration, InvalidInterval> {
+fn parse_interval(text: &str) -> Result<Duration, InvalidInterval> {
     let interval = humantime::parse_duration(text)?;
     if interval < MIN_WATCH_INTERVAL {
         return Err(InvalidInterval::TooShort);
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the program failed.
+//! Errors of the program's commands.
 
 use crate::ctl::CtlError;
 use crate::logs::InvalidLogFilter;
@@ -6,17 +6,17 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a command failed, as standard error shows it.
+/// Why a command failed. The message is printed to standard error.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// The configuration has errors.
     #[error(transparent)]
     Configuration(#[from] Diagnostics),
-    /// `$OAKPORT_LOG` is not a filter.
+    /// `$OAKPORT_LOG` is not a valid filter.
     #[error(transparent)]
     LogFilter(#[from] InvalidLogFilter),
     /// The asynchronous runtime could not be started.
-    #[error("runtime: {0}")]
+    #[error("asynchronous runtime could not be started: {0}")]
     Runtime(#[source] io::Error),
     /// The inherited listener cannot be used.
     #[error(transparent)]
@@ -24,13 +24,13 @@
     /// The proxy process could not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The proxy process had to end.
+    /// The proxy process failed while it served.
     #[error(transparent)]
     Serve(#[from] ServeError),
     /// `oakport ctl` failed.
     #[error(transparent)]
     Ctl(#[from] CtlError),
     /// Standard output could not be written.
-    #[error("writing: {0}")]
+    #[error("standard output could not be written: {0}")]
     Output(#[source] io::Error),
 }
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,5 +1,5 @@
-//! Log lines to standard error: text or JSON, filtered by level, and rate-limited so that a fault which repeats with
-//! each request can neither fill a disk nor use up the processor.
+//! Writes log lines to standard error: as text or JSON, filtered by level, and rate-limited so that a failure that
+//! repeats on each request can neither fill a disk nor use up the processor.
 
 use crate::args::{LogFormat, LogLevel};
 use std::collections::HashMap;
@@ -14,24 +14,24 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The variable that holds a filter, such as `warn,oakport_proxy::discovery=debug`.
+/// Environment variable that holds a filter, such as `warn,oakport_proxy::discovery=debug`.
 const FILTER_VARIABLE: &str = "OAKPORT_LOG";
-/// Lines that each call site may log in one window.
+/// Maximum number of lines that each call site may log per window.
 const MAX_LINES_PER_WINDOW: u32 = 20;
 /// Window of the rate limit.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// `$OAKPORT_LOG` is not a filter.
+/// `$OAKPORT_LOG` is not a valid filter.
 #[derive(Debug, Error)]
 #[error(
-    "{FILTER_VARIABLE}={given}: {source}; write a level, or PART=LEVEL,... such as warn,oakport_proxy=debug"
+    "{FILTER_VARIABLE}={value}: {source}; write a level, or TARGET=LEVEL,... such as warn,oakport_proxy=debug"
 )]
 pub struct InvalidLogFilter {
-    given: String,
+    value: String,
     source: ParseError,
 }
 
-/// What one call site has logged in its current window.
+/// Line counts of one call site: logged in its current window, and suppressed since the last report.
 struct CallSite {
     metadata: &'static Metadata<'static>,
     window_start: Instant,
@@ -39,18 +39,18 @@
     suppressed: u64,
 }
 
-/// Lines of one call site that were not logged.
+/// Number of suppressed lines of one call site.
 struct SuppressedLines {
     call_site: &'static Metadata<'static>,
     count: u64,
 }
 
-/// Limits the lines of each call site, and counts those it suppresses.
+/// Limits the lines that each call site may log, and counts the suppressed ones.
 #[derive(Clone, Default)]
 pub struct RateLimit(Arc<Mutex<HashMap<Identifier, CallSite>>>);
 
 impl RateLimit {
-    /// May this call site log a line now? If not, the line is counted as suppressed.
+    /// Whether this call site may log a line now. If not, counts the line as suppressed.
     fn allows(&self, metadata: &'static Metadata<'static>, now: Instant) -> bool {
         let mut call_sites = self.lock();
         let call_site = call_sites.entry(metadata.callsite()).or_insert(CallSite {
@@ -72,7 +72,7 @@
         allowed
     }
 
-    /// The lines suppressed since the last call, by call site.
+    /// Returns the number of lines suppressed since the last call, by call site, and resets it.
     fn take_suppressed(&self) -> Vec<SuppressedLines> {
         let mut call_sites = self.lock();
         let suppressed = call_sites.values_mut().map(|call_site| SuppressedLines {
@@ -82,7 +82,7 @@
         suppressed.filter(|lines| lines.count > 0).collect()
     }
 
-    /// Logs each second how many lines were suppressed, for as long as the program runs.
+    /// Logs the number of suppressed lines each second, for as long as the program runs.
     pub async fn report_suppressed(&self) {
         loop {
             tokio::time::sleep(WINDOW).await;
@@ -103,15 +103,15 @@
     }
 }
 
-/// Starts logging. To be called once. `level`, if given, overrides `$OAKPORT_LOG`.
+/// Starts logging; must be called only once. `level`, if given, overrides `$OAKPORT_LOG`.
 ///
 /// # Errors
-/// `$OAKPORT_LOG` is not a filter.
+/// If `$OAKPORT_LOG` is not a valid filter.
 pub fn start(format: LogFormat, level: Option<LogLevel>) -> Result<RateLimit, InvalidLogFilter> {
-    let given = std::env::var(FILTER_VARIABLE).ok().filter(|text| !text.is_empty() && level.is_none());
-    let directives = given.clone().unwrap_or_else(|| format!("{:?}", level.unwrap_or(LogLevel::Info)));
+    let value = std::env::var(FILTER_VARIABLE).ok().filter(|text| !text.is_empty() && level.is_none());
+    let directives = value.clone().unwrap_or_else(|| format!("{:?}", level.unwrap_or(LogLevel::Info)));
     let filter = EnvFilter::try_new(directives)
-        .map_err(|source| InvalidLogFilter { given: given.unwrap_or_default(), source })?;
+        .map_err(|source| InvalidLogFilter { value: value.unwrap_or_default(), source })?;
     let rate_limit = RateLimit::default();
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr);
     let registry = tracing_subscriber::registry().with(filter).with(rate_limit.clone());
--- a/crates/cli/src/logs/tests.rs
+++ b/crates/cli/src/logs/tests.rs
@@ -1,8 +1,8 @@
-//! The rate limit of log lines.
+//! Tests of the rate limit of log lines.
 
 use super::*;
 
-/// Records the call sites of the lines that pass.
+/// Records the call site of each line that is logged.
 struct RecordingLayer(Arc<Mutex<Vec<&'static Metadata<'static>>>>);
 
 impl<S: Subscriber> Layer<S> for RecordingLayer {
@@ -24,11 +24,11 @@
         warn!("another");
     });
     let logged = seen.lock().expect("one thread").clone();
-    assert_eq!(logged.len() as u32, MAX_LINES_PER_WINDOW + 1, "the other call site has a limit of its own");
+    assert_eq!(logged.len() as u32, MAX_LINES_PER_WINDOW + 1, "each call site has its own limit");
     let suppressed = rate_limit.take_suppressed();
     assert_eq!(suppressed.iter().map(|lines| lines.count).collect::<Vec<_>>(), [7]);
     assert_eq!(suppressed[0].call_site.callsite(), logged[0].callsite());
     assert!(rate_limit.take_suppressed().is_empty());
-    let later = Instant::now() + WINDOW;
-    assert!(rate_limit.allows(logged[0], later), "the next window has lines again");
+    let next_window = Instant::now() + WINDOW;
+    assert!(rate_limit.allows(logged[0], next_window), "the limit applies to each window anew");
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oakport`.
+//! The `oakport` program: command-line entry point.
 
 mod args;
 mod check;
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // First of all: a descriptor opened later could get the number of the inherited one.
+    // Must come first: a descriptor that is opened earlier could get the number of the inherited one.
     let listener = inherited_listener();
     let result = match Arguments::parse().command {
         Command::Serve(arguments) => {
@@ -58,7 +58,7 @@
     String::from_utf8_lossy(&script).into_owned()
 }
 
-/// Prints to standard output, whose reader may have closed it, as `head` does.
+/// Prints to standard output. A broken pipe is no error: a reader such as `head` may close it early.
 fn print(text: &str) -> Result<(), CommandError> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(CommandError::Output(error)),
