--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `oakport check`: reads configuration files as `serve` would, and prints what they would do or what is wrong.
+//! `oakport check`: reads configuration files as `serve` does, and prints a summary of each or its errors.
 
 mod summary;
 
@@ -6,7 +6,7 @@
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 
-/// Checks all files. Returns whether all are valid.
+/// Checks each file. Returns whether all are valid.
 pub fn run(files: &[PathBuf]) -> bool {
     let mut all_valid = true;
     for file in files {
@@ -26,7 +26,7 @@
     print!("{}", summary::summary(file, config));
     let keys: Vec<String> = diagnostics.keys_without_effect().collect();
     if !keys.is_empty() {
-        println!("  without effect    {}", keys.join(", "));
+        println!("  ignored keys      {}", keys.join(", "));
     }
 }
 
@@ -34,5 +34,5 @@
     eprint!("{}", diagnostics.render(std::io::stderr().is_terminal()));
     let DiagnosticCounts { errors, .. } = diagnostics.count();
     let plural = if errors == 1 { "" } else { "s" };
-    eprintln!("{}: {errors} fault{plural}", file.display());
+    eprintln!("{}: {errors} error{plural}", file.display());
 }
--- a/crates/cli/src/check/summary.rs
+++ b/crates/cli/src/check/summary.rs
@@ -1,4 +1,4 @@
-//! What a client proxy would do by a configuration, as text.
+//! Summary of a configuration as text.
 
 use comfy_table::{presets, Table};
 use oakport_core::{Class, DeduplicationScope, Idempotency, Limits, Micros};
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const NOT_OPENED: &str = "no address is opened";
+const NOT_CONFIGURED: &str = "not configured";
 
 /// The summary of a valid configuration.
 pub fn summary(file: &Path, config: &Config) -> String {
@@ -20,26 +20,26 @@
     append_table(&mut text, &classes_table(config));
     let defaults = defaults_table(config);
     if !defaults.is_empty() {
-        text.push_str("  left out, so by default:\n");
+        text.push_str("  defaults of the keys that are left out:\n");
     }
     append_table(&mut text, &defaults);
     text
 }
 
-/// A line of the summary: what it is about, and what holds for it.
+/// Label and text of a line of the summary.
 type Line = (&'static str, String);
 
 fn addresses(config: &Config) -> Vec<Line> {
     let capacity = client_capacity(config.limits.sockets);
     let clients = format!(
-        "at {}, {} connections at a time, {} more are refused",
+        "at {}, up to {} connections, {} more are rejected",
         config.listen, capacity.max_connections, capacity.max_rejected
     );
-    let admin = config.admin_address.map_or(NOT_OPENED.to_owned(), |address| format!("at {address}"));
-    let peers = config.membership.as_ref().map_or(NOT_OPENED.to_owned(), |membership| {
+    let admin = config.admin_address.map_or(NOT_CONFIGURED.to_owned(), |address| format!("at {address}"));
+    let peers = config.membership.as_ref().map_or(NOT_CONFIGURED.to_owned(), |membership| {
         let seeds: Vec<String> = membership.seeds.iter().map(ToString::to_string).collect();
         let seeds = seeds.join(", ");
-        format!("at {}, of the fleet {}, asking {seeds} first", membership.address, membership.fleet)
+        format!("at {}, fleet {}, seeds {seeds}", membership.address, membership.fleet)
     });
     vec![
         ("clients", clients),
@@ -54,8 +54,8 @@
     let max_attempts = config.settings.settings.limits.max_attempts;
     vec![
         ("descriptors", config.limits.sockets.to_string()),
-        ("memory", format!("{} MiB, a third of it or more for bodies", config.limits.memory_mb)),
-        ("requests", format!("{max_open_requests} open at a time, {max_attempts} attempts each")),
+        ("memory", format!("{} MiB, at least a third of it for bodies", config.limits.memory_mb)),
+        ("requests", format!("up to {max_open_requests} open, up to {max_attempts} attempts each")),
     ]
 }
 
@@ -64,34 +64,35 @@
     let settings = &config.settings.settings;
     let rules = &settings.rules;
     let connections = format!(
-        "given up after {}, closed when idle for {}",
+        "connect timeout {}, closed when idle for {}",
         duration(transport.connect_timeout),
         duration(transport.idle_connection_timeout / 4 * 3)
     );
-    let warming_up = format!(
-        "have {:.0}% at first, all after {}",
+    let slow_start = format!(
+        "{:.0}% of capacity at first, 100% after {}",
         rules.warm_up_initial_ratio * 100.0,
         duration(rules.warm_up_duration)
     );
     vec![
-        ("the site allows", site_limits(&settings.limits)),
+        ("site allows", site_limits(&settings.limits)),
         ("client proxies", settings.proxy_count.to_string()),
         ("connections", connections),
-        ("draining servers", format!("get nothing new after {}", duration(rules.drain_grace))),
-        ("cold servers", warming_up),
+        ("draining", format!("no new requests after {}", duration(rules.drain_grace))),
+        ("slow start", slow_start),
     ]
 }
 
 fn site_limits(limits: &Limits) -> String {
-    let allowed = |allowed: bool, what: &str| if allowed { what.to_owned() } else { format!("no {what}") };
+    let allowed =
+        |allowed: bool, feature: &str| if allowed { feature.to_owned() } else { format!("no {feature}") };
     let retry_after = match limits.max_retry_after {
         0 => "no Retry-After".to_owned(),
         longest => format!("Retry-After up to {}", duration(longest)),
     };
     let parts = [
-        allowed(limits.hedging, "second copies"),
-        allowed(limits.cancellation, "calling off"),
-        allowed(limits.load_polling, "probes"),
+        allowed(limits.hedging, "hedging"),
+        allowed(limits.cancellation, "cancellation"),
+        allowed(limits.load_polling, "load polls"),
         retry_after,
     ];
     parts.join(", ")
@@ -99,7 +100,7 @@
 
 fn classes_table(config: &Config) -> Table {
     let mut table = Table::new();
-    let header = ["  class", "aim", "deadline", "worth", "may run again"];
+    let header = ["  class", "aim", "deadline", "worth", "may be repeated"];
     table.load_preset(presets::NOTHING).set_header(header);
     for (name, class) in config.settings.class_names.iter().zip(&config.settings.settings.classes) {
         table.add_row([
@@ -119,7 +120,7 @@
         Idempotency::NonIdempotent => "never".to_owned(),
         Idempotency::Deduplicated { scope, window } => {
             let scope = match scope {
-                DeduplicationScope::All => "on any server",
+                DeduplicationScope::All => "on any endpoint",
                 DeduplicationScope::Zone => "in the same zone",
                 DeduplicationScope::Cell => "in the same cell",
             };
@@ -139,10 +140,10 @@
     table
 }
 
-/// A default value as text. None: it is empty.
+/// A default value as text; `None` if it is empty.
 fn default_value(key: &str, value: &Value) -> Option<String> {
     match value {
-        _ if key == "seed" => Some("drawn at each start".to_owned()),
+        _ if key == "seed" => Some("random at each start".to_owned()),
         Value::Number(number) if key.ends_with("_us") => Some(duration(number.as_u64()?)),
         Value::String(text) if text.is_empty() => None,
         Value::Array(items) if items.is_empty() => None,
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `oakport ctl`: queries a running process at its admin endpoint.
+//! `oakport ctl`: queries the admin endpoint of a running process.
 
 mod client;
 mod tables;
@@ -23,7 +23,7 @@
 /// Queries the process and prints its answer.
 ///
 /// # Errors
-/// There is no usable answer, or it says that the process does not accept clients.
+/// If there is no valid answer, or the process answers that it does not accept clients.
 pub fn run(arguments: &CtlArguments) -> Result<(), CtlError> {
     let address = arguments.address;
     match arguments.command {
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Prints the metrics with their rates, `count` times or until the program is ended.
+/// Prints the metrics and their rates, `count` times or until the program is terminated.
 fn watch(address: SocketAddr, every: Duration, count: Option<u64>) -> Result<(), CtlError> {
     let clear = if io::stdout().is_terminal() { CLEAR_SCREEN } else { "" };
     let interval = humantime::format_duration(every);
@@ -81,7 +81,7 @@
         let table = metrics_table(&report, earlier);
         let mut out = io::stdout().lock();
         if writeln!(out, "{clear}{address}, every {interval}\n{table}").and_then(|()| out.flush()).is_err() {
-            // The reader has closed its end.
+            // The reader of standard output has closed it.
             return Ok(());
         }
         last = Some(TimedReport { report, received_at });
--- a/crates/cli/src/ctl/client.rs
+++ b/crates/cli/src/ctl/client.rs
@@ -6,39 +6,41 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Timeout of each step. A process answers within 1 s; after twice that something is wrong with it.
+/// Timeout to connect, and of each read and write: twice the 1 s within which a healthy process answers.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Most bytes of an answer that are read.
+/// Maximum length of an answer; the rest is not read.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
 /// Why a query failed.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// The process answers that it accepts no clients.
-    #[error("{0} takes no clients")]
+    /// The process answers that it does not accept clients.
+    #[error("{0} does not accept clients")]
     NotAccepting(SocketAddr),
-    /// The process has no membership, or has not found its address yet.
-    #[error("{0} knows no peers: set `peers` in its configuration, or wait until it has its address")]
+    /// The process has no membership configured, or has not bound its membership address yet.
+    #[error("{0} has no membership: set `peers` in its configuration, or wait until its address is bound")]
     NoMembership(SocketAddr),
     /// Nothing listens at the address.
-    #[error("nobody answers at {0}: is `operator` set in the configuration, and the process running?")]
+    #[error(
+        "no admin endpoint listens at {0}: is the process running, with `operator` set in its configuration?"
+    )]
     ConnectionRefused(SocketAddr),
     /// No answer within the timeout.
     #[error("no answer from {0} within {timeout}", timeout = humantime::format_duration(TIMEOUT))]
     TimedOut(SocketAddr),
-    /// The connection failed in another way.
-    #[error("asking {address}: {source}")]
+    /// The connection failed for another reason.
+    #[error("query to admin endpoint {address} failed: {source}")]
     Connection {
         /// The address queried.
         address: SocketAddr,
-        /// What failed.
+        /// The I/O error.
         source: io::Error,
     },
     /// The connection was closed without an answer.
-    #[error("{0} closed the connection with no answer: too many callers, or no oakport")]
+    #[error("{0} closed the connection without an answer: too many connections, or not an oakport process")]
     NoAnswer(SocketAddr),
-    /// The answer to `DUMP` is something else.
-    #[error("{address} gave no figures but: {first_line}")]
+    /// The answer to `DUMP` is not a metrics report.
+    #[error("{address} answered DUMP without metrics: {first_line}")]
     UnexpectedAnswer {
         /// The address queried.
         address: SocketAddr,
@@ -46,14 +48,14 @@
         first_line: String,
     },
     /// The answer to `DUMP` cannot be parsed.
-    #[error("{address} gave figures that cannot be read: {source}")]
+    #[error("{address} sent metrics that cannot be parsed: {source}")]
     InvalidMetrics {
         /// The address queried.
         address: SocketAddr,
         /// What is wrong with the JSON.
         source: serde_json::Error,
     },
-    /// The answer could not be converted to JSON again.
+    /// The report could not be converted back to JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
--- a/crates/cli/src/ctl/tables.rs
+++ b/crates/cli/src/ctl/tables.rs
@@ -4,12 +4,12 @@
 use oakport_proxy::{MembershipReport, MetricsReport, OutcomeCounts, ShutdownReport};
 use std::time::Duration;
 
-/// A report from some time ago, for rates per second.
+/// An earlier report, from which rates per second are computed.
 #[derive(Clone, Copy)]
 pub struct Earlier<'a> {
     /// The report.
     pub report: &'a MetricsReport,
-    /// Time since it was received.
+    /// Time from its receipt to the receipt of the current report.
     pub elapsed: Duration,
 }
 
@@ -25,10 +25,9 @@
 }
 
 fn membership_summary(membership: &MembershipReport) -> String {
-    let partition =
-        if membership.partition_suspected { ", so many are silent that it is taken for a cut" } else { "" };
+    let partition = if membership.partition_suspected { "; network partition suspected" } else { "" };
     format!(
-        "{} at {} sees {} present, itself included, for {}; {:.0}% of them agree; counts {}{partition}",
+        "{} at {}: {} live members including itself, unchanged for {}; {:.0}% of them agree; live count {}{partition}",
         membership.name,
         membership.address,
         membership.size,
@@ -69,7 +68,7 @@
     table
 }
 
-/// The metrics as text, with rates per second where there is an earlier report.
+/// The metrics as text, with rates per second if there is an earlier report.
 pub fn metrics_table(now: &MetricsReport, earlier: Option<Earlier<'_>>) -> String {
     let mut lines: Vec<String> = outcomes_table(now, earlier).lines().collect();
     lines.push(String::new());
@@ -106,10 +105,10 @@
     table.load_preset(presets::NOTHING);
     table.add_row(["in flight", &now.in_flight_calls.to_string()]);
     table.add_row(["attempts", &with_rate(now.attempts, earlier, |report| report.attempts)]);
-    table.add_row(["servers listed", &now.endpoints_listed.to_string()]);
-    table.add_row(["servers down", &now.endpoints_unavailable.to_string()]);
-    table.add_row(["files taken", &now.reloads_succeeded.to_string()]);
-    table.add_row(["files turned down", &now.reloads_failed.to_string()]);
+    table.add_row(["endpoints listed", &now.endpoints_listed.to_string()]);
+    table.add_row(["endpoints unavailable", &now.endpoints_unavailable.to_string()]);
+    table.add_row(["reloads applied", &now.reloads_succeeded.to_string()]);
+    table.add_row(["reloads rejected", &now.reloads_failed.to_string()]);
     align_numbers_right(&mut table);
     table
 }
@@ -126,7 +125,7 @@
     table
 }
 
-/// A counter, with its increase per second since the earlier report.
+/// A counter, with its rate per second since the earlier report if there is one.
 fn with_rate(now: u64, earlier: Option<Earlier<'_>>, count: impl Fn(&MetricsReport) -> u64) -> String {
     let Some(earlier) = earlier else { return now.to_string() };
     let increase = now.saturating_sub(count(earlier.report)) as f64;
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program on the command line: its commands, its messages, its log.
+//! Tests of the program's commands, messages and log lines.
 
 mod peers;
 
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 use std::time::Instant;
 
-const GOOD: &str = r#"listen = "127.0.0.1:5000"
+const VALID_CONFIG: &str = r#"listen = "127.0.0.1:5000"
 discovery = "127.0.0.1:8500"
 
 [[settings.classes]]
@@ -24,9 +24,9 @@
 idempotency = "free"
 "#;
 
-fn oakport(folder: &Path, arguments: &[&str]) -> Output {
+fn oakport(directory: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakport"));
-    command.current_dir(folder).args(arguments).env_remove("RELAY_CONFIG").env_remove("OAKPORT_LOG");
+    command.current_dir(directory).args(arguments).env_remove("RELAY_CONFIG").env_remove("OAKPORT_LOG");
     command.output().expect("the program starts")
 }
 
@@ -34,66 +34,75 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A folder of the test's own, which goes with it.
-struct Folder(PathBuf);
+/// A temporary directory, which is removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("oakport-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a temporary folder");
-        Folder(folder)
+impl TempDir {
+    fn new(name: &str) -> TempDir {
+        let directory = std::env::temp_dir().join(format!("oakport-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("a temporary directory");
+        TempDir(directory)
     }
 
-    fn with(&self, file: &str, text: &str) {
+    fn write(&self, file: &str, text: &str) {
         std::fs::write(self.0.join(file), text).expect("a temporary file");
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A process that does not outlive its test.
-struct Ends(std::process::Child);
+/// A child process, which is killed on drop.
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Ends {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Ten bad files; each message names file, line, column and key, what was expected, and what to do.
+/// For each invalid file, the messages name file, line, column and key, the expected value and a remedy.
 #[test]
 fn check_reports_all_errors_of_an_invalid_file() {
-    let folder = Folder::new("check");
+    let directory = TempDir::new("check");
     let here = "127.0.0.1:1".parse().expect("an address");
     let json = config(here, here, 1_024, &[]).replace(r#""index":41"#, r#""index":"x""#);
     let bad = [
         ("empty.toml", String::new()),
-        ("cut.toml", GOOD[..GOOD.len() - 3].to_owned()),
-        ("unclosed.toml", GOOD.replace("\"600ms\"", "\"600ms")),
-        ("mistyped.toml", format!("opperator = \"127.0.0.1:1\"\nport = 5\n{GOOD}limits.max_attemps = 2\n")),
-        ("units.toml", GOOD.replace("600ms", "600 parsecs").replace("2s", "1ns").replace("1s", "soon")),
+        ("cut.toml", VALID_CONFIG[..VALID_CONFIG.len() - 3].to_owned()),
+        ("unclosed.toml", VALID_CONFIG.replace("\"600ms\"", "\"600ms")),
+        (
+            "mistyped.toml",
+            format!("opperator = \"127.0.0.1:1\"\nport = 5\n{VALID_CONFIG}limits.max_attemps = 2\n"),
+        ),
+        (
+            "units.toml",
+            VALID_CONFIG.replace("600ms", "600 parsecs").replace("2s", "1ns").replace("1s", "soon"),
+        ),
         (
             "kinds.toml",
-            GOOD.replace("\"2s\"", "true").replace("\"fare-charge\"", "7").replace("400ms", "-4s"),
+            VALID_CONFIG.replace("\"2s\"", "true").replace("\"fare-charge\"", "7").replace("400ms", "-4s"),
         ),
         (
             "bounds.toml",
-            GOOD.replace("\"2s\"", "0").replace("free", "sometimes").replace("127.0.0.1:8500", "here"),
+            VALID_CONFIG
+                .replace("\"2s\"", "0")
+                .replace("free", "sometimes")
+                .replace("127.0.0.1:8500", "here"),
         ),
         (
             "absurd.toml",
             format!(
-                "settings.balancers = 0\n{GOOD}\n[settings.invariants]\ndrain_grace_us = 0\n\
+                "settings.balancers = 0\n{VALID_CONFIG}\n[settings.invariants]\ndrain_grace_us = 0\n\
                  tip_after_us = \"2h\"\n[settings.limits]\nconnect_timeout_us = 0\nmax_open = 0\n"
             ),
         ),
-        ("missing.toml", GOOD.replace("name = \"fare-charge\"\n", "").replace("discovery", "#")),
-        ("twice.toml", GOOD.replace("journey-lookup", "fare-charge")),
+        ("missing.toml", VALID_CONFIG.replace("name = \"fare-charge\"\n", "").replace("discovery", "#")),
+        ("twice.toml", VALID_CONFIG.replace("journey-lookup", "fare-charge")),
         (
             "platform.json",
             json.replace("8c1f30d27a5be964", "seed")
@@ -102,19 +111,19 @@
         ),
     ];
     for (file, content) in &bad {
-        folder.with(file, content);
-        let output = oakport(&folder.0, &["check", file]);
+        directory.write(file, content);
+        let output = oakport(&directory.0, &["check", file]);
         assert_eq!((output.status.code(), text(&output.stdout)), (Some(1), String::new()), "{file}");
         insta::assert_snapshot!(*file, text(&output.stderr));
     }
-    // One call may look at many files; the valid ones among them are reported as good.
-    folder.with("good.toml", GOOD);
-    let output = oakport(&folder.0, &["check", "twice.toml", "good.toml", "nowhere.toml"]);
+    // One command may check several files; each valid one is reported as good.
+    directory.write("good.toml", VALID_CONFIG);
+    let output = oakport(&directory.0, &["check", "twice.toml", "good.toml", "nowhere.toml"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output.stdout).starts_with("good.toml: good\n"), "{}", text(&output.stdout));
     assert!(text(&output.stderr).contains("nowhere.toml: cannot be read: No such file"));
     for misuse in [&["check"][..], &["chek", "good.toml"], &[], &["serve", "--log-level", "loud"]] {
-        assert_eq!(oakport(&folder.0, misuse).status.code(), Some(2), "{misuse:?}");
+        assert_eq!(oakport(&directory.0, misuse).status.code(), Some(2), "{misuse:?}");
     }
 }
 
@@ -124,32 +133,32 @@
     let output = oakport(&root, &["check", "deploy/example.toml"]);
     assert!(output.status.success(), "{}", text(&output.stderr));
     insta::assert_snapshot!("example", text(&output.stdout));
-    let folder = Folder::new("good");
+    let directory = TempDir::new("good");
     let here = "127.0.0.1:1".parse().expect("an address");
-    folder.with("platform.json", &config(here, here, 384, &[]).replacen('{', r#"{"novel":1,"#, 1));
-    let output = oakport(&folder.0, &["check", "platform.json"]);
+    directory.write("platform.json", &config(here, here, 384, &[]).replacen('{', r#"{"novel":1,"#, 1));
+    let output = oakport(&directory.0, &["check", "platform.json"]);
     insta::assert_snapshot!("platform", text(&output.stdout));
 }
 
 #[test]
-fn a_human_readable_file_serves_and_is_reloaded() {
+fn serve_applies_and_reloads_a_human_readable_file() {
     let (discovery, other, host) = (Discovery::start(), Discovery::start(), Host::serving("done"));
-    let folder = Folder::new("serve");
+    let directory = TempDir::new("serve");
     let file = |at: &Discovery, worth: &str| {
-        let good = GOOD.replace("127.0.0.1:5000", "127.0.0.1:0");
+        let good = VALID_CONFIG.replace("127.0.0.1:5000", "127.0.0.1:0");
         good.replace("127.0.0.1:8500", &at.address.to_string()).replace("\nname", &format!("\n{worth}name"))
     };
-    folder.with("proxy.toml", &file(&discovery, ""));
-    let path = folder.0.join("proxy.toml");
+    directory.write("proxy.toml", &file(&discovery, ""));
+    let path = directory.0.join("proxy.toml");
     let arguments = ["serve", "--log-format", "json", "--config", &path.display().to_string()];
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakport"));
     command.args(arguments).stderr(std::process::Stdio::piped());
-    let mut child = Ends(command.spawn().expect("the program starts"));
+    let mut child = KillOnDrop(command.spawn().expect("the program starts"));
     let mut log = std::io::BufReader::new(child.0.stderr.take().expect("piped"));
     let mut next = |message: &str| loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("text") > 0, "it ended before it logged: {message}");
-        let line: serde_json::Value = serde_json::from_str(&line).expect("a JSON object a line");
+        assert!(log.read_line(&mut line).expect("text") > 0, "process ended before it logged: {message}");
+        let line: serde_json::Value = serde_json::from_str(&line).expect("one JSON object per line");
         if line["message"] == message {
             return line;
         }
@@ -162,7 +171,7 @@
     let stream = std::net::TcpStream::connect(address).expect("it listens");
     let mut client = Client { stream: std::io::BufReader::new(stream) };
     assert_eq!(client.call("fare-charge", "1500m").status(), 200);
-    // A file that lacks a key is turned down whole, though it would do at a start; one with more is taken.
+    // An invalid file is rejected as a whole; optional keys may be left out or added.
     for (content, message) in [
         (file(&other, "").replace("idempotency = \"free\"\n", ""), "reloaded"),
         (
@@ -204,8 +213,8 @@
     assert_eq!(metrics["calls"]["safe"]["busy"], 1, "{metrics}");
     let watched = ask(&["watch", "--every", "50ms", "--count", "3"]);
     assert_eq!(watched.matches("every 50ms").count(), 3, "{watched}");
-    assert_eq!(watched.matches("(0.0/s)").count(), 2 * 7, "two looks with rates: {watched}");
-    // A process in graceful shutdown says so while it still answers.
+    assert_eq!(watched.matches("(0.0/s)").count(), 2 * 7, "two reports with rates: {watched}");
+    // During graceful shutdown, the admin endpoint still answers that clients are not accepted.
     let mut kept = proxy.client();
     kept.write(
         "POST /safe HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nX-Timeout: 2000m\r\nContent-Length: 9\r\n\r\n",
@@ -218,40 +227,40 @@
             break text(&output.stderr);
         }
     };
-    assert!(message.contains("takes no clients"), "{message}");
+    assert!(message.contains("does not accept clients"), "{message}");
 }
 
 #[test]
 fn ctl_reports_missing_and_unexpected_answers() {
     let here = std::env::temp_dir();
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let other = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = other.local_addr().expect("its address");
+    let mail_server = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mail_address = mail_server.local_addr().expect("its address");
     std::thread::spawn(move || {
-        for mut stream in other.incoming().flatten() {
+        for mut stream in mail_server.incoming().flatten() {
             let _ = stream.read(&mut [0; 64]);
             let _ = std::io::Write::write_all(&mut stream, b"220 mail\r\n");
         }
     });
-    let silent_at = silent.local_addr().expect("its address");
-    for (address, call, wanted) in [
-        (nobody(), "health", "nobody answers at"),
-        (silent_at, "health", "no answer from"),
-        (at, "dump", "gave no figures but: 220 mail"),
-        (at, "health", "takes no clients"),
+    let silent_address = silent.local_addr().expect("its address");
+    for (address, command, expected) in [
+        (nobody(), "health", "no admin endpoint listens at"),
+        (silent_address, "health", "no answer from"),
+        (mail_address, "dump", "answered DUMP without metrics: 220 mail"),
+        (mail_address, "health", "does not accept clients"),
     ] {
-        let output = oakport(&here, &["ctl", &address.to_string(), call]);
-        assert_eq!(output.status.code(), Some(1), "{wanted}");
+        let output = oakport(&here, &["ctl", &address.to_string(), command]);
+        assert_eq!(output.status.code(), Some(1), "{expected}");
         let message = text(&output.stderr);
         assert!(
-            message.starts_with("oakport: ") && message.contains(wanted) && message.lines().count() == 1,
+            message.starts_with("oakport: ") && message.contains(expected) && message.lines().count() == 1,
             "{message}"
         );
     }
 }
 
 #[test]
-fn schema_completions_version_and_log_filter_errors_can_be_read() {
+fn schema_completions_version_and_log_filter_errors_are_printed() {
     let here = std::env::temp_dir();
     let schema = oakport(&here, &["schema"]);
     let schema: serde_json::Value = serde_json::from_slice(&schema.stdout).expect("JSON");
