--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,4 +1,5 @@
-//! The admin endpoint: answers one request line per connection from the metrics. It changes nothing.
+//! The admin endpoint: answers one request line per connection with the health or the metrics of the process. Requests
+//! do not change any state.
 
 use crate::dispatcher::Dispatcher;
 use crate::membership::MembershipService;
@@ -15,20 +16,21 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Most connections at a time. One more closes the oldest, so that idle connections cannot lock others out.
+/// Maximum number of open connections. A further one closes the oldest, so that idle connections do not block others.
 const MAX_CONNECTIONS: usize = 12;
-/// Connections waiting to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const MAX_BACKLOG_CONNECTIONS: u32 = 64;
-/// Most bytes of a request line, without its end.
+/// Maximum length of a request line, without its line end.
 const MAX_REQUEST_LINE_BYTES: usize = 64;
-/// How long a client may take to send its request line.
+/// Timeout for a client to send its request line.
 const REQUEST_LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a client may take to read the response.
+/// Timeout for a client to read the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most bytes read and discarded after the response: closing with unread bytes could destroy the response.
+/// Maximum number of bytes that are read and discarded after the response. Closing a socket with unread bytes resets
+/// the connection, which could destroy the response.
 const MAX_DISCARDED_BYTES: u64 = 64 * 1024;
-/// Pause before listening or accepting is retried.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before listening or accepting is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The parts of the program whose state is reported.
 #[derive(Clone)]
@@ -39,7 +41,7 @@
 }
 
 impl Sources {
-    /// All metrics at this moment.
+    /// The current metrics.
     fn report(&self) -> MetricsReport {
         MetricsReport {
             membership: self.membership.as_deref().and_then(MembershipService::report),
@@ -70,27 +72,27 @@
                     let connection = serve(sources.clone(), stream);
                     oldest_first.push_back(connections.spawn_local(connection));
                 }
-                Err(_) => sleep(RETRY_PAUSE).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             },
-            // How a connection ends concerns its client alone.
+            // The result of a connection only concerns its client.
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Listens at `address`, retrying until that succeeds: clients are served meanwhile.
+/// Listens at `address`, retrying until that succeeds. The process serves its clients meanwhile.
 async fn listen(address: SocketAddr) -> TcpListener {
     let mut warned = false;
     loop {
         match try_listen(address) {
             Ok(listener) => return listener,
             Err(error) if !warned => {
-                warn!(%address, reason = %error, "admin endpoint cannot listen, retrying");
+                warn!(%address, reason = %error, "admin endpoint failed to listen, retrying");
                 warned = true;
             }
             Err(_) => {}
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -108,7 +110,7 @@
         Ok(None) => return,
         Err(_) => "NO not a whole line in time\n".to_owned(),
     };
-    // A client that does not read its response has none.
+    // The connection of a client that does not read its response is closed.
     let _ = timeout(RESPONSE_TIMEOUT, send_response(stream, &response)).await;
 }
 
@@ -120,7 +122,8 @@
     Ok(())
 }
 
-/// The request line without its end, or what was read of one that is too long. None: nothing was sent.
+/// Reads the request line without its line end; of a line that is too long, its beginning. `None` if the client sent
+/// nothing.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::new();
     let mut chunk = [0; MAX_REQUEST_LINE_BYTES + 1];
--- a/crates/proxy/src/config/diagnostics.rs
+++ b/crates/proxy/src/config/diagnostics.rs
@@ -1,30 +1,30 @@
-//! Diagnostics of a configuration file: every error and warning, with its line and a remedy.
+//! Diagnostics of a configuration file: all errors and warnings, each with its position and a remedy.
 
 use super::source_spans::{dotted_path, SourceSpans};
 use miette::{GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, Severity, SourceCode};
 use std::fmt;
 use std::ops::Range;
 
-/// Width of a rendered report.
+/// Width at which a rendered report is wrapped.
 const MAX_REPORT_COLUMNS: usize = 100;
 
 /// One error or warning.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Which value, as a JSON pointer.
+    /// JSON pointer of the value.
     pub pointer: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: String,
-    /// What to do.
+    /// How to correct the value.
     pub remedy: Option<String>,
-    /// Byte range in the text, where the pointer does not lead to it.
+    /// Byte range in the text. `None`: the range of the value at `pointer`.
     pub range: Option<Range<usize>>,
-    /// Does the file count all the same? If not, this is an error.
+    /// A warning does not make the file invalid; an error does.
     pub is_warning: bool,
 }
 
 impl Diagnostic {
-    /// An error at the value that a JSON pointer leads to.
+    /// An error in the value at a JSON pointer.
     pub fn error(pointer: impl Into<String>, problem: impl Into<String>) -> Self {
         Diagnostic {
             pointer: pointer.into(),
@@ -35,9 +35,9 @@
         }
     }
 
-    /// A syntax error: the text is not JSON, or not TOML.
+    /// A syntax error: the text is not valid JSON or TOML.
     pub fn syntax_error(problem: impl Into<String>, range: Range<usize>) -> Self {
-        let remedy = Some("mend this first: the rest can be read only then".to_owned());
+        let remedy = Some("fix the syntax first; other checks need a file that can be parsed".to_owned());
         Diagnostic { range: Some(range), remedy, ..Diagnostic::error("", problem) }
     }
 }
@@ -50,23 +50,23 @@
     }
 }
 
-/// A diagnostic with the byte range in the text that it is about.
+/// A diagnostic with its byte range in the text.
 #[derive(Clone, Debug)]
 struct LocatedDiagnostic {
     diagnostic: Diagnostic,
     range: Range<usize>,
 }
 
-/// How many diagnostics a file has.
+/// Number of diagnostics of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiagnosticCounts {
-    /// Those for which the file is rejected.
+    /// Diagnostics that make the file invalid.
     pub errors: usize,
-    /// Those that have no effect.
+    /// Keys without effect.
     pub warnings: usize,
 }
 
-/// Line and column in a text, both from 1.
+/// Line and column in a text; both start at 1.
 struct LineColumn {
     line: usize,
     column: usize,
@@ -75,14 +75,14 @@
 /// All diagnostics of one file.
 #[derive(Clone, Debug, Default)]
 pub struct Diagnostics {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
     text: String,
     located: Vec<LocatedDiagnostic>,
 }
 
 impl Diagnostics {
-    /// The diagnostics of a text, in the order of their positions. Equal ones are listed once.
+    /// The diagnostics of a text, ordered by position and without duplicates.
     pub fn new(file: &str, text: &str, diagnostics: Vec<Diagnostic>, spans: &SourceSpans) -> Self {
         let locate = |diagnostic: Diagnostic| {
             let range = diagnostic.range.clone().unwrap_or_else(|| spans.find(&diagnostic.pointer));
@@ -94,14 +94,14 @@
         Diagnostics { file: file.to_owned(), text: text.to_owned(), located }
     }
 
-    /// One error without a position in the text, such as a file that cannot be read.
+    /// A single error without a position in the text, such as an unreadable file.
     pub fn without_position(file: &str, problem: impl Into<String>) -> Self {
         let diagnostic = Diagnostic { range: Some(0..0), ..Diagnostic::error("", problem) };
         let located = vec![LocatedDiagnostic { diagnostic, range: 0..0 }];
         Diagnostics { file: file.to_owned(), text: String::new(), located }
     }
 
-    /// How many errors and warnings there are.
+    /// Number of errors and of warnings.
     pub fn count(&self) -> DiagnosticCounts {
         let warnings = self.located.iter().filter(|found| found.diagnostic.is_warning).count();
         DiagnosticCounts { errors: self.located.len() - warnings, warnings }
@@ -135,7 +135,7 @@
         format!("{}{position}: {diagnostic}{remedy}", self.file)
     }
 
-    /// For a terminal: each diagnostic with the lines of the file that it is about.
+    /// Renders each diagnostic for a terminal, with the lines of the file that it refers to.
     pub fn render(&self, colours: bool) -> String {
         let theme = if colours { GraphicalTheme::unicode() } else { GraphicalTheme::unicode_nocolor() };
         let handler = GraphicalReportHandler::new_themed(theme);
@@ -169,7 +169,7 @@
 
 impl std::error::Error for Diagnostics {}
 
-/// A diagnostic in the form that the rendering library takes.
+/// A diagnostic as the `miette` renderer needs it.
 #[derive(Debug)]
 struct RenderedDiagnostic<'a> {
     diagnostic: &'a Diagnostic,
@@ -203,7 +203,7 @@
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        // A table is too long to be underlined: its first line is enough.
+        // Only the first line is underlined: a table can span many lines.
         let text = self.source.as_ref()?.inner();
         let line_end = text[self.range.start..self.range.end].find('\n');
         let length = line_end.unwrap_or(self.range.end - self.range.start);
--- a/crates/proxy/src/config/human_readable.rs
+++ b/crates/proxy/src/config/human_readable.rs
@@ -1,4 +1,4 @@
-//! The human-readable form (TOML): times and sizes may have units, and most keys may be left out.
+//! The human-readable form (TOML): times and sizes may have units, and most keys have defaults.
 
 use super::diagnostics::Diagnostic;
 use super::source_spans::child_pointer;
@@ -8,9 +8,9 @@
 use serde_json::{Map, Value};
 use std::sync::LazyLock;
 
-/// The values of keys that are left out.
+/// Default values of keys that are left out.
 static DEFAULTS: LazyLock<Value> = LazyLock::new(|| {
-    // A test checks that it can be read.
+    // A test checks that the file can be parsed.
     toml::from_str(include_str!("defaults.toml")).unwrap_or_default()
 });
 
@@ -18,7 +18,7 @@
 const NANOS_PER_MILLISECOND: u128 = 1_000_000;
 const BYTES_PER_MIB: u128 = 1 << 20;
 
-/// A unit of numbers, by the suffix of their key.
+/// Unit of a number, given by the suffix of its key.
 struct Unit {
     key_suffix: &'static str,
     expected: &'static str,
@@ -47,7 +47,7 @@
     Some(humantime::parse_duration(text).ok()?.as_nanos())
 }
 
-/// The amount in whole units. None: it is not a whole number of them.
+/// The amount in whole units; `None` if it is not a multiple of the unit.
 fn whole_units(amount: u128, unit: u128) -> Option<u64> {
     if amount.is_multiple_of(unit) {
         u64::try_from(amount / unit).ok()
@@ -56,7 +56,7 @@
     }
 }
 
-/// Replaces times and sizes that have units by plain numbers.
+/// Replaces times and sizes with units by plain numbers.
 pub fn resolve_units(value: &mut Value, pointer: &str, diagnostics: &mut Vec<Diagnostic>) {
     match value {
         Value::Array(items) => {
@@ -74,7 +74,7 @@
                         None => {
                             let problem = format!("expected {}, found \"{text}\"", unit.expected);
                             diagnostics.push(Diagnostic::error(pointer, problem));
-                            // One error is enough for this value: any number passes the later checks.
+                            // Replaced by a valid number, so that later checks do not report this value again.
                             *value = 1.into();
                         }
                     },
@@ -86,7 +86,7 @@
     }
 }
 
-/// Adds the default values of the keys that were left out, and a random seed.
+/// Adds the default values of keys that are left out, and a random seed if there is none.
 pub fn apply_defaults(value: &mut Value) {
     let Value::Object(file) = value else { return };
     let mut defaults = DEFAULTS.clone();
@@ -100,7 +100,7 @@
     }
 }
 
-/// Adds missing keys, table by table; a given value stays, whatever its type.
+/// Adds missing keys, recursing into tables. A given value is kept, whatever its type.
 fn merge(given: &mut Value, defaults: &Value) {
     let (Value::Object(given), Value::Object(defaults)) = (given, defaults) else { return };
     for (key, default) in defaults {
--- a/crates/proxy/src/config/human_readable/tests.rs
+++ b/crates/proxy/src/config/human_readable/tests.rs
@@ -1,11 +1,11 @@
-//! Units and defaults of the human-readable form.
+//! Tests of the units and defaults of the human-readable form.
 
 use super::*;
 use serde_json::json;
 
 #[test]
 fn values_with_units_become_numbers_and_fractions_of_a_unit_are_errors() {
-    for (key, text, wanted) in [
+    for (key, text, expected) in [
         ("aim_us", "400ms", Some(400_000)),
         ("aim_us", "1m 30s", Some(90_000_000)),
         ("aim_us", "7us", Some(7)),
@@ -23,16 +23,16 @@
         let mut value = json!({"part": [{key: text}]});
         let mut diagnostics = Vec::new();
         resolve_units(&mut value, "", &mut diagnostics);
-        match wanted {
+        match expected {
             Some(number) => assert_eq!(value["part"][0][key], number, "{text}"),
             None => assert_eq!(diagnostics[0].pointer, format!("/part/0/{key}"), "{text}"),
         }
-        assert_eq!(diagnostics.is_empty(), wanted.is_some(), "{text}");
+        assert_eq!(diagnostics.is_empty(), expected.is_some(), "{text}");
     }
 }
 
 #[test]
-fn given_values_stay_and_missing_keys_get_defaults() {
+fn given_values_are_kept_and_missing_keys_get_defaults() {
     let mut value = json!({"limits": {"sockets": 9}, "settings": {"classes": [{"worth": 5}, {}]}});
     apply_defaults(&mut value);
     assert_eq!((&value["limits"]["sockets"], &value["limits"]["memory_mb"]), (&json!(9), &json!(64)));
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration file: read and checked as one value, at the start and at each SIGHUP.
+//! The configuration file, which is read and validated as a whole at start and at each SIGHUP.
 
 mod diagnostics;
 mod document;
@@ -18,49 +18,49 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Names the configuration file where the command line names none.
+/// Environment variable with the path of the configuration file, used if the command line does not name one.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// The address of the admin endpoint; overrides that of the file.
+/// Environment variable with the address of the admin endpoint; overrides the `operator` key of the file.
 const ADMIN_ADDRESS_VARIABLE: &str = "RELAY_OPERATOR";
 
 /// A valid configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the endpoint list is polled.
+    /// Address that the endpoint list is polled from.
     pub discovery: SocketAddr,
-    /// Where the admin endpoint listens (`operator` in the file); without it nothing is opened.
+    /// Address of the admin endpoint (`operator` in the file). `None`: there is no admin endpoint.
     pub admin_address: Option<SocketAddr>,
-    /// The name of this client proxy, if it has one.
+    /// The name of this client proxy, if configured.
     pub name: Option<String>,
-    /// The membership of the other client proxies (`peers` in the file); without it nothing is opened.
+    /// Membership in a fleet of client proxies (`peers` in the file). `None`: the process does not join one.
     pub membership: Option<MembershipConfig>,
-    /// Seed of all random numbers of the decisions.
+    /// Seed of the random numbers in balancing decisions.
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
     pub(crate) known: Option<EndpointList>,
     /// The settings, for the balancer and for the sockets.
     pub settings: ParsedSettings,
-    /// Keys that the file leaves out, in dotted notation, with their default values.
+    /// Keys that are missing in the file, in dotted notation, with their default values.
     pub defaulted: Vec<(String, Value)>,
     path: PathBuf,
-    /// The file as it was given, to compare the next one with.
+    /// The content of the file without defaults; a reloaded file is compared with it.
     given: Value,
 }
 
 /// The result of checking a file.
 #[derive(Debug)]
 pub struct Checked {
-    /// The configuration, unless there is an error.
+    /// The configuration; `None` if there is an error.
     pub config: Option<Config>,
     /// All errors and warnings.
     pub diagnostics: Diagnostics,
 }
 
 impl Config {
-    /// Reads a file, or the one that `$RELAY_CONFIG` names: TOML if its name ends in `.toml`, else JSON.
+    /// Reads the given file or else the one that `$RELAY_CONFIG` names: TOML if its name ends in `.toml`, else JSON.
     /// `$RELAY_OPERATOR`, if set, overrides its `operator`.
     ///
     /// # Errors
@@ -73,7 +73,7 @@
         };
         let source = SourceFile::read(&path)?;
         let mut config = source.parse()?;
-        // A process's own environment overrides a file that several processes may share.
+        // The environment belongs to one process; the file may be shared by several.
         if let Ok(address) = std::env::var(ADMIN_ADDRESS_VARIABLE) {
             let parsed = address.parse().map_err(|error| {
                 Diagnostics::without_position(ADMIN_ADDRESS_VARIABLE, format!("{address}: {error}"))
@@ -83,7 +83,7 @@
         Ok(config)
     }
 
-    /// Reads a file as `read` does, and also reports keys that have no effect.
+    /// Reads a file as [`Config::read`] does, and also reports keys that have no effect.
     pub fn check(path: &Path) -> Checked {
         let read = SourceFile::read(path).and_then(|source| Ok((source.parse()?, source)));
         match read {
@@ -100,17 +100,18 @@
         schema::schema(false).to_value()
     }
 
-    /// Reads the file again. An error leaves this configuration in force.
+    /// Reads the file again.
     ///
     /// # Errors
     /// All errors of the file, or a key of this configuration that the file now lacks.
     pub fn reload(&self) -> Result<Self, Diagnostics> {
         let mut next = Config::read(Some(&self.path))?;
-        // Endpoints come from discovery by now.
+        // After the start, the endpoint list only comes from discovery.
         next.known = None;
         match reload_check::missing_key(&self.given, &next.given) {
             Some(key) => {
-                let problem = format!("{key} is missing, which the file in force has; put it back");
+                let problem =
+                    format!("{key} is missing, but set in the configuration in force; add it again");
                 Err(Diagnostics::without_position(&self.path.display().to_string(), problem))
             }
             None => Ok(next),
@@ -140,7 +141,7 @@
     path: &'a Path,
     name: String,
     text: String,
-    /// TOML; else JSON.
+    /// TOML if true, else JSON.
     human_readable: bool,
 }
 
@@ -151,7 +152,7 @@
         let bytes = std::fs::read(path).map_err(|e| error(format!("cannot be read: {e}")))?;
         let text = String::from_utf8(bytes).map_err(|e| {
             let byte = e.utf8_error().valid_up_to();
-            error(format!("is no text: byte {byte} is not UTF-8"))
+            error(format!("invalid UTF-8 at byte {byte}"))
         })?;
         let human_readable = path.extension().is_some_and(|extension| extension == "toml");
         Ok(SourceFile { path, name, text, human_readable })
@@ -162,7 +163,7 @@
         Ok(Config::new(self.path, file))
     }
 
-    /// What has no effect in a valid file. In the human-readable form that would be an error.
+    /// Warnings about keys without effect in a valid file. In the human-readable form such a key is an error.
     fn warnings(&self, given: &Value) -> Diagnostics {
         let mut found = if self.human_readable { Vec::new() } else { schema::validate(given, false) };
         found.retain(|diagnostic| diagnostic.is_warning);
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a configuration file, in either of its two forms.
+//! Parses the text of a configuration file, JSON or human-readable (TOML).
 
 use super::diagnostics::{Diagnostic, Diagnostics};
 use super::document::{Document, Limits, MembershipConfig};
@@ -11,34 +11,34 @@
 use std::net::SocketAddr;
 use toml::de::DeTable;
 
-/// A valid file, with defaults for the keys that are left out.
+/// A valid file, with defaults for missing keys.
 #[derive(Debug)]
 pub struct ParsedFile {
     /// The name of this client proxy.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the endpoint list is polled.
+    /// Address that the endpoint list is polled from.
     pub discovery: SocketAddr,
-    /// `operator`: where the admin endpoint listens.
+    /// `operator`: address of the admin endpoint.
     pub admin_address: Option<SocketAddr>,
-    /// `peers`: the membership of the other client proxies.
+    /// `peers`: membership in a fleet of client proxies.
     pub membership: Option<MembershipConfig>,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list as this client proxy last had it.
+    /// The last endpoint list that this client proxy received.
     pub known: Option<EndpointList>,
     /// The settings, for the balancer and for the sockets.
     pub settings: ParsedSettings,
-    /// Keys that are left out, in dotted notation, with their default values.
+    /// Keys that are missing in the file, in dotted notation, with their default values.
     pub defaulted: Vec<(String, Value)>,
-    /// The value of the text as it was given.
+    /// The content of the file without defaults.
     pub given: Value,
 }
 
-/// The value of a text, with the position of each part.
+/// The value of a text, with the byte range of each part.
 struct LocatedValue {
     value: Value,
     spans: SourceSpans,
@@ -47,7 +47,7 @@
 /// Parses a text; `file` is its name in diagnostics.
 ///
 /// # Errors
-/// All errors of the file. After a syntax error nothing else can be checked.
+/// All errors of the file; a syntax error prevents all further checks.
 pub fn parse(file: &str, text: &str, human_readable: bool) -> Result<ParsedFile, Diagnostics> {
     let parsed = if human_readable { parse_toml(text) } else { parse_json(text) };
     let LocatedValue { value: given, spans } =
@@ -78,12 +78,12 @@
         let byte = (line_start + error.column().saturating_sub(1)).min(text.len());
         let message = error.to_string();
         let problem = message.split(" at line ").next().unwrap_or_default();
-        Diagnostic::syntax_error(format!("no JSON: {problem}"), byte..byte)
+        Diagnostic::syntax_error(format!("invalid JSON: {problem}"), byte..byte)
     })?;
     Ok(LocatedValue { value, spans: SourceSpans::json(text) })
 }
 
-/// The human-readable form with plain numbers and all defaults, validated.
+/// Converts the human-readable form to plain numbers, adds all defaults and validates the result.
 fn complete(given: &Value) -> Result<Value, Vec<Diagnostic>> {
     let mut value = given.clone();
     let mut diagnostics = Vec::new();
@@ -120,7 +120,7 @@
     })
 }
 
-/// The keys of a valid file that were not given, with their default values.
+/// The keys that are missing in a valid file, with their default values.
 fn defaulted_keys(given: &Value, complete: &Value) -> Vec<(String, Value)> {
     let document = Document::deserialize(complete).ok();
     let document = document.and_then(|document| serde_json::to_value(document).ok()).unwrap_or_default();
@@ -129,7 +129,7 @@
     found
 }
 
-/// Collects what stands in `full` and not in `given`.
+/// Collects the keys of `full` that are missing in `given`, with their values.
 fn collect_missing(pointer: &str, given: &Value, full: &Value, found: &mut Vec<(String, Value)>) {
     match (given, full) {
         (Value::Object(given), Value::Object(full)) => {
--- a/crates/proxy/src/config/reload_check.rs
+++ b/crates/proxy/src/config/reload_check.rs
@@ -1,20 +1,20 @@
-//! Rejects a reloaded file that lacks a key of the one in force: it may have been cut short.
+//! Detects a reloaded file that lacks a key of the file in force, as it may be truncated.
 
 use serde_json::{Map, Value};
 
-/// Tables of the file, by their path, whose keys a new file may not leave out.
+/// Paths of the tables whose keys must also be in the new file.
 const CHECKED_TABLES: [&[&str]; 5] =
     [&[], &["limits"], &["settings"], &["settings", "limits"], &["settings", "invariants"]];
-/// Keys that a new file may leave out all the same.
+/// Keys of these tables that may be missing in the new file.
 const OPTIONAL_KEYS: [&str; 3] = ["known", "operator", "peers"];
 
-/// A key of the file in force that the new one lacks, in dotted notation.
+/// A key of the file in force that is missing in the new file, in dotted notation.
 pub fn missing_key(in_force: &Value, new: &Value) -> Option<String> {
-    let in_table = CHECKED_TABLES.iter().find_map(|table| missing_key_of_table(table, in_force, new));
-    in_table.or_else(|| missing_key_of_classes(in_force, new))
+    let in_table = CHECKED_TABLES.iter().find_map(|table| missing_key_in_table(table, in_force, new));
+    in_table.or_else(|| missing_key_in_classes(in_force, new))
 }
 
-fn missing_key_of_table(table: &[&str], in_force: &Value, new: &Value) -> Option<String> {
+fn missing_key_in_table(table: &[&str], in_force: &Value, new: &Value) -> Option<String> {
     let old_table = value_at(in_force, table)?.as_object()?;
     let new_table = value_at(new, table)?;
     let is_missing =
@@ -23,8 +23,8 @@
     Some([table, &[key.as_str()]].concat().join("."))
 }
 
-/// A key that each class in force has must be in each new class too.
-fn missing_key_of_classes(in_force: &Value, new: &Value) -> Option<String> {
+/// Returns a key that each class in force has and some new class lacks.
+fn missing_key_in_classes(in_force: &Value, new: &Value) -> Option<String> {
     let old_classes = classes(in_force);
     let first = old_classes.first().and_then(Value::as_object);
     let common_keys = first.into_iter().flat_map(Map::keys);
--- a/crates/proxy/src/config/schema.rs
+++ b/crates/proxy/src/config/schema.rs
@@ -1,4 +1,4 @@
-//! The JSON schema of the configuration, and what it finds in a file.
+//! The JSON schema of the configuration, and the validation of a file against it.
 
 use super::diagnostics::Diagnostic;
 use super::document::Document;
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Up to this edit distance a known key is suggested for an unknown one.
+/// Maximum edit distance at which a known key is suggested in place of an unknown one.
 const MAX_SUGGESTION_DISTANCE_EDITS: usize = 3;
 
 /// The JSON schema of the configuration. `strict`: unknown keys are errors.
@@ -28,8 +28,8 @@
     settings.into_generator().into_root_schema_for::<Document>()
 }
 
-/// Validates a document against the schema. An unknown key has no effect in JSON, which is a warning; in the
-/// human-readable form it is an error, as it may be mistyped.
+/// Validates a document against the schema. An unknown key is a warning in JSON, where it has no effect, and an error in
+/// the human-readable form, where it may be mistyped.
 pub fn validate(document: &Value, human_readable: bool) -> Vec<Diagnostic> {
     let schema = schema(true).to_value();
     let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
@@ -40,11 +40,14 @@
             let check = SchemaCheck { schema: &schema, human_readable };
             validator.iter_errors(document).flat_map(|error| check.diagnostics(&error)).collect()
         }
-        Err(error) => vec![Diagnostic::error("", format!("the schema itself is odd: {error}"))],
+        Err(error) => vec![Diagnostic::error(
+            "",
+            format!("internal error, the configuration schema is invalid: {error}"),
+        )],
     }
 }
 
-/// Adds what the schema says of the key, for a diagnostic that was not found by the schema.
+/// Adds the description of the key as the remedy of a diagnostic that the schema validation did not produce.
 pub fn with_remedy(diagnostic: Diagnostic) -> Diagnostic {
     let remedy = description(&schema(true).to_value(), &diagnostic.pointer).map(str::to_owned);
     Diagnostic { remedy, ..diagnostic }
@@ -66,37 +69,38 @@
             Kind::AdditionalProperties { unexpected } => {
                 unexpected.iter().map(|key| self.unknown_key(pointer, key)).collect()
             }
-            Kind::Enum { options } => vec![self.unknown_word(error, options)],
+            Kind::Enum { options } => vec![self.unknown_variant(error, options)],
             _ => {
-                let problem = problem_of_value(error);
+                let problem = describe_invalid_value(error);
                 vec![Diagnostic { remedy: self.remedy(pointer), ..Diagnostic::error(pointer, problem) }]
             }
         }
     }
 
-    /// What the schema says of a key.
+    /// The description of a key, if the schema has one.
     fn remedy(&self, pointer: &str) -> Option<String> {
         description(self.schema, pointer).map(str::to_owned)
     }
 
     fn missing_key(&self, pointer: &str, key: &str) -> Diagnostic {
-        let remedy = self.remedy(&child_pointer(pointer, key)).map(|is| format!("add {key}: {is}"));
+        let remedy =
+            self.remedy(&child_pointer(pointer, key)).map(|description| format!("add {key}: {description}"));
         Diagnostic { remedy, ..Diagnostic::error(pointer, format!("{key} is missing")) }
     }
 
     fn unknown_key(&self, pointer: &str, key: &str) -> Diagnostic {
-        let diagnostic = Diagnostic::error(child_pointer(pointer, key), "no such key is known");
+        let diagnostic = Diagnostic::error(child_pointer(pointer, key), "unknown key");
         if !self.human_readable {
             return Diagnostic { is_warning: true, ..diagnostic };
         }
         let remedy = match self.similar_key(pointer, key) {
             Some(similar) => format!("did you mean {similar}?"),
-            None => "take it out".to_owned(),
+            None => "remove the key".to_owned(),
         };
         Diagnostic { remedy: Some(remedy), ..diagnostic }
     }
 
-    /// The known key of this table that is most like `key`, if any is like it.
+    /// The key of this table with the smallest edit distance to `key`, if one is similar enough.
     fn similar_key(&self, pointer: &str, key: &str) -> Option<&String> {
         let known = subschema(self.schema, pointer)?.get("properties")?.as_object()?;
         let by_distance = known.keys().map(|known| (strsim::osa_distance(known, key), known));
@@ -104,22 +108,22 @@
         similar.min().map(|(_, known)| known)
     }
 
-    fn unknown_word(&self, error: &ValidationError<'_>, options: &Value) -> Diagnostic {
-        let words = options.as_array().into_iter().flatten().filter_map(Value::as_str);
-        let quoted = words.filter(|word| !word.is_empty()).map(|word| format!("\"{word}\""));
+    fn unknown_variant(&self, error: &ValidationError<'_>, options: &Value) -> Diagnostic {
+        let variants = options.as_array().into_iter().flatten().filter_map(Value::as_str);
+        let quoted = variants.filter(|variant| !variant.is_empty()).map(|variant| format!("\"{variant}\""));
         let expected = format!("one of {}", quoted.collect::<Vec<_>>().join(", "));
         let pointer = error.instance_path().as_str();
         Diagnostic {
             remedy: self.remedy(pointer),
-            // In JSON an unknown word stands for the one that allows least.
+            // In JSON an unknown value is replaced by the most restrictive one.
             is_warning: !self.human_readable,
             ..Diagnostic::error(pointer, expected_found(&expected, error.instance()))
         }
     }
 }
 
-/// What is wrong with a value that is of the wrong type or out of range.
-fn problem_of_value(error: &ValidationError<'_>) -> String {
+/// Describes why a value has the wrong type or is out of range.
+fn describe_invalid_value(error: &ValidationError<'_>) -> String {
     let expected = match error.kind() {
         Kind::Type { kind } => type_name(&format!("{kind:?}").to_lowercase()).to_owned(),
         Kind::Minimum { limit } => format!("at least {limit}"),
@@ -138,7 +142,7 @@
     format!("expected {expected}, found {}", abbreviated(found))
 }
 
-/// The name of a JSON type in messages. `kinds` names one or several types in lower case.
+/// The name of a JSON type for messages. `kinds` contains one or several type names in lower case.
 fn type_name(kinds: &str) -> &'static str {
     const NAMES: [(&str, &str); 6] = [
         ("integer", "a whole number"),
@@ -146,13 +150,13 @@
         ("boolean", "true or false"),
         ("object", "a table"),
         ("array", "a list"),
-        ("string", "a text in quotes"),
+        ("string", "a quoted string"),
     ];
     let found = NAMES.iter().find(|(json, _)| kinds.contains(json));
     found.map_or("another kind of value", |(_, name)| name)
 }
 
-/// A value as messages show it.
+/// A value, abbreviated for messages.
 fn abbreviated(value: &Value) -> String {
     match value {
         Value::Array(items) => format!("a list of {}", items.len()),
@@ -161,7 +165,7 @@
     }
 }
 
-/// The schema of the value that a pointer leads to.
+/// The schema of the value at a pointer.
 fn subschema<'a>(schema: &'a Value, pointer: &str) -> Option<&'a Value> {
     pointer.split('/').skip(1).try_fold(schema, |schema, key| {
         let branches = schema.get("anyOf").and_then(Value::as_array).into_iter().flatten();
@@ -173,7 +177,7 @@
     })
 }
 
-/// What the schema says of a key.
+/// The description of a key, if the schema has one.
 fn description<'a>(schema: &'a Value, pointer: &str) -> Option<&'a str> {
     subschema(schema, pointer)?.get("description")?.as_str()
 }
--- a/crates/proxy/src/config/source_spans.rs
+++ b/crates/proxy/src/config/source_spans.rs
@@ -1,4 +1,4 @@
-//! The byte range of each value of a file, by its JSON pointer.
+//! Byte ranges of the values in a file, by JSON pointer.
 
 use jsonc_parser::ast;
 use std::collections::HashMap;
@@ -6,12 +6,12 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Byte ranges of the values of one file.
+/// Byte ranges of the values in one file, by JSON pointer.
 #[derive(Debug, Default)]
 pub struct SourceSpans(HashMap<String, Range<usize>>);
 
 impl SourceSpans {
-    /// The spans of a JSON text; none if it is not JSON.
+    /// The spans of a JSON text; empty if the text is not valid JSON.
     pub fn json(text: &str) -> Self {
         let mut spans = SourceSpans::default();
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default());
@@ -29,7 +29,7 @@
         spans
     }
 
-    /// The range of the value that a pointer leads to, or of the nearest value that contains it.
+    /// The range of the value at a pointer, or of the innermost value that contains it.
     pub fn find(&self, pointer: &str) -> Range<usize> {
         let mut prefix = pointer;
         loop {
@@ -83,12 +83,12 @@
     }
 }
 
-/// The pointer of a key of the value at `pointer` (RFC 6901).
+/// Appends a key to a JSON pointer (RFC 6901).
 pub fn child_pointer(pointer: &str, key: &str) -> String {
     format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"))
 }
 
-/// A pointer in dotted notation: `settings.classes[0].name`.
+/// A JSON pointer in dotted notation: `settings.classes[0].name`.
 pub fn dotted_path(pointer: &str) -> String {
     let mut text = String::new();
     for part in pointer.split('/').skip(1) {
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Parsing and reloading of a configuration file.
+//! Tests of parsing and reloading a configuration file.
 
 use super::parse::{parse, ParsedFile};
 use super::reload_check;
@@ -9,7 +9,7 @@
 "idempotency":"free"}],"limits":{"max_attempts":3,"cancel":true},
 "invariants":{"cold_from":0.1,"cold_us":1,"tip_after_us":1,"drain_grace_us":1}}}"#;
 
-/// The file with some of its text replaced, after the one in force.
+/// Reloads `FILE` with one part of its text replaced.
 fn reload(from: &str, to: &str) -> Result<ParsedFile, String> {
     assert!(FILE.contains(from), "{from}");
     let read = |text: &str| parse("file", text, false).map_err(|diagnostics| diagnostics.to_string());
@@ -26,14 +26,17 @@
     assert_eq!(config.settings.class_names, ["b", "a"]);
     assert_eq!(
         reload("\"max_attempts\":3", "\"max_attempts\":1")
-            .expect("good")
+            .expect("a valid file")
             .settings
             .settings
             .limits
             .max_attempts,
         1
     );
-    assert!(reload(r#""known":{"index":1,"endpoints":[]},"#, "").is_ok(), "the list is optional");
+    assert!(
+        reload(r#""known":{"index":1,"endpoints":[]},"#, "").is_ok(),
+        "`known` may be missing in a reloaded file"
+    );
     assert!(reload("127.0.0.1:2", "127.0.0.1:3").is_ok());
 }
 
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,46 +1,47 @@
-//! The endpoint list as discovery sends it (PROTOCOL, "Discovery"). Its doc comments are part of the configuration schema.
+//! The endpoint list as discovery sends it (PROTOCOL, "Discovery"). The doc comments are descriptions in the
+//! configuration schema.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the list.
+/// An endpoint of the list.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "Endpoint")]
 pub struct EndpointEntry {
-    /// The same at every client proxy.
+    /// Name of the endpoint, the same for all client proxies.
     pub name: String,
-    /// ADDRESS:PORT, as this client proxy reaches it.
+    /// Address at which this client proxy reaches the endpoint, as ADDRESS:PORT.
     #[serde(default)]
     pub address: String,
-    /// The zone it is in.
+    /// Zone of the endpoint.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine type of the endpoint.
     #[serde(default, rename = "type")]
     pub machine_type: String,
-    /// Its cell: servers that drop each other's repeats.
+    /// Cell of the endpoint; the endpoints of a cell deduplicate requests among themselves.
     #[serde(default, rename = "group")]
     pub cell: u32,
     /// "up", "draining" or "removed".
     #[serde(default)]
     pub status: String,
-    /// What the settings' `weight_source` says.
+    /// Weight, with the meaning that `weight_source` in the settings defines.
     #[serde(default)]
     pub weight: f64,
-    /// Unix time in milliseconds at which the host last started; 0: long ago.
+    /// Unix time in milliseconds of the last start of the endpoint; 0: long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-/// The list, or what changed of it.
+/// The endpoint list, or its changes.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "List")]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub index: u64,
-    /// Whether it is whole, or holds what changed.
+    /// True: the complete list. False: only changed entries.
     #[serde(default)]
     pub snapshot: bool,
-    /// The hosts.
+    /// The endpoints.
     pub endpoints: Vec<EndpointEntry>,
 }
