--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -1,13 +1,14 @@
-//! Whether a list that discovery sent may follow on the one in force.
+//! Checks whether a received list may be applied to the list in force.
 
 use crate::endpoint_list::EndpointList;
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// Why a list that can be read is not taken.
+/// Why a list that was parsed is rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum InvalidEndpointList {
-    /// The service has started anew and counts its versions from the beginning.
+    /// The version is older than the one in force: the service has restarted and numbers its versions from the
+    /// beginning.
     #[error("version {received} after {current}")]
     VersionWentBack {
         /// Version of the list received.
@@ -15,10 +16,10 @@
         /// Version of the list in force.
         current: u64,
     },
-    /// A snapshot was requested and a delta came.
+    /// A delta was received in answer to a request for a snapshot.
     #[error("a delta where a snapshot was requested")]
     DeltaForSnapshot,
-    /// A snapshot names an endpoint more than once.
+    /// A snapshot lists an endpoint more than once.
     #[error("{0} listed twice")]
     DuplicateEndpoint(String),
 }
@@ -26,7 +27,7 @@
 /// Checks a list against the version in force, if there is one.
 ///
 /// # Errors
-/// The first rule that the list breaks.
+/// The first rule that the list violates.
 pub fn validate(list: &EndpointList, current: Option<u64>) -> Result<(), InvalidEndpointList> {
     match current {
         Some(current) if list.index < current => {
@@ -36,7 +37,7 @@
         _ => {}
     }
     if !list.snapshot {
-        // A delta may name an endpoint several times: the last entry holds.
+        // A delta may list an endpoint several times; its last entry applies.
         return Ok(());
     }
     let mut names = HashSet::with_capacity(list.endpoints.len());
--- a/crates/proxy/src/discovery/list_update/tests.rs
+++ b/crates/proxy/src/discovery/list_update/tests.rs
@@ -1,4 +1,4 @@
-//! Which lists may follow on the one in force.
+//! Tests of which lists may be applied to the list in force.
 
 use super::*;
 
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps the endpoint list up to date with discovery (`docs/discovery.md`).
+//! Keeps the endpoint list up to date by watching discovery (`docs/discovery.md`).
 
 mod deadlines;
 mod list_update;
--- a/crates/proxy/src/discovery/poll.rs
+++ b/crates/proxy/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One poll for the endpoint list, on a connection that may serve the next one too.
+//! Polls of the endpoint list. Successive polls can use the same connection.
 
 use super::list_update::InvalidEndpointList;
 use crate::endpoint_list::EndpointList;
@@ -16,37 +16,37 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Most bytes of a list: 4 KiB an endpoint, ten times what an indented one takes, for 1,024 endpoints.
+/// Maximum length of a list: 1,024 endpoints of 4 KiB each, ten times the length of an indented entry.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why a poll brought no list.
+/// Why a poll did not return a list.
 #[derive(Debug, Error)]
 pub enum PollError {
     /// No connection could be opened.
-    #[error("no connection: {0}")]
+    #[error("connection failed: {0}")]
     Connect(#[from] io::Error),
-    /// The connection was opened, but it cannot be used.
-    #[error("no connection: {0}")]
+    /// The HTTP handshake on the connection failed.
+    #[error("HTTP handshake failed: {0}")]
     Handshake(#[source] hyper::Error),
-    /// The service answers that it has no list to give now: it is at capacity.
-    #[error("answered {0}")]
+    /// The service answered with an error status, for example because it is at capacity.
+    #[error("rejected with status {0}")]
     Rejected(StatusCode),
     /// No answer within the timeout.
-    #[error("no answer")]
+    #[error("poll timed out")]
     TimedOut,
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The connection broke before the head of the answer.
+    /// The connection failed before the head of the answer was received.
     #[error(transparent)]
     Exchange(#[from] hyper::Error),
-    /// The body of the answer broke off, or is longer than a list may be.
+    /// The body of the answer was truncated, or exceeds `MAX_LIST_BYTES`.
     #[error("{0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The body of the answer cannot be read as a list.
+    /// The body of the answer cannot be parsed as a list.
     #[error("invalid endpoint list: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The list can be read, but does not follow on the one in force.
+    /// The list is well-formed, but cannot be applied to the one in force.
     #[error("invalid endpoint list: {0}")]
     Invalid(#[from] InvalidEndpointList),
 }
@@ -72,7 +72,7 @@
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(PollError::Handshake)?;
         let task = tokio::task::spawn_local(async move {
-            // A broken connection shows in the poll that uses it.
+            // The poll that uses the connection reports its failure.
             let _ = connection.await;
         });
         let mut connection = PollConnection { address, sender, task };
@@ -80,7 +80,7 @@
         Ok(connection)
     }
 
-    /// Reconnects if the service has closed the connection, as it may after any answer.
+    /// Reconnects if the service has closed the connection, which it may do after any answer.
     pub async fn reconnect_if_closed(&mut self) -> Result<(), PollError> {
         if self.sender.ready().await.is_err() {
             *self = PollConnection::open(self.address).await?;
@@ -88,7 +88,8 @@
         Ok(())
     }
 
-    /// Polls for what is newer than `version`, waiting up to `wait` for it; without a version, for a snapshot.
+    /// Polls for updates newer than `version`, which the service may wait for up to `wait`. Without a version, polls
+    /// for a snapshot.
     pub async fn poll(&mut self, version: Option<u64>, wait: Duration) -> Result<EndpointList, PollError> {
         let path = match version {
             Some(version) => format!("/catalog/members?index={version}&wait={}", wait.as_millis()),
--- a/crates/proxy/src/discovery/staleness.rs
+++ b/crates/proxy/src/discovery/staleness.rs
@@ -1,26 +1,26 @@
-//! Logs that discovery fails and that the endpoint list may be stale.
+//! Logs failures of discovery and a possibly stale endpoint list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-/// Tracks how long ago discovery last confirmed the list, and which failures have been logged since.
+/// Tracks when discovery last confirmed the list, and which failures have been logged since.
 pub struct Staleness {
     confirmed_at: Instant,
-    /// Age at which the next warning is due. None: no poll has failed since the list was confirmed.
+    /// Age of the list at which the next warning is due. `None`: no poll has failed since the list was confirmed.
     next_warning_age: Option<Duration>,
     /// The last failure logged as a warning since the list was confirmed.
     last_failure: Option<String>,
 }
 
 impl Staleness {
-    /// The list counts as confirmed at `now`.
+    /// A list that counts as confirmed at `now`.
     pub fn new(now: Instant) -> Self {
         Staleness { confirmed_at: now, next_warning_age: None, last_failure: None }
     }
 
-    /// Discovery has confirmed the list, or sent a newer one.
+    /// Records that discovery has confirmed the list or sent a newer one.
     pub fn confirm(&mut self) {
         if self.next_warning_age.take().is_some() {
             info!(age_s = self.confirmed_at.elapsed().as_secs(), "endpoint list confirmed again");
@@ -29,7 +29,7 @@
         self.last_failure = None;
     }
 
-    /// Logs a failed poll or watch. A failure that repeats is a warning only once.
+    /// Logs a failed poll or watch: as a warning, or as a debug line if the failure repeats the last one.
     pub fn log_failure(&mut self, address: SocketAddr, reason: &str, max_list_age: Duration) {
         if self.next_warning_age.is_none() {
             self.next_warning_age = Some(max_list_age);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Warns that the list may be stale when its age passes the bound, and each time the age has doubled since.
+    /// Warns that the list may be stale once its age reaches `max_list_age`, and again each time its age has doubled.
     pub fn warn_if_stale(&mut self, address: SocketAddr, max_list_age: Duration) {
         let age = self.confirmed_at.elapsed();
         let Some(warning_age) = self.next_warning_age.filter(|&warning_age| age >= warning_age) else {
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! Keeps the endpoint list up to date (`docs/discovery.md`). Each answered watch is followed by the next one at once; a
-//! watch that breaks is reopened when a catch-up poll has been answered. Requests never wait for any of this.
+//! Keeps the endpoint list up to date (`docs/discovery.md`). An answered watch is immediately followed by the next one;
+//! a broken watch is reopened once a catch-up poll has been answered. Client requests never wait for discovery.
 
 use super::deadlines::{Deadlines, SILENCE_DETECTION_DELAY};
 use super::list_update::{self, InvalidEndpointList};
@@ -21,13 +21,14 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::info;
 
-/// Pause after an answer that came at once without a new version: within the 200 ms in which the next poll continues
-/// the watch, and long enough that a faulty service is not polled in a busy loop.
-const UNCHANGED_ANSWER_PAUSE: Duration = Duration::from_millis(50);
-/// Wait of a catch-up poll, which asks for what is there already: the shortest that the protocol has.
+/// Delay after an immediate answer without a new version: shorter than the 200 ms within which the next poll continues
+/// the watch, and long enough not to poll a faulty service in a busy loop.
+const UNCHANGED_ANSWER_DELAY: Duration = Duration::from_millis(50);
+/// Wait of a catch-up poll, which requests only updates that are already available: the shortest wait that the protocol
+/// allows.
 const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
 
-/// A list with the connection it came on, which serves the watch that follows.
+/// A list and the connection on which it was received; the following watch uses the same connection.
 struct PolledList {
     connection: PollConnection,
     list: EndpointList,
@@ -40,16 +41,16 @@
 pub struct EndpointWatcher {
     dispatcher: Dispatcher,
     address: watch::Receiver<SocketAddr>,
-    /// Version of the list in force, as the service at `address` counts it.
+    /// Version of the list in force, as numbered by the service at `address`.
     version: Option<u64>,
-    /// Where the list is left for the successor process.
+    /// Directory in which the list is stored for the successor process.
     handover: Option<Rc<RefCell<HandoverDirectory>>>,
     schedule: PollSchedule,
     staleness: Staleness,
 }
 
 impl EndpointWatcher {
-    /// `version` is that of the list in force, if the service at `address` has sent it.
+    /// `version` is the version of the list in force, if the service at `address` sent that list.
     pub fn new(
         dispatcher: Dispatcher,
         address: watch::Receiver<SocketAddr>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Keeps the list up to date for as long as the program runs, also when discovery moves to another address.
+    /// Keeps the list up to date for as long as the program runs, also after a change of the discovery address.
     pub async fn run(mut self) {
         let deadlines = self.deadlines();
         info!(
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Watches the list until the watch breaks or discovery moves.
+    /// Watches the list until the watch breaks or the discovery address changes.
     async fn watch(&mut self, mut connection: PollConnection) {
         let opened_at = Instant::now();
         loop {
@@ -102,13 +103,13 @@
             };
             let answer = tokio::select! {
                 answer = timeout(wait + SILENCE_DETECTION_DELAY, poll) => answer,
-                () = address_changed(&mut self.address) => return self.follow_address(deadlines),
+                () = address_changed(&mut self.address) => return self.switch_address(deadlines),
             };
             let answer = answer.unwrap_or(Err(PollError::TimedOut));
             let error = match answer.and_then(|list| Ok(self.apply_update(list)?)) {
                 Ok(new_version) => {
-                    if !new_version && polled_at.elapsed() < UNCHANGED_ANSWER_PAUSE {
-                        tokio::time::sleep(UNCHANGED_ANSWER_PAUSE).await;
+                    if !new_version && polled_at.elapsed() < UNCHANGED_ANSWER_DELAY {
+                        tokio::time::sleep(UNCHANGED_ANSWER_DELAY).await;
                     }
                     continue;
                 }
@@ -119,7 +120,8 @@
         }
     }
 
-    /// A watch broke. A shared service that rejects, or whose watches break as soon as they are open, counts as failed.
+    /// Logs a broken watch and schedules the next poll. A shared service counts as failed if it rejected the watch or
+    /// the watch broke right after it was opened.
     fn watch_broke(&mut self, error: &PollError, deadlines: Deadlines, broke_at_once: bool) {
         self.log_failure(error);
         let service_failed = broke_at_once || matches!(error, PollError::Rejected(_));
@@ -129,16 +131,17 @@
         }
     }
 
-    /// Polls an agent until it answers. None: discovery has moved, or is a shared service now.
+    /// Polls an agent until it answers. `None`: the discovery address has changed, or discovery is a shared service
+    /// now.
     async fn poll_agent(&mut self) -> Option<PolledList> {
-        // One poll is given time, for an agent or a processor that is slow; the other is started anew each interval, for
-        // an agent that has lost the first and is back since.
+        // The first poll keeps running, in case the agent or the processor is slow. The second is restarted at each
+        // interval, in case the agent has lost the first and has recovered since.
         let mut polls: [Option<PendingPoll>; 2] = [None, None];
         let mut next_poll_at = self.schedule.first_agent_poll_at(&self.deadlines());
         loop {
             tokio::select! {
                 () = address_changed(&mut self.address) => {
-                    self.follow_address(self.deadlines());
+                    self.switch_address(self.deadlines());
                     return None;
                 }
                 answer = first_answer(&mut polls) => match answer {
@@ -160,27 +163,28 @@
         }
     }
 
-    /// Polls a shared service once, when that is due. None: it failed, or discovery has moved.
+    /// Polls a shared service once, when a poll is due or requested. `None`: the poll failed, or the discovery address
+    /// has changed.
     async fn poll_service(&mut self, deadlines: Deadlines) -> Option<PolledList> {
         let due = self.schedule.service_poll_at();
         tokio::select! {
             () = self.dispatcher.endpoint_poll_requested() => {}
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
             () = address_changed(&mut self.address) => {
-                self.follow_address(deadlines);
+                self.switch_address(deadlines);
                 return None;
             }
         }
         let started_at = Instant::now();
         self.schedule.service_poll_started();
-        // Each poll costs a shared service: only after a failure does a catch-up poll go ahead of the next watch.
+        // Each poll is a load on the shared service, so a catch-up poll precedes the next watch only after a failure.
         let failed_before = self.schedule.last_poll_failed();
         let wait = if failed_before { CATCH_UP_WAIT } else { deadlines.watch_wait() };
         let poll = self.catch_up(wait, deadlines);
         let answer = tokio::select! {
             answer = poll => answer,
             () = address_changed(&mut self.address) => {
-                self.follow_address(deadlines);
+                self.switch_address(deadlines);
                 return None;
             }
         };
@@ -193,18 +197,18 @@
         };
         self.warn_if_stale(deadlines);
         if !failed_before && started_at.elapsed() >= wait {
-            // It waited as a watch does, and broke as one.
+            // The poll waited as long as a watch, so its failure is handled as a broken watch.
             self.watch_broke(&error, deadlines, false);
             return None;
         }
         self.log_failure(&error);
         self.schedule.service_poll_failed(started_at, &deadlines);
-        // In a small fleet the balancer requests the next poll sooner.
+        // In a small fleet the balancer requests the next poll earlier.
         self.dispatcher.fail_endpoint_poll();
         None
     }
 
-    /// A poll for updates on a connection of its own; with `CATCH_UP_WAIT` it brings what is there already.
+    /// Polls for updates on a new connection; with `CATCH_UP_WAIT`, only for updates that are already available.
     fn catch_up(&self, wait: Duration, deadlines: Deadlines) -> impl Future<Output = PollResult> + 'static {
         let address = self.discovery_address();
         let version = self.version;
@@ -220,11 +224,11 @@
         async move { timeout(poll_timeout, poll).await.unwrap_or(Err(PollError::TimedOut)) }
     }
 
-    /// Applies a list that follows on the one in force. Returns whether its version is new.
+    /// Applies a list if it is valid after the one in force. Returns whether its version is new.
     fn apply_update(&mut self, list: EndpointList) -> Result<bool, InvalidEndpointList> {
         let valid = list_update::validate(&list, self.version);
         if matches!(valid, Err(InvalidEndpointList::VersionWentBack { .. })) {
-            // The service has started anew: the next poll asks for a snapshot, whatever its version.
+            // The service has restarted: the next poll requests a snapshot, which is valid with any version.
             self.version = None;
         }
         valid?;
@@ -242,9 +246,9 @@
         Ok(new_version)
     }
 
-    /// Discovery has another address.
-    fn follow_address(&mut self, deadlines: Deadlines) {
-        // Versions of two services cannot be compared: the new one is asked for a snapshot.
+    /// Prepares for the first poll at a new discovery address.
+    fn switch_address(&mut self, deadlines: Deadlines) {
+        // Versions of different services cannot be compared, so a snapshot is requested.
         self.version = None;
         self.schedule.address_changed(&deadlines);
     }
@@ -268,7 +272,7 @@
     }
 }
 
-/// The answer of whichever poll ends first; its slot is free then.
+/// Waits for the poll that ends first, frees its slot and returns its answer.
 async fn first_answer(polls: &mut [Option<PendingPoll>; 2]) -> PollResult {
     poll_fn(|cx| {
         for slot in polls.iter_mut() {
@@ -283,10 +287,10 @@
     .await
 }
 
-/// Waits until discovery has another address.
+/// Waits until the discovery address changes.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
-        // The sender is gone: the address stays for as long as the process runs.
+        // The sender was dropped, so the address does not change any more.
         std::future::pending::<()>().await;
     }
 }
