--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,5 +1,5 @@
-//! The keys of the configuration file (DEPLOY, "What a client proxy is told"). These types are their only definition: the
-//! schema and the diagnostics of `oakport check` are generated from them.
+//! The keys of the configuration file (DEPLOY, "What a client proxy is told"). These types are their only definition:
+//! the schema and the diagnostics of `oakport check` are generated from them.
 //!
 //! The doc comments are the descriptions of the keys in the schema.
 
@@ -49,8 +49,8 @@
     /// The zone of this process, shown to operators.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Members of the same scope know each other individually, and of other scopes only the number of members. Without this
-    /// key, the whole fleet is one scope.
+    /// Members of the same scope know each other individually, and of other scopes only the number of members. Without
+    /// this key, the whole fleet is one scope.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(length(max = 64))]
     pub scope: Option<String>,
@@ -73,8 +73,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>", extend("format" = "socket-address"))]
     pub operator: Option<SocketAddr>,
-    /// Membership in a fleet of client proxies. Without this key, there is none, and the number of client proxies is that of
-    /// the settings.
+    /// Membership in a fleet of client proxies. Without this key, there is none, and the number of client proxies is
+    /// that of the settings.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<MembershipConfig>,
     /// Seed of the random numbers: up to 16 hexadecimal digits, different at each start.
--- a/crates/proxy/src/config/schema.rs
+++ b/crates/proxy/src/config/schema.rs
@@ -28,8 +28,8 @@
     settings.into_generator().into_root_schema_for::<Document>()
 }
 
-/// Validates a document against the schema. An unknown key is a warning in JSON, where it has no effect, and an error in
-/// the human-readable form, where it may be mistyped.
+/// Validates a document against the schema. An unknown key is a warning in JSON, where it has no effect, and an error
+/// in the human-readable form, where it may be mistyped.
 pub fn validate(document: &Value, human_readable: bool) -> Vec<Diagnostic> {
     let schema = schema(true).to_value();
     let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The client proxy around the decisions of `oakport-core`: sockets, clock and timers. It makes no balancing
-//! decisions; it rejects requests only where connections, memory or open calls are at their limit.
+//! The client proxy: sockets, clock and timers around the balancer of `oakport-core`. This crate makes no balancing
+//! decisions; it rejects requests itself only if connections, memory or open calls have reached their limit.
 //!
-//! [`Config`] is the configuration file, [`Process`] the process that serves by it. `docs/architecture.md` shows the
-//! parts and the path of one request through them.
+//! [`Config`] is the parsed configuration file, and [`Process`] a process that serves clients according to it.
+//! `docs/architecture.md` describes the parts and the path of a request through them.
 
 mod admin;
 mod body;
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the membership state machine of `oakport-membership`: its UDP socket, its timers and its log lines.
+//! Runs the membership state machine of `oakport-membership`, with a UDP socket, timers and log lines.
 //!
-//! Without `peers` in the configuration nothing here runs.
+//! Without `peers` in the configuration, no membership service runs.
 
 pub mod report;
 
@@ -19,9 +19,9 @@
 use tokio::sync::Notify;
 use tracing::{error, info, warn};
 
-/// Pause between attempts to bind the address: during a hot restart the predecessor has it until it ends.
-const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Size of the receive buffer; a datagram that is longer is not a membership datagram.
+/// Delay between attempts to bind the address, which the predecessor uses during a hot restart until it ends.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Size of the receive buffer. Membership datagrams are not longer than this.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// The membership of this process in its fleet.
@@ -40,7 +40,7 @@
 }
 
 impl MembershipService {
-    /// A service that has not joined yet.
+    /// A service that has not joined its fleet yet.
     pub fn new(
         config: MembershipConfig,
         name: String,
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The configuration names another number of client proxies.
+    /// Applies the number of client proxies of a new configuration.
     pub fn set_configured_count(&self, configured_count: u32) {
         self.configured_count.set(configured_count);
         if let Some(node) = self.node.borrow_mut().as_mut() {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Announces that this process leaves, unless a successor waits to take over its address. Returns when the
-    /// datagrams are sent.
+    /// Announces that this process leaves the fleet, unless a successor is waiting for its address. Returns once the
+    /// datagrams have been sent.
     pub async fn leave(&self) {
         if self.node.borrow().is_some() {
             self.leave_requested.notify_one();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What the admin endpoint reports; `None` until the address is bound.
+    /// The report for the admin endpoint; `None` until the address is bound.
     pub fn report(&self) -> Option<MembershipReport> {
         let node = self.node.borrow();
         node.as_ref().map(|node| MembershipReport::new(node, self.clock.now()))
@@ -96,17 +96,17 @@
                 }
                 Err(error) => {
                     if !logged {
-                        info!(%address, reason = %error, "membership address in use; retrying");
+                        info!(%address, reason = %error, "binding membership address failed, retrying");
                         logged = true;
                     }
                     self.successor.set_waiting(true);
                 }
             }
-            tokio::time::sleep(BIND_RETRY_PAUSE).await;
+            tokio::time::sleep(BIND_RETRY_DELAY).await;
         }
     }
 
-    /// Joins the fleet under an address.
+    /// Joins the fleet; other members reach this process at `address`.
     fn join(&self, address: SocketAddr) {
         let now = self.clock.now();
         let zone = self.config.zone.as_deref().unwrap_or_default();
@@ -122,7 +122,7 @@
         *self.node.borrow_mut() = Some(Node::with_scope(now, self.seed, identity, config, scope));
     }
 
-    /// Takes part in the membership until [`MembershipService::leave`].
+    /// Participates in the membership until [`MembershipService::leave`].
     pub async fn run(self: Rc<Self>, dispatcher: Dispatcher) {
         let socket = self.bind().await;
         let Ok(bound) = socket.local_addr() else { return };
@@ -136,7 +136,7 @@
                 },
                 () = tokio::time::sleep_until(self.clock.instant(deadline)) => {}
                 () = self.leave_requested.notified() => {
-                    // A process that waits for the address is the successor of this member.
+                    // A process that waits for the address continues this member, which therefore does not leave.
                     if !self.successor.is_waiting() {
                         self.with_node(|node, now| node.leave(now));
                         self.send_outbox(&socket);
@@ -164,7 +164,7 @@
     fn send_outbox(&self, socket: &UdpSocket) {
         let outbox = self.node.borrow_mut().as_mut().map(Node::take_outbox);
         for (to, datagram) in outbox.into_iter().flatten() {
-            // The protocol bears the loss of a datagram.
+            // The protocol tolerates lost datagrams.
             let _ = socket.try_send_to(&datagram, to);
         }
     }
@@ -184,17 +184,17 @@
     match event {
         MembershipEvent::MemberChanged { member, status } => log_member(member, *status),
         MembershipEvent::NameConflict { name, known, joined } => {
-            error!(name, %known, %joined, "two members have the same name; give each its own");
+            error!(name, %known, %joined, "duplicate member name; each member needs a unique name");
         }
         MembershipEvent::Rejoined => warn!("declared dead by other members; rejoined"),
         MembershipEvent::PartitionSuspected { suspected: true } => {
-            warn!("many members silent at once: network partition suspected, live count frozen");
+            warn!("network partition suspected: many members silent at once; live count frozen");
         }
         MembershipEvent::PartitionSuspected { suspected: false } => {
             info!("network partition no longer suspected");
         }
         MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Silent } => {
-            warn!(scope, "scope silent; its last live count still applies");
+            warn!(scope, "scope silent; last live count retained");
         }
         MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Fresh } => {
             info!(scope, "scope heard from again");
--- a/crates/proxy/src/membership/report.rs
+++ b/crates/proxy/src/membership/report.rs
@@ -1,4 +1,4 @@
-//! The membership report of the admin endpoint. Its JSON keys are read by operators and must stay.
+//! The membership report of the admin endpoint. Operators' tools read its JSON keys, so they must not change.
 
 use oakport_membership::{MemberRecord, MemberStatus, Micros, Node, RemoteScope, ScopeStatus};
 use serde::{Deserialize, Serialize};
@@ -6,81 +6,81 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The membership as this process sees it.
+/// The membership from the view of this process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct MembershipReport {
     /// The name of this process.
     pub name: String,
-    /// Where other members reach it, as ADDRESS:PORT.
+    /// Address at which other members reach this process, as ADDRESS:PORT.
     pub address: String,
     /// Live members, this process included.
     pub size: usize,
-    /// A hash that is the same for all processes that hold the same members to be live.
+    /// View digest: a hash that is equal for all processes with the same set of live members.
     pub digest: String,
-    /// For how long the view has not changed, in milliseconds.
+    /// Time since the last change of the view, in milliseconds.
     pub age_ms: u64,
-    /// Share of the other members that lately reported the same digest, 0 to 1.
+    /// Share of the other members that recently reported the same digest, 0 to 1.
     #[serde(rename = "agreement")]
     pub agreement_ratio: f64,
     /// The live proxy count in force.
     #[serde(rename = "count")]
     pub live_count: usize,
-    /// So many members fell silent at once that a network partition is suspected.
+    /// Whether a network partition is suspected, because many members became silent at once.
     #[serde(rename = "cut")]
     pub partition_suspected: bool,
-    /// Bytes of the membership datagrams sent since the start.
+    /// Total length of the membership datagrams sent since the start, in bytes.
     pub bytes_sent: u64,
-    /// Membership datagrams discarded since the start, by reason.
+    /// Number of membership datagrams discarded since the start, by reason.
     #[serde(rename = "thrown_away")]
     pub discarded_datagrams: BTreeMap<String, u64>,
-    /// The other members of its scope.
+    /// The other members of the scope of this process.
     pub members: Vec<MemberReport>,
-    /// The scope of this process; absent if the whole fleet is one.
+    /// The scope of this process; absent if the whole fleet is one scope.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub scope: String,
-    /// The other scopes that are known.
+    /// The other known scopes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub scopes: Vec<ScopeReport>,
 }
 
-/// Another scope as this process sees it.
+/// Another scope from the view of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ScopeReport {
-    /// Its name; empty for the members without a scope.
+    /// Name of the scope; empty for members without a scope.
     pub name: String,
-    /// Live members by the youngest summary.
+    /// Number of live members in the latest summary.
     #[serde(rename = "present")]
     pub member_count: usize,
-    /// Its part of the live proxy count.
+    /// Number of members that the scope adds to the live proxy count.
     #[serde(rename = "counted")]
     pub live_count: usize,
-    /// The digest of the youngest summary.
+    /// The view digest in the latest summary.
     pub digest: String,
-    /// How old the youngest summary is, in milliseconds.
+    /// Age of the latest summary, in milliseconds.
     pub age_ms: u64,
     /// `fresh` or `silent`.
     #[serde(rename = "hearing")]
     pub status: String,
 }
 
-/// A member as this process sees it.
+/// A member from the view of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it is reached, as ADDRESS:PORT.
+    /// Address of the member, as ADDRESS:PORT.
     pub address: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// The release it runs.
+    /// Release that the member runs.
     pub release: String,
-    /// When it started, in milliseconds of Unix time.
+    /// Incarnation: start time of the member, in milliseconds of Unix time.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// `present`, `suspected`, `left` or `dead`.
     #[serde(rename = "standing")]
     pub status: String,
-    /// For how long it has had that status, in milliseconds.
+    /// Time since the last change of the status, in milliseconds.
     #[serde(rename = "for_ms")]
     pub status_age_ms: u64,
 }
--- a/crates/proxy/src/membership/report/tests.rs
+++ b/crates/proxy/src/membership/report/tests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Operators' programs read these keys.
+/// Guards against renamed keys, which operators' tools read.
 #[test]
 fn the_report_keeps_its_json_keys() {
     let report = complete_report();
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counts requests, attempts, connections and reloads for the admin endpoint. Each is counted once, when it is final.
+//! Counts requests, attempts, connections and reloads for the admin endpoint. Each is counted once, when its result is
+//! final.
 
 use crate::membership::report::MembershipReport;
 use oakport_core::ClassId;
@@ -14,24 +15,24 @@
     Failed,
 }
 
-/// Requests of one class by their outcomes.
+/// Number of requests of one class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OutcomeCounts {
-    /// Requests served.
+    /// Served requests.
     #[serde(rename = "success")]
     pub served: u64,
-    /// Requests rejected, which may be retried without harm.
+    /// Rejected requests, which may be retried safely.
     #[serde(rename = "busy")]
     pub rejected: u64,
-    /// Requests failed.
+    /// Failed requests.
     #[serde(rename = "failure")]
     pub failed: u64,
 }
 
-/// What the connections to endpoints have cost.
+/// Counters of the connections to endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ConnectionCounts {
-    /// Connections established.
+    /// Established connections.
     pub opened: u64,
     /// Attempts that waited for the reuse cooldown of a connection.
     #[serde(rename = "waits")]
@@ -41,26 +42,26 @@
     pub unsolicited: u64,
 }
 
-/// What is open on the clients' connections. Each request is counted in one of the three states; a connection without
-/// one is idle, sends a head, or is closing.
+/// Client connections and their open requests. Each request is counted in exactly one of the three states; a connection
+/// without a counted request is idle, is receiving a request head, or is closing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OpenConnectionCounts {
     /// Client connections.
     pub connections: usize,
-    /// Requests of whose body some has still to arrive.
+    /// Requests whose body has not been received completely.
     pub incomplete_requests: usize,
-    /// Complete requests whose response has not begun.
+    /// Completely received requests whose response has not begun.
     pub awaiting_response: usize,
-    /// Responses that are not yet written in full.
+    /// Responses that have not been written completely.
     pub writing_response: usize,
 }
 
-/// How far a graceful shutdown has come.
+/// Progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ShutdownReport {
-    /// Time since it began, in milliseconds.
+    /// Time since the shutdown began, in milliseconds.
     pub began_ms_ago: u64,
-    /// What is still open.
+    /// Connections and requests that are still open.
     #[serde(flatten)]
     pub open: OpenConnectionCounts,
 }
@@ -77,36 +78,36 @@
     reloads_failed: Cell<u64>,
 }
 
-/// The current state that the counters do not hold.
+/// Current values that are not counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gauges {
-    /// Calls admitted and not yet answered completely.
+    /// Admitted calls that have not been answered completely.
     pub in_flight_calls: usize,
     /// Endpoints in the list.
     pub endpoints_listed: usize,
-    /// Listed endpoints that are sent nothing now.
+    /// Listed endpoints that currently receive no requests.
     pub endpoints_unavailable: usize,
 }
 
 /// All metrics at one moment, as the admin endpoint reports them.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct MetricsReport {
-    /// Requests answered, by class.
+    /// Answered requests, by class.
     #[serde(rename = "calls")]
     pub outcomes: BTreeMap<String, OutcomeCounts>,
-    /// Requests received completely and not yet answered completely.
+    /// Requests that have been received completely, but not answered completely.
     #[serde(rename = "inflight")]
     pub in_flight_calls: usize,
     /// Attempts whose last byte was written to an endpoint.
     #[serde(rename = "backend_calls")]
     pub attempts: u64,
-    /// What their connections have cost.
+    /// Connections to endpoints.
     #[serde(default)]
     pub connections: ConnectionCounts,
     /// Endpoints in the list.
     #[serde(rename = "hosts_listed")]
     pub endpoints_listed: usize,
-    /// Listed endpoints that are sent nothing now.
+    /// Listed endpoints that currently receive no requests.
     #[serde(rename = "hosts_down")]
     pub endpoints_unavailable: usize,
     /// Configuration files applied at SIGHUP.
@@ -115,10 +116,10 @@
     /// Configuration files rejected at SIGHUP.
     #[serde(rename = "reconfig_failed")]
     pub reloads_failed: u64,
-    /// The other client proxies, where they are known.
+    /// The membership, if configured and joined.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "peers")]
     pub membership: Option<MembershipReport>,
-    /// The graceful shutdown, once it has begun.
+    /// The progress of the graceful shutdown, once it has begun.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shutdown: Option<ShutdownReport>,
 }
@@ -163,7 +164,7 @@
         increment(if succeeded { &self.reloads_succeeded } else { &self.reloads_failed });
     }
 
-    /// The report at this moment. `class_names` are in the order of their [`ClassId`].
+    /// Reports the current metrics. `class_names` are in the order of their [`ClassId`].
     pub fn report(&self, class_names: &[String], gauges: Gauges) -> MetricsReport {
         let outcomes_by_class = self.outcomes_by_class.borrow();
         let outcomes = class_names.iter().enumerate().map(|(class, name)| {
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration file at each SIGHUP, completely or not at all. A file may name thousands of endpoints: it is
-//! read and checked on a thread of its own, so that no call waits for that.
+//! Reloads the configuration file at each SIGHUP, completely or not at all. As a file may list thousands of endpoints,
+//! it is read and validated on a separate thread, so that no call is delayed.
 
 use crate::config::{Config, Diagnostics};
 use crate::dispatcher::Dispatcher;
@@ -14,18 +14,18 @@
 use tokio::task::{spawn_blocking, JoinError};
 use tracing::{error, info};
 
-/// Why a file was not reloaded.
+/// Why a reload failed.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// The file is invalid.
     #[error(transparent)]
     Invalid(#[from] Diagnostics),
-    /// The thread that reads it has died.
-    #[error("the file could not be read: {0}")]
+    /// The thread that reads the file did not finish.
+    #[error("reading the configuration file was interrupted: {0}")]
     Interrupted(#[from] JoinError),
 }
 
-/// What is notified of new settings.
+/// Reloads the configuration and applies it to the parts of the process that depend on it.
 pub struct Reloader {
     pub hangup: Signal,
     /// The configuration in force.
@@ -37,7 +37,7 @@
 }
 
 impl Reloader {
-    /// Reloads at each signal. Ends when no more signals can arrive.
+    /// Reloads at each SIGHUP. Returns when no more signals can arrive.
     pub async fn run(mut self) {
         while self.hangup.recv().await.is_some() {
             let reloaded = self.read_file().await;
@@ -56,7 +56,7 @@
 
     fn apply(&mut self, config: Config) {
         let previous = std::mem::replace(&mut self.config, Arc::new(config));
-        // Not awaited: only the memory of a large file is freed there.
+        // Frees the memory of a possibly large file on another thread, without waiting for it.
         drop(spawn_blocking(move || drop(previous)));
         let settings = &self.config.settings;
         let discovery = self.config.discovery;
