--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -69,9 +69,9 @@
 #[test]
 fn check_reports_all_errors_of_an_invalid_file() {
     let directory = TempDir::new("check");
-    let here = "127.0.0.1:1".parse().expect("an address");
-    let json = config(here, here, 1_024, &[]).replace(r#""index":41"#, r#""index":"x""#);
-    let bad = [
+    let unused_address = "127.0.0.1:1".parse().expect("an address");
+    let json = config(unused_address, unused_address, 1_024, &[]).replace(r#""index":41"#, r#""index":"x""#);
+    let invalid = [
         ("empty.toml", String::new()),
         ("cut.toml", VALID_CONFIG[..VALID_CONFIG.len() - 3].to_owned()),
         ("unclosed.toml", VALID_CONFIG.replace("\"600ms\"", "\"600ms")),
@@ -110,7 +110,7 @@
                 .replace("\"cold_from\":0.3,", ""),
         ),
     ];
-    for (file, content) in &bad {
+    for (file, content) in &invalid {
         directory.write(file, content);
         let output = oakport(&directory.0, &["check", file]);
         assert_eq!((output.status.code(), text(&output.stdout)), (Some(1), String::new()), "{file}");
@@ -134,8 +134,11 @@
     assert!(output.status.success(), "{}", text(&output.stderr));
     insta::assert_snapshot!("example", text(&output.stdout));
     let directory = TempDir::new("good");
-    let here = "127.0.0.1:1".parse().expect("an address");
-    directory.write("platform.json", &config(here, here, 384, &[]).replacen('{', r#"{"novel":1,"#, 1));
+    let unused_address = "127.0.0.1:1".parse().expect("an address");
+    directory.write(
+        "platform.json",
+        &config(unused_address, unused_address, 384, &[]).replacen('{', r#"{"novel":1,"#, 1),
+    );
     let output = oakport(&directory.0, &["check", "platform.json"]);
     insta::assert_snapshot!("platform", text(&output.stdout));
 }
@@ -168,7 +171,7 @@
     discovery.asked();
     discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
     assert_eq!(next("endpoint list updated")["ready"], 1);
-    let stream = std::net::TcpStream::connect(address).expect("it listens");
+    let stream = std::net::TcpStream::connect(address).expect("the proxy listens");
     let mut client = Client { stream: std::io::BufReader::new(stream) };
     assert_eq!(client.call("fare-charge", "1500m").status(), 200);
     // An invalid file is rejected as a whole; optional keys may be left out or added.
@@ -176,9 +179,12 @@
         (file(&other, "").replace("idempotency = \"free\"\n", ""), "reloaded"),
         (
             file(&other, "").replace("[[settings", "[limits]\nsockets = \"many\"\n[[settings"),
-            "not reloaded, nothing changed",
+            "reload failed, configuration unchanged",
+        ),
+        (
+            file(&other, "").replacen("objective_us = \"600ms\"\n", "", 1),
+            "reload failed, configuration unchanged",
         ),
-        (file(&other, "").replacen("objective_us = \"600ms\"\n", "", 1), "not reloaded, nothing changed"),
         (file(&other, "worth = 2.5\n"), "reloaded"),
     ] {
         std::fs::write(&path, content).expect("a temporary file");
@@ -201,29 +207,29 @@
     let mut proxy = Proxy::with(&with_admin_address.replacen('{', r#"{"operator":"127.0.0.1:0","#, 1));
     let address = proxy.operator().to_string();
     proxy.call("safe", "200m");
-    let here = std::env::temp_dir();
-    let ask = |arguments: &[&str]| {
-        let output = oakport(&here, &[&["ctl", address.as_str()], arguments].concat());
+    let directory = std::env::temp_dir();
+    let ctl = |arguments: &[&str]| {
+        let output = oakport(&directory, &[&["ctl", address.as_str()], arguments].concat());
         assert!(output.status.success(), "{arguments:?}: {}", text(&output.stderr));
         text(&output.stdout)
     };
-    assert_eq!(ask(&["health"]), "YES\n");
-    insta::assert_snapshot!("dump", ask(&["dump"]));
-    let metrics: serde_json::Value = serde_json::from_str(&ask(&["dump", "--json"])).expect("JSON");
+    assert_eq!(ctl(&["health"]), "YES\n");
+    insta::assert_snapshot!("dump", ctl(&["dump"]));
+    let metrics: serde_json::Value = serde_json::from_str(&ctl(&["dump", "--json"])).expect("JSON");
     assert_eq!(metrics["calls"]["safe"]["busy"], 1, "{metrics}");
-    let watched = ask(&["watch", "--every", "50ms", "--count", "3"]);
+    let watched = ctl(&["watch", "--every", "50ms", "--count", "3"]);
     assert_eq!(watched.matches("every 50ms").count(), 3, "{watched}");
     assert_eq!(watched.matches("(0.0/s)").count(), 2 * 7, "two reports with rates: {watched}");
     // During graceful shutdown, the admin endpoint still answers that clients are not accepted.
-    let mut kept = proxy.client();
-    kept.write(
+    let mut uploading_client = proxy.client();
+    uploading_client.write(
         "POST /safe HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nX-Timeout: 2000m\r\nContent-Length: 9\r\n\r\n",
     );
     proxy.terminate();
-    let asked = Instant::now();
+    let terminated_at = Instant::now();
     let message = loop {
-        let output = oakport(&here, &["ctl", &address, "health"]);
-        if output.status.code() == Some(1) || asked.elapsed() > LONG {
+        let output = oakport(&directory, &["ctl", &address, "health"]);
+        if output.status.code() == Some(1) || terminated_at.elapsed() > LONG {
             break text(&output.stderr);
         }
     };
@@ -232,24 +238,24 @@
 
 #[test]
 fn ctl_reports_missing_and_unexpected_answers() {
-    let here = std::env::temp_dir();
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let directory = std::env::temp_dir();
+    let silent_server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mail_server = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mail_address = mail_server.local_addr().expect("its address");
+    let mail_address = mail_server.local_addr().expect("a bound address");
     std::thread::spawn(move || {
         for mut stream in mail_server.incoming().flatten() {
             let _ = stream.read(&mut [0; 64]);
             let _ = std::io::Write::write_all(&mut stream, b"220 mail\r\n");
         }
     });
-    let silent_address = silent.local_addr().expect("its address");
+    let silent_address = silent_server.local_addr().expect("a bound address");
     for (address, command, expected) in [
         (nobody(), "health", "no admin endpoint listens at"),
         (silent_address, "health", "no answer from"),
         (mail_address, "dump", "answered DUMP without metrics: 220 mail"),
         (mail_address, "health", "does not accept clients"),
     ] {
-        let output = oakport(&here, &["ctl", &address.to_string(), command]);
+        let output = oakport(&directory, &["ctl", &address.to_string(), command]);
         assert_eq!(output.status.code(), Some(1), "{expected}");
         let message = text(&output.stderr);
         assert!(
@@ -261,17 +267,17 @@
 
 #[test]
 fn schema_completions_version_and_log_filter_errors_are_printed() {
-    let here = std::env::temp_dir();
-    let schema = oakport(&here, &["schema"]);
+    let directory = std::env::temp_dir();
+    let schema = oakport(&directory, &["schema"]);
     let schema: serde_json::Value = serde_json::from_slice(&schema.stdout).expect("JSON");
     let classes = &schema["properties"]["settings"]["properties"]["classes"]["items"]["properties"];
     assert_eq!(classes["deadline_us"]["minimum"], 1);
     assert!(classes["name"]["description"].is_string());
     for shell in ["bash", "zsh", "fish"] {
-        let completions = oakport(&here, &["completions", shell]);
+        let completions = oakport(&directory, &["completions", shell]);
         assert!(completions.status.success() && text(&completions.stdout).contains("log-format"), "{shell}");
     }
-    let version = text(&oakport(&here, &["--version"]).stdout);
+    let version = text(&oakport(&directory, &["--version"]).stdout);
     assert!(version.starts_with(&format!("oakport {} (", env!("CARGO_PKG_VERSION"))), "{version}");
     let output = Command::new(env!("CARGO_BIN_EXE_oakport"))
         .args(["serve", "--config", "deploy/example.toml"])
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -44,7 +44,7 @@
             self.metrics.count_reload(reloaded.is_ok());
             match reloaded {
                 Ok(config) => self.apply(config),
-                Err(reason) => error!(%reason, "not reloaded, nothing changed"),
+                Err(reason) => error!(%reason, "reload failed, configuration unchanged"),
             }
         }
     }
