--- a/crates/cli/src/ctl/tables.rs
+++ b/crates/cli/src/ctl/tables.rs
@@ -27,7 +27,8 @@
 fn membership_summary(membership: &MembershipReport) -> String {
     let partition = if membership.partition_suspected { "; network partition suspected" } else { "" };
     format!(
-        "{} at {}: {} live members including itself, unchanged for {}; {:.0}% of them agree; live count {}{partition}",
+        "{} at {}: {} live members including itself, unchanged for {}; {:.0}% of them agree; \
+         live count {}{partition}",
         membership.name,
         membership.address,
         membership.size,
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -21,7 +21,7 @@
 
 /// Delay between attempts to bind the address, which the predecessor uses during a hot restart until it ends.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Size of the receive buffer. Membership datagrams are not longer than this.
+/// Size of the receive buffer. A longer datagram is not a membership datagram.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// The membership of this process in its fleet.
--- a/crates/proxy/src/membership/report.rs
+++ b/crates/proxy/src/membership/report.rs
@@ -68,7 +68,7 @@
 pub struct MemberReport {
     /// Name of the member.
     pub name: String,
-    /// Address of the member, as ADDRESS:PORT.
+    /// Address at which other members reach the member, as ADDRESS:PORT.
     pub address: String,
     /// Zone of the member.
     pub zone: String,
