--- a/crates/cli/tests/client_capacity.rs
+++ b/crates/cli/tests/client_capacity.rs
@@ -1,5 +1,5 @@
-//! Many at once: idle clients that exhaust the descriptors while discovery is down, bodies that exhaust the memory limit, and
-//! processes that all restart together.
+//! Load at the limits: idle clients that exhaust the descriptors while discovery is unavailable, bodies that
+//! exhaust the memory limit, and many processes that restart at the same time.
 
 mod peers;
 
@@ -12,15 +12,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this after an endpoint list changes, calls must follow it.
+/// Calls must follow a change of the endpoint list within this time.
 const NOTIFICATION_WINDOW: Duration = Duration::from_millis(500);
-/// What the protocol allows for sockets besides, and what a machine that runs other tests may need to send and record.
-const NOTIFICATION_SLACK: Duration = Duration::from_millis(50 + 200);
-/// Longest time in which an admin endpoint must answer.
+/// Tolerance for late calls: 50 ms that the protocol allows for the sockets, and 200 ms for sending and
+/// recording on a machine that runs other tests at the same time.
+const NOTIFICATION_TOLERANCE: Duration = Duration::from_millis(50 + 200);
+/// The admin endpoint must answer within this time.
 const MAX_ADMIN_LATENCY: Duration = Duration::from_secs(2);
-/// Longest time for which an invalid client may stay connected.
+/// A client that sends an invalid request must be disconnected within this time.
 const MAX_INVALID_CLIENT_TIME: Duration = Duration::from_secs(3);
-/// Most connections that each idle client opens.
+/// Limit on the connections that each idle client opens in total.
 const MAX_CONNECTIONS_PER_IDLE_CLIENT: usize = 20;
 
 fn named_entry(endpoint: &Noting, status: &str) -> (String, String) {
@@ -40,10 +41,11 @@
 }
 
 fn open_descriptors(proxy: &Proxy) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).expect("it runs").count()
+    std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).expect("a running process").count()
 }
 
-/// Idle clients: a thread keeps their connections open, which are never used, and opens each anew when it is closed.
+/// Clients that never send a request. A thread keeps their connections open and reopens each one that is
+/// closed.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     thread: thread::JoinHandle<usize>,
@@ -52,12 +54,12 @@
 impl IdleClients {
     fn start(address: SocketAddr, client_count: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = Arc::clone(&stop);
-        let thread = thread::spawn(move || keep_idle_connections(address, client_count, &stopped));
+        let stop_requested = Arc::clone(&stop);
+        let thread = thread::spawn(move || keep_idle_connections(address, client_count, &stop_requested));
         IdleClients { stop, thread }
     }
 
-    /// Closes all connections and returns how many were opened.
+    /// Closes all connections and returns the number of connections opened in total.
     fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.join().expect("no panic")
@@ -86,26 +88,33 @@
     opened
 }
 
-fn wait_until_filled(proxy: &Proxy, descriptor_count: usize) {
+fn wait_until_descriptors_open(proxy: &Proxy, descriptor_count: usize) {
     let began = Instant::now();
     while open_descriptors(proxy) < descriptor_count {
-        assert!(began.elapsed() < LONG, "the idle clients connect: {}", open_descriptors(proxy));
+        assert!(
+            began.elapsed() < LONG,
+            "the idle clients should use {descriptor_count} descriptors, {} are open",
+            open_descriptors(proxy)
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn wait_until_released(proxy: &Proxy, descriptors_before: usize) {
+fn wait_until_descriptors_released(proxy: &Proxy, descriptors_before: usize) {
     let began = Instant::now();
     while open_descriptors(proxy) > descriptors_before + 8 {
         let open = open_descriptors(proxy);
-        assert!(began.elapsed() < LONG, "{open} descriptors stay, {descriptors_before} before");
+        assert!(
+            began.elapsed() < LONG,
+            "{open} descriptors are still open, {descriptors_before} before the idle clients connected"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn assert_admin_endpoint_answers(address: SocketAddr) {
     let began = Instant::now();
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("a listening admin endpoint");
     stream.write_all(b"HEALTH\n").expect("an open connection");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -120,21 +129,22 @@
     assert!(began.elapsed() < MAX_INVALID_CLIENT_TIME, "{:?}", began.elapsed());
 }
 
-/// Sends one request on a connection of its own. Was it served?
+/// Sends one request on a new connection and returns whether the response has status 200.
 fn is_served(proxy: &Proxy, id: &str) -> bool {
     let mut client = proxy.client();
     client.send_as(id, "safe", "1000m");
     client.answer().is_some_and(|response| response.status() == 200)
 }
 
-/// What was seen while requests were sent one after the other.
+/// Results of requests that were sent one after the other.
 struct RequestSeries {
     served: usize,
     max_descriptors: usize,
 }
 
 impl RequestSeries {
-    /// Sends requests for `duration`, and until one is served. Fails if none is in time.
+    /// Sends requests for `duration`, and longer if none has been served by then. Panics if none is served
+    /// within [`LONG`].
     fn run(
         duration: Duration,
         mut is_served: impl FnMut() -> bool,
@@ -144,7 +154,7 @@
         let mut series = RequestSeries { served: 0, max_descriptors: 0 };
         let began = Instant::now();
         while began.elapsed() < duration || series.served == 0 {
-            assert!(began.elapsed() < LONG, "clients with requests are served");
+            assert!(began.elapsed() < LONG, "no request was served within {LONG:?}");
             if is_served() {
                 series.served += 1;
             }
@@ -155,9 +165,10 @@
     }
 }
 
-/// Discovery, the admin endpoint and one connection to an endpoint keep their descriptors; clients with requests are served;
-/// the endpoint list that discovery has at its return is followed within the window; invalid clients are disconnected in time;
-/// nothing stays open afterwards.
+/// Idle clients leave descriptors for discovery, the admin endpoint and one connection to an endpoint.
+/// Clients that send requests are served, calls follow the endpoint list within the notification window once
+/// discovery is available again, invalid clients are disconnected in time, and all descriptors are released
+/// afterwards.
 #[test]
 fn idle_clients_that_exhaust_the_descriptors_block_neither_requests_nor_discovery() {
     for sockets in [256, 1_024] {
@@ -173,8 +184,8 @@
         agent.hush();
         let descriptors_before = open_descriptors(&proxy);
         let idle_clients = IdleClients::start(proxy.address, sockets * 3 / 2);
-        wait_until_filled(&proxy, sockets / 2);
-        // Longer than a connection may be idle: the idle clients have reconnected by then.
+        wait_until_descriptors_open(&proxy, sockets / 2);
+        // Longer than the idle timeout of client connections, so that the idle clients have to reconnect.
         let before = RequestSeries::run(
             Duration::from_secs(4),
             || is_served(&proxy, "before"),
@@ -182,7 +193,8 @@
             || assert_admin_endpoint_answers(admin),
         );
         assert_invalid_client_is_disconnected(&proxy);
-        // Discovery returns, and the only known endpoint is to get no new calls.
+        // Discovery is available again, and the only known endpoint is draining: it must receive no new
+        // calls.
         agent.change(&[named_entry(&old, "draining"), named_entry(&new, "up")]);
         agent.down(false);
         let notified = Instant::now();
@@ -193,21 +205,22 @@
             || {},
         );
         let latest = old.of("after").into_iter().map(|at| at - notified).max().unwrap_or_default();
-        assert!(latest <= NOTIFICATION_WINDOW + NOTIFICATION_SLACK, "{latest:?}");
-        assert!(!new.of("after").is_empty(), "the new endpoint serves");
+        assert!(latest <= NOTIFICATION_WINDOW + NOTIFICATION_TOLERANCE, "{latest:?}");
+        assert!(!new.of("after").is_empty(), "the new endpoint should receive calls");
         let opened = idle_clients.stop();
-        wait_until_released(&proxy, descriptors_before);
-        let most = before.max_descriptors.max(after.max_descriptors);
+        wait_until_descriptors_released(&proxy, descriptors_before);
+        let max_descriptors = before.max_descriptors.max(after.max_descriptors);
         let served = [before.served, after.served];
         println!(
-            "{sockets}: {opened} idle connections, {served:?} served, {most} descriptors, last {latest:?}"
+            "limit {sockets}: {opened} idle connections, {served:?} requests served, at most \
+             {max_descriptors} descriptors, last call to the draining endpoint after {latest:?}"
         );
-        assert!(most <= sockets, "{most} descriptors");
-        assert!(proxy.child.try_wait().expect("a child").is_none(), "it still runs");
+        assert!(max_descriptors <= sockets, "{max_descriptors} descriptors with a limit of {sockets}");
+        assert!(proxy.child.try_wait().expect("a child").is_none(), "the proxy should still run");
     }
 }
 
-/// The same while two processes of one proxy share the limit: together they keep to it once each knows of the other.
+/// Two processes of one proxy stay within the descriptor limit together, once each has detected the other.
 #[test]
 fn two_processes_share_one_descriptor_limit_under_idle_clients() {
     const SOCKETS: usize = 256;
@@ -220,7 +233,7 @@
     agent.down(true);
     agent.hush();
     let idle_clients = IdleClients::start(predecessor.address, SOCKETS * 3 / 2);
-    wait_until_filled(&predecessor, SOCKETS / 2);
+    wait_until_descriptors_open(&predecessor, SOCKETS / 2);
     let successor = platform.start(&text);
     let is_served = || {
         let mut client = successor.client();
@@ -231,7 +244,7 @@
     let series = RequestSeries::run(Duration::from_secs(3), is_served, together, || {});
     let RequestSeries { served, max_descriptors } = series;
     let at_end = [open_descriptors(&predecessor), open_descriptors(&successor)];
-    println!("{served} served, {max_descriptors} descriptors together, {at_end:?} in the end");
+    println!("{served} served, at most {max_descriptors} descriptors together, {at_end:?} at the end");
     assert!(max_descriptors <= SOCKETS, "{max_descriptors} descriptors together");
     predecessor.terminate();
     assert!(predecessor.ended());
@@ -242,8 +255,9 @@
     }
 }
 
-/// Bodies of which half has arrived exhaust the memory; then all go on. Each request is answered in its time: bodies that
-/// had some of the memory and waited for the rest would wait for each other for ever.
+/// Guards against a deadlock of uploads: half of each body has arrived when the memory is exhausted, and
+/// bodies that held some of the memory while waiting for the rest would wait for each other forever. Each
+/// request must be answered within its client timeout.
 #[test]
 fn bodies_that_exhaust_the_memory_limit_do_not_deadlock() {
     const CLIENTS: usize = 450;
@@ -284,27 +298,28 @@
     assert!(served > 0);
 }
 
-/// Waits until clients would be sent to this process, and returns how long that took.
+/// Waits until the health check of this process succeeds, and returns the time since `since`.
 fn time_until_ready(address: SocketAddr, since: Instant) -> Duration {
     loop {
         if let Ok(mut stream) = TcpStream::connect(address) {
             let _ = stream.set_read_timeout(Some(SHORT));
             let written = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
             let mut response = [0; 12];
-            // The predecessor closes its connections with each response; those that it resets bring none.
+            // A predecessor in shutdown closes each connection after its response, or resets it without one.
             if written.is_ok() && stream.read_exact(&mut response).is_ok() && response.ends_with(b"200") {
                 return since.elapsed();
             }
         }
-        assert!(since.elapsed() < LONG * 2, "never ready");
+        assert!(since.elapsed() < LONG * 2, "{address} was not ready within {:?}", LONG * 2);
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Thirty processes are killed or told to end at once and started again, while discovery is down and the known list is empty
-/// or outdated: nine in ten are ready within 10 s. Where they are told to end, each finds its address still held.
+/// Thirty processes get SIGKILL or SIGTERM at the same time and are started again while discovery is
+/// unavailable and the configured endpoint list is empty or outdated: 90 % of them are ready within 10 s.
+/// After SIGTERM, the address is still in use by the predecessor when the new process starts.
 #[test]
-fn processes_that_restart_together_are_ready_soon() {
+fn nine_in_ten_processes_restarted_together_are_ready_within_10_s() {
     const PROCESSES: usize = 30;
     let endpoint = Noting::start();
     let agent = Agent::start(&[named_entry(&endpoint, "up")]);
@@ -327,7 +342,8 @@
             let start = &start;
             let begin = |address| {
                 scope.spawn(move || {
-                    // It reports its address once it has it: it is not the predecessor.
+                    // Returns once the new process has logged its address, so the predecessor does not listen
+                    // any more.
                     let proxy = start(address);
                     let time = time_until_ready(address, since);
                     assert!(answers_a_request(&proxy), "{address}");
@@ -338,7 +354,7 @@
             successors.into_iter().map(|successor| successor.join().expect("no panic")).collect()
         });
         times.sort();
-        println!("{signal}: ready after {:?}, nine in ten {:?}, most {:?}", times[15], times[26], times[29]);
+        println!("{signal}: ready after p50 {:?}, p90 {:?}, maximum {:?}", times[15], times[26], times[29]);
         assert!(times[26] < Duration::from_secs(10), "{:?}", times[26]);
         for predecessor in &mut predecessors {
             assert!(signal == "-KILL" || predecessor.ended());
@@ -346,7 +362,7 @@
     }
 }
 
-/// A process is ready if it ends a request rightly: served by a known endpoint, or rejected.
+/// Whether the process answers a request: with the response of an endpoint, or with 503.
 fn answers_a_request(proxy: &Proxy) -> bool {
     let response = proxy.call("safe", "2000m");
     response.status() == 503 || response.status() == 200 && response.body == b"ok"
