--- a/crates/cli/tests/extra_responses.rs
+++ b/crates/cli/tests/extra_responses.rs
@@ -1,5 +1,5 @@
-//! Endpoints that send more than one response to a request. An extra response answers no other request, and the proxy
-//! stops reusing the connections of an endpoint that has sent one.
+//! Endpoints that send more than one response to a request. The proxy must not take an extra response for the
+//! response to another request, and restricts the reuse of connections to an endpoint that has sent one.
 
 mod peers;
 
@@ -12,15 +12,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than a connection of an endpoint that is not yet trusted is observed.
+/// Longer than the observation: the time for which a connection to an endpoint that is not trusted must stay
+/// silent after a response before it is reused.
 const AFTER_OBSERVATION: Duration = Duration::from_millis(80);
 /// Longer than the reuse cooldown, and shorter than the observation.
 const AFTER_COOLDOWN: Duration = Duration::from_millis(15);
 
-/// An endpoint that lets the test write to its connections at any time.
+/// An endpoint whose connections the test can write to at any time.
 struct ScriptedEndpoint {
     address: SocketAddr,
-    /// The connections in the order of their requests, each with the text of its request's head.
+    /// The received requests in order: the connection of each and the head of the request.
     requests: Receiver<(TcpStream, String)>,
     opened: Arc<AtomicUsize>,
 }
@@ -31,10 +32,10 @@
         let address = listener.local_addr().expect("its address");
         let (sender, requests) = channel();
         let opened = Arc::new(AtomicUsize::new(0));
-        let opened_count = Arc::clone(&opened);
+        let counter = Arc::clone(&opened);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                opened_count.fetch_add(1, Ordering::SeqCst);
+                counter.fetch_add(1, Ordering::SeqCst);
                 let sender: Sender<(TcpStream, String)> = sender.clone();
                 thread::spawn(move || {
                     let _ = stream.set_nodelay(true);
@@ -51,6 +52,7 @@
         ScriptedEndpoint { address, requests, opened }
     }
 
+    /// Waits for the next request and returns its connection.
     fn next_request(&self) -> TcpStream {
         self.requests.recv_timeout(LONG).expect("a request at the endpoint").0
     }
@@ -70,19 +72,19 @@
     stream.write_all(text.as_bytes()).expect("an open connection");
 }
 
-fn right() -> String {
+fn expected_response() -> String {
     answer("200 OK", "", "right")
 }
 
-fn wrong() -> String {
+fn extra_response() -> String {
     answer("200 OK", "", "wrong")
 }
 
-/// Sends one request and has the endpoint answer it; returns the connection that carried it.
+/// Sends one request, answers it at the endpoint, and returns the connection between proxy and endpoint.
 fn call(client: &mut Client, endpoint: &ScriptedEndpoint) -> TcpStream {
     client.send("unsafe", "3000m");
     let mut connection = endpoint.next_request();
-    write(&mut connection, &right());
+    write(&mut connection, &expected_response());
     assert_served(client);
     connection
 }
@@ -99,12 +101,12 @@
         || connection.take_error().is_ok_and(|error| error.is_some())
 }
 
-/// How often the proxy has received unsolicited data.
+/// The number of times that the proxy has received unsolicited data.
 fn unsolicited_count(admin: SocketAddr) -> u64 {
     metrics(admin)["connections"]["unsolicited"].as_u64().expect("a count")
 }
 
-/// An endpoint, the proxy before it and a client of that.
+/// An endpoint, a proxy that forwards to it, and a client of the proxy.
 struct Setup {
     endpoint: ScriptedEndpoint,
     _discovery: Discovery,
@@ -129,24 +131,25 @@
         call(&mut self.client, &self.endpoint)
     }
 
-    /// A call whose response the endpoint follows by another.
+    /// Makes a call and has the endpoint send an extra response after the first one.
     fn call_with_extra_response(&mut self) {
         let mut connection = self.call();
-        write(&mut connection, &wrong());
+        write(&mut connection, &extra_response());
     }
 
-    /// Sends a request while the last connection, idle since its response, receives an extra one after the cooldown.
+    /// Sends a request, has the endpoint send an extra response on the idle connection `last` after the reuse
+    /// cooldown, and asserts that the request is served on another connection.
     fn call_before_extra_response(&mut self, mut last: TcpStream) {
         self.client.send("unsafe", "3000m");
         thread::sleep(AFTER_COOLDOWN);
-        write(&mut last, &wrong());
+        write(&mut last, &extra_response());
         let mut other = self.endpoint.next_request();
-        write(&mut other, &right());
+        write(&mut other, &expected_response());
         assert_served(&mut self.client);
     }
 }
 
-/// The endpoint's extra response comes well after the reuse cooldown, on the first connection that it was given.
+/// The endpoint sends an extra response well after the reuse cooldown, on the first connection to it.
 #[test]
 fn a_first_extra_response_after_the_cooldown_answers_no_other_request() {
     let mut setup = Setup::start();
@@ -155,7 +158,7 @@
     assert_eq!(setup.endpoint.opened(), 2);
 }
 
-/// Once it has sent two extra responses in a row, each of its connections carries one request only.
+/// Each connection to an endpoint that has sent two extra responses in a row carries only one request.
 #[test]
 fn connections_of_an_endpoint_that_sends_extra_responses_are_not_reused() {
     let mut setup = Setup::start();
@@ -163,15 +166,15 @@
     setup.call_with_extra_response();
     for number in 3..7 {
         let connection = setup.call();
-        assert_eq!(setup.endpoint.opened(), number, "a connection of its own");
-        assert!(is_closed(connection), "closed after its response");
+        assert_eq!(setup.endpoint.opened(), number, "each call should open a connection");
+        assert!(is_closed(connection), "the connection should be closed after its response");
         thread::sleep(AFTER_OBSERVATION);
     }
     assert_eq!(unsolicited_count(setup.admin), 2);
 }
 
-/// One extra response of an endpoint that was trusted: its connections are observed again before each reuse, though
-/// one has stayed silent meanwhile.
+/// After one extra response of a trusted endpoint, its connections are observed again before each reuse, even
+/// after one of them has stayed silent.
 #[test]
 fn connections_of_an_endpoint_that_sent_one_extra_response_are_observed() {
     let mut setup = Setup::start();
@@ -186,42 +189,47 @@
     assert_eq!(setup.endpoint.opened(), 3);
 }
 
-/// Where an extra response, or a part of it, may stand after the first one.
+/// An extra response, complete or in part, that arrives with the first response or later.
 #[test]
-fn an_extra_response_in_any_form_answers_no_other_request_and_is_recognised() {
+fn an_extra_response_in_any_form_answers_no_other_request_and_is_counted() {
     let informational = "HTTP/1.1 103 Early Hints\r\n\r\n";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nright\r\n0\r\n\r\n";
-    let wrong = wrong();
-    let (first_half, second_half) = wrong.split_at(wrong.len() / 2);
+    let extra_response = extra_response();
+    let (first_half, second_half) = extra_response.split_at(extra_response.len() / 2);
     let forms = [
-        ("in the same segment", right() + &wrong, "", ""),
-        ("in the same segment as the last chunk", chunked.to_owned() + &wrong, "", ""),
-        ("half of it in the same segment", right() + first_half, second_half, ""),
-        ("later", right(), &wrong, ""),
-        ("later, after an informational one", informational.to_owned() + &right(), &wrong, ""),
-        ("later, in halves", right(), first_half, second_half),
-        ("later, one byte", right(), "H", ""),
-        ("an informational one", right(), informational, ""),
+        ("in the same segment", expected_response() + &extra_response, "", ""),
+        ("in the same segment as the last chunk", chunked.to_owned() + &extra_response, "", ""),
+        ("half of it in the same segment", expected_response() + first_half, second_half, ""),
+        ("later", expected_response(), &extra_response, ""),
+        (
+            "later, after an informational response",
+            informational.to_owned() + &expected_response(),
+            &extra_response,
+            "",
+        ),
+        ("later, in halves", expected_response(), first_half, second_half),
+        ("later, one byte", expected_response(), "H", ""),
+        ("an informational response", expected_response(), informational, ""),
     ];
-    for (name, at_once, later, last) in forms {
+    for (name, first_segment, later, last) in forms {
         let mut setup = Setup::start();
         setup.client.send("unsafe", "3000m");
         let mut connection = setup.endpoint.next_request();
-        write(&mut connection, &at_once);
+        write(&mut connection, &first_segment);
         assert_served(&mut setup.client);
-        // The proxy may have closed it meanwhile.
+        // The proxy may have closed the connection already.
         let _ = connection.write_all(later.as_bytes());
         setup.client.send("unsafe", "3000m");
         let _ = connection.write_all(last.as_bytes());
         let mut second = setup.endpoint.next_request();
-        write(&mut second, &right());
+        write(&mut second, &expected_response());
         assert_served(&mut setup.client);
         assert_eq!(unsolicited_count(setup.admin), 1, "{name}");
         assert_eq!(setup.endpoint.opened(), 2, "{name}");
     }
 }
 
-/// A distrust outlasts a reload.
+/// The proxy still distrusts an endpoint after a reload of the configuration.
 #[test]
 fn a_reload_does_not_restore_the_reuse_of_connections() {
     let mut setup = Setup::start();
@@ -238,7 +246,8 @@
     }
 }
 
-/// A successor has no connections, and knows nothing of the endpoint: it observes it anew.
+/// A successor has no connections and no trust in the endpoint, so it observes the endpoint's connections
+/// before reuse.
 #[test]
 fn a_successor_observes_endpoints_anew() {
     let endpoint = ScriptedEndpoint::start();
@@ -262,7 +271,8 @@
     assert_eq!(setup.endpoint.opened(), 3);
 }
 
-/// An attempt whose time is up is abandoned with its connection: what the endpoint still answers there reaches nobody.
+/// An attempt that times out is abandoned together with its connection: a late response on it reaches no
+/// client.
 #[test]
 fn the_response_to_an_abandoned_attempt_answers_no_other_request() {
     let mut setup = Setup::start();
@@ -272,14 +282,15 @@
     let mut abandoned = setup.endpoint.next_request();
     let status = setup.client.answer().expect("a response").status();
     assert_ne!(status, 200);
-    let _ = abandoned.write_all(wrong().as_bytes());
+    let _ = abandoned.write_all(extra_response().as_bytes());
     for _ in 0..3 {
         setup.call();
         thread::sleep(AFTER_COOLDOWN);
     }
 }
 
-/// An endpoint that stays silent after its responses keeps its connection, and calls soon wait for the cooldown only.
+/// The connection to an endpoint that stays silent after its responses is reused. After the first
+/// observation, calls wait for the reuse cooldown only.
 #[test]
 fn an_endpoint_without_extra_responses_keeps_its_connection() {
     let mut setup = Setup::start();
@@ -289,14 +300,14 @@
     assert_eq!((setup.endpoint.opened(), unsolicited_count(setup.admin)), (1, 0));
 }
 
-/// A call that has too little time to wait for the observation gets a connection of its own.
+/// A call whose timeout is too short to wait for the end of the observation gets a new connection.
 #[test]
-fn a_call_with_little_time_does_not_wait_for_the_observation() {
+fn a_call_with_a_short_timeout_does_not_wait_for_the_observation() {
     let mut setup = Setup::start();
     setup.call();
     setup.client.send("unsafe", "100m");
     let mut second = setup.endpoint.next_request();
-    write(&mut second, &right());
+    write(&mut second, &expected_response());
     assert_served(&mut setup.client);
     assert_eq!(setup.endpoint.opened(), 2);
 }
