--- a/crates/cli/tests/kill_races.rs
+++ b/crates/cli/tests/kill_races.rs
@@ -1,4 +1,5 @@
-//! Requests that become complete late in a shutdown, and slow readers beside others: what the kill after SIGTERM may cost.
+//! Requests that are completed late in a graceful shutdown, and slow readers that compete with other clients
+//! for memory: which requests and responses the SIGKILL after SIGTERM may interrupt.
 
 mod peers;
 
@@ -11,15 +12,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than what the system takes of a response that nobody reads.
+/// More than the socket buffers hold of a response that nobody reads.
 const LONG_RESPONSE_BYTES: usize = 5_000_000;
-/// A response that begins before SIGTERM ends this long after it.
+/// Delay from SIGTERM to the end of a response that begins before it.
 const FIRST_RESPONSE_ENDS_AFTER: Duration = Duration::from_millis(1_200);
-/// How long the endpoint works on the request that follows: it ends after the kill, within the client timeout.
+/// Service time of the following request, whose response comes after the kill but within the client timeout.
 const SECOND_SERVICE_TIME: Duration = Duration::from_millis(800);
 
-/// An endpoint that writes half of a response of `first` bytes, the rest at `ends`'s message; other requests are
-/// reported and answered after [`SECOND_SERVICE_TIME`].
+/// Starts an endpoint that writes half of the response to `part=first`, reports that, and writes the rest
+/// when the returned sender is dropped or sends. It reports the time of `part=second` and answers after
+/// [`SECOND_SERVICE_TIME`]. Other requests are answered immediately.
 fn two_part_endpoint() -> (SocketAddr, Receiver<()>, std::sync::mpsc::Sender<()>, Receiver<Instant>) {
     let ((begun_sender, begun), (end, end_receiver), (seen_sender, seen)) =
         (channel(), channel::<()>(), channel());
@@ -32,7 +34,7 @@
             send_bytes(stream, head.as_bytes());
             send_bytes(stream, &content[..100_000]);
             let _ = begun_sender.send(());
-            let _ = end_receiver.lock().expect("no panic").recv();
+            let _ = end_receiver.lock().expect("an unpoisoned lock").recv();
             send_bytes(stream, &content[100_000..]);
         } else if head.contains("part=second") {
             let _ = seen_sender.send(Instant::now());
@@ -45,9 +47,10 @@
     (address, begun, end, seen)
 }
 
-/// A response begins before SIGTERM, so without `Connection: close`, and ends late. A request that follows on its
-/// connection, pipelined or at once after the response, must not reach the endpoint if its response can be cut.
-fn assert_a_following_request_is_not_lost(restart: Restart, is_pipelined: bool) {
+/// A response begins before SIGTERM, and therefore has no `Connection: close`, and ends late. A following
+/// request on its connection, pipelined or sent immediately after the response, must not reach the endpoint
+/// if the kill can truncate its response.
+fn assert_following_request_is_not_lost(restart: Restart, is_pipelined: bool) {
     let (address, begun, end, seen) = two_part_endpoint();
     let mut shutdown = Shutdown::prepare(restart, address);
     let mut client = shutdown.connected_clients(1).remove(0);
@@ -76,31 +79,33 @@
     drop(successor);
     assert!(
         seen_after.is_none() || response == Some(200),
-        "{restart:?}, pipelined {is_pipelined}: the endpoint saw the request {seen_after:?} after SIGTERM, the client got \
-         {response:?}; head of the first response: {head}"
+        "{restart:?}, pipelined {is_pipelined}: the endpoint received the request {seen_after:?} after \
+         SIGTERM, the client received status {response:?}; head of the first response: {head}"
     );
 }
 
 #[test]
 fn a_pipelined_request_behind_a_long_response_is_not_lost_in_a_planned_restart() {
-    // Guards against a request being forwarded late behind a response that began before SIGTERM, so without Connection: close.
-    assert_a_following_request_is_not_lost(Restart::Planned, true);
+    // Guards against forwarding a request late in the shutdown, pipelined behind a response that began before
+    // SIGTERM and therefore has no Connection: close.
+    assert_following_request_is_not_lost(Restart::Planned, true);
 }
 
 #[test]
 fn a_pipelined_request_behind_a_long_response_is_not_lost_in_a_hot_restart() {
-    // Guards against the same where a successor shares the listener.
-    assert_a_following_request_is_not_lost(Restart::Hot, true);
+    // Guards against the same fault while a successor shares the listener.
+    assert_following_request_is_not_lost(Restart::Hot, true);
 }
 
 #[test]
-fn a_request_at_once_after_a_long_response_is_not_lost_in_a_planned_restart() {
-    // Guards against the same where the request comes in the moment in which the response ends.
-    assert_a_following_request_is_not_lost(Restart::Planned, false);
+fn a_request_sent_immediately_after_a_long_response_is_not_lost_in_a_planned_restart() {
+    // Guards against the same fault with a request that arrives just as the response ends.
+    assert_following_request_is_not_lost(Restart::Planned, false);
 }
 
-/// The endpoint begins its response to an upload before the upload is complete, and ends it so long after its last byte.
-fn assert_an_early_response_is_not_lost(completed_after: Duration, service_time: Duration) {
+/// The endpoint begins its response before the upload is complete and ends it `service_time` after the last
+/// byte of the upload, which is sent `completed_after` SIGTERM.
+fn assert_early_response_is_not_lost(completed_after: Duration, service_time: Duration) {
     let ((begun_sender, begun), (complete_sender, complete)) = (channel(), channel());
     let address = endpoint(move |head, stream| {
         if !head.contains("part=first") {
@@ -131,8 +136,8 @@
     let terminated = shutdown.terminate();
     let parts: Vec<_> = rest.chunks(4_000).collect();
     for (n, part) in parts.iter().enumerate() {
-        let moment = terminated + completed_after * (n as u32 + 1) / parts.len() as u32;
-        thread::sleep(moment.saturating_duration_since(Instant::now()));
+        let send_at = terminated + completed_after * (n as u32 + 1) / parts.len() as u32;
+        thread::sleep(send_at.saturating_duration_since(Instant::now()));
         if !send_bytes(&mut client.stream, part) {
             break;
         }
@@ -143,25 +148,27 @@
     let complete_after = complete.try_iter().next().map(|at| at - terminated);
     assert!(
         complete_after.is_none() || received == Some(200_000),
-        "the endpoint saw the complete upload {complete_after:?} after SIGTERM, the client got {received:?}"
+        "the endpoint received the complete upload {complete_after:?} after SIGTERM, the client received \
+         {received:?} bytes"
     );
 }
 
 #[test]
 fn an_upload_whose_response_begins_early_is_not_lost() {
-    // Guards against the end of an upload being forwarded late since its response has begun.
-    assert_an_early_response_is_not_lost(Duration::from_millis(1_300), Duration::from_millis(600));
+    // Guards against forwarding the end of an upload late in the shutdown because its response has begun.
+    assert_early_response_is_not_lost(Duration::from_millis(1_300), Duration::from_millis(600));
 }
 
-/// An endpoint that gives the response that a request's query asks for; other requests are answered at once.
-fn direct_endpoint() -> SocketAddr {
+/// Starts an endpoint that sends the response requested by the query. Other requests are answered
+/// immediately.
+fn large_response_endpoint() -> SocketAddr {
     endpoint(|head, stream| {
         if body(head, stream).is_none() {
             return;
         }
         match requested_response(head) {
             Some((_, size)) => {
-                // Repeated, as the pattern is no longer than that.
+                // The generated body has LONG_RESPONSE_BYTES only, so it is repeated.
                 send_bytes(stream, format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n").as_bytes());
                 for _ in 0..size / LONG_RESPONSE_BYTES {
                     send_bytes(stream, response_body(LONG_RESPONSE_BYTES));
@@ -172,19 +179,21 @@
     })
 }
 
-/// A request of 40 KB on a connection without one so far.
+/// Sends a request with a body of 40 KB on an unused connection. Returns the status and the time to the
+/// response.
 fn post_40_kb(mut client: Client) -> (Option<u16>, Duration) {
-    let begun = Instant::now();
+    let started = Instant::now();
     client.write(&request_head("unsafe", "900m", "Content-Length: 40000\r\n"));
     assert!(send_bytes(&mut client.stream, &test_pattern(40_000)));
-    (client.answer().map(|message| message.status()), begun.elapsed())
+    (client.answer().map(|message| message.status()), started.elapsed())
 }
 
-/// Starts a process with 32 MB of memory and these readers of long responses, who take nothing.
-fn start_with_readers(count: usize, response_bytes: usize) -> (Proxy, Vec<Client>, Discovery) {
+/// Starts a process with 32 MB of memory and `count` clients of long responses that read only the head.
+fn start_with_stalled_readers(count: usize, response_bytes: usize) -> (Proxy, Vec<Client>, Discovery) {
     let discovery = Discovery::start();
     let _ = response_body(0);
-    let known: Vec<String> = (1..=6).map(|n| entry(&format!("s-{n}"), direct_endpoint(), "up", 0)).collect();
+    let known: Vec<String> =
+        (1..=6).map(|n| entry(&format!("s-{n}"), large_response_endpoint(), "up", 0)).collect();
     let text = config("127.0.0.1:0".parse().expect("an address"), discovery.address, 1_024, &known)
         .replace("\"memory_mb\":192", "\"memory_mb\":32");
     let proxy = Proxy::with(&text);
@@ -203,9 +212,9 @@
 
 #[test]
 fn slow_readers_leave_memory_to_a_small_request_in_a_shutdown() {
-    // Guards against the send buffers of a shutdown taking the memory that a request of 40 KB needs: it is served as it
-    // was before.
-    let (proxy, clients, _discovery) = start_with_readers(6, LONG_RESPONSE_BYTES);
+    // Guards against the send buffers that grow during a shutdown using the memory that a request of 40 KB
+    // needs. The request must be served as before SIGTERM.
+    let (proxy, clients, _discovery) = start_with_stalled_readers(6, LONG_RESPONSE_BYTES);
     let before = post_40_kb(proxy.client());
     let waiting = proxy.client();
     thread::sleep(Duration::from_millis(20));
@@ -213,15 +222,22 @@
     thread::sleep(Duration::from_millis(200));
     let after = post_40_kb(waiting);
     drop(clients);
-    assert_eq!((before.0, after.0), (Some(200), Some(200)), "before {before:?}, in the shutdown {after:?}");
+    assert_eq!(
+        (before.0, after.0),
+        (Some(200), Some(200)),
+        "before SIGTERM {before:?}, in the shutdown {after:?}"
+    );
 }
 
-/// Chunked uploads complete so long after SIGTERM: about the latest moment of a request, and later than that.
+/// Delays from SIGTERM to the last byte of chunked uploads: about 650 ms, the completion timeout of requests,
+/// and later.
 const COMPLETED_AFTER_MS: [u64; 16] =
     [642, 644, 646, 648, 650, 652, 654, 656, 792, 794, 796, 798, 800, 802, 804, 806];
 
-/// Uploads of a timeout of 900 ms that complete after [`COMPLETED_AFTER_MS`], at an endpoint that answers at once or never.
-fn play_uploads_about_the_latest_moment(endpoint_answers: bool) -> Vec<String> {
+/// Sends uploads with a client timeout of 900 ms that are completed after [`COMPLETED_AFTER_MS`], to an
+/// endpoint that answers immediately or never. Returns a description of each upload that was lost or
+/// corrupted.
+fn faults_of_uploads_around_the_completion_timeout(endpoint_answers: bool) -> Vec<String> {
     let (complete_sender, complete) = channel();
     let address = endpoint(move |head, stream| {
         let received = body(head, stream);
@@ -252,9 +268,9 @@
         .zip(COMPLETED_AFTER_MS)
         .map(|(mut client, completed_after_ms)| {
             let end = [chunk(&content[76_000..]), LAST_CHUNK.to_vec()].concat();
-            let moment = terminated + Duration::from_millis(completed_after_ms);
+            let send_at = terminated + Duration::from_millis(completed_after_ms);
             thread::spawn(move || {
-                thread::sleep(moment.saturating_duration_since(Instant::now()));
+                thread::sleep(send_at.saturating_duration_since(Instant::now()));
                 send_bytes(&mut client.stream, &end);
                 client.answer().map(|message| message.status())
             })
@@ -265,10 +281,10 @@
     let complete: Vec<(usize, bool)> = complete.try_iter().collect();
     let mut faults = Vec::new();
     for (number, status) in statuses.iter().enumerate() {
-        let seen = complete.iter().find(|(n, _)| *n == number).map(|(_, is_whole)| *is_whole);
+        let seen = complete.iter().find(|(n, _)| *n == number).map(|(_, is_intact)| *is_intact);
         if seen == Some(false) || (seen.is_some() && matches!(status, None | Some(503))) {
             faults.push(format!(
-                "+{} ms: whole at the endpoint {seen:?}, status {status:?}",
+                "completed after {} ms: intact at the endpoint {seen:?}, status {status:?}",
                 COMPLETED_AFTER_MS[number]
             ));
         }
@@ -277,59 +293,63 @@
 }
 
 #[test]
-fn an_upload_that_completes_at_the_latest_moment_is_served_or_not_seen_whole() {
-    // Guards against a race between the last byte of an upload and the deadline for it.
-    let faults: Vec<_> = (0..5).map(|_| play_uploads_about_the_latest_moment(true)).collect();
+fn an_upload_completed_around_the_completion_timeout_is_served_or_not_forwarded_completely() {
+    // Guards against a race between the last byte of an upload and its completion timeout.
+    let faults: Vec<_> = (0..5).map(|_| faults_of_uploads_around_the_completion_timeout(true)).collect();
     assert!(faults.iter().all(Vec::is_empty), "{faults:#?}");
 }
 
 #[test]
-fn an_upload_that_completes_at_the_latest_moment_is_answered_though_its_endpoint_hangs() {
-    // Guards against a final response that is due in the moment of the kill.
-    let faults: Vec<_> = (0..5).map(|_| play_uploads_about_the_latest_moment(false)).collect();
+fn an_upload_completed_around_the_completion_timeout_is_answered_although_its_endpoint_hangs() {
+    // Guards against a final response that is due just when the process is killed.
+    let faults: Vec<_> = (0..5).map(|_| faults_of_uploads_around_the_completion_timeout(false)).collect();
     assert!(faults.iter().all(Vec::is_empty), "{faults:#?}");
 }
 
-fn assert_readers_leave_memory(readers: usize, response_bytes: usize) {
+/// Asserts that 16 concurrent uploads of 40 KB are served, before SIGTERM and during the shutdown, although
+/// stalled readers occupy memory.
+fn assert_stalled_readers_leave_memory(readers: usize, response_bytes: usize) {
     const POSTS: usize = 16;
-    let (proxy, clients, _discovery) = start_with_readers(readers, response_bytes);
-    let play = |clients: Vec<Client>| {
+    let (proxy, clients, _discovery) = start_with_stalled_readers(readers, response_bytes);
+    let post_all = |clients: Vec<Client>| {
         let posts: Vec<_> =
             clients.into_iter().map(|client| thread::spawn(|| post_40_kb(client).0)).collect();
         posts.into_iter().map(|post| post.join().expect("a client")).collect::<Vec<_>>()
     };
-    let before = play((0..POSTS).map(|_| proxy.client()).collect());
+    let before = post_all((0..POSTS).map(|_| proxy.client()).collect());
     let waiting: Vec<_> = (0..POSTS).map(|_| proxy.client()).collect();
     thread::sleep(Duration::from_millis(20));
     proxy.terminate();
     thread::sleep(Duration::from_millis(150));
-    let after = play(waiting);
+    let after = post_all(waiting);
     drop(clients);
     let served = |statuses: &[Option<u16>]| statuses.iter().filter(|status| **status == Some(200)).count();
     assert_eq!(
         (served(&before), served(&after)),
         (POSTS, POSTS),
-        "before {before:?}, in the shutdown {after:?}"
+        "statuses before SIGTERM {before:?}, in the shutdown {after:?}"
     );
 }
 
 #[test]
 fn slow_readers_leave_memory_to_several_requests_in_a_shutdown() {
-    // Guards against the same where several requests of 40 KB come at once.
-    assert_readers_leave_memory(10, LONG_RESPONSE_BYTES);
+    // Guards against the same fault with several concurrent requests of 40 KB.
+    assert_stalled_readers_leave_memory(10, LONG_RESPONSE_BYTES);
 }
 
 #[test]
 fn slow_readers_of_very_long_responses_leave_memory_to_several_requests_in_a_shutdown() {
-    // Guards against the same with responses beyond the largest send buffer, which keep their memory.
-    assert_readers_leave_memory(4, 4 * LONG_RESPONSE_BYTES);
+    // Guards against the same fault with responses that exceed the largest send buffer and keep their memory
+    // reserved.
+    assert_stalled_readers_leave_memory(4, 4 * LONG_RESPONSE_BYTES);
 }
 
 #[test]
-fn what_a_client_sends_behind_a_long_response_does_not_cut_it_in_a_shutdown() {
-    // Guards against a close with megabytes in the send buffer: what arrives later resets the connection.
+fn data_sent_behind_a_long_response_does_not_truncate_it_in_a_shutdown() {
+    // Guards against closing a connection with megabytes in its send buffer: data that arrives later then
+    // resets it.
     for sent_after in [Duration::from_millis(100), Duration::from_millis(600)] {
-        let (proxy, mut clients, _discovery) = start_with_readers(1, LONG_RESPONSE_BYTES);
+        let (proxy, mut clients, _discovery) = start_with_stalled_readers(1, LONG_RESPONSE_BYTES);
         let mut client = clients.remove(0);
         proxy.terminate();
         thread::sleep(sent_after);
@@ -339,15 +359,15 @@
         let end = client.stream.read_to_end(&mut received);
         assert!(
             received.len() >= LONG_RESPONSE_BYTES,
-            "sent {sent_after:?} after SIGTERM: {} bytes of {LONG_RESPONSE_BYTES}, {end:?}",
+            "request sent {sent_after:?} after SIGTERM: received {} of {LONG_RESPONSE_BYTES} bytes, {end:?}",
             received.len()
         );
     }
 }
 
 #[test]
-fn a_slow_small_body_that_completes_too_late_is_rejected_unforwarded() {
-    // Guards against a body of up to 64 KiB being forwarded when its response need not come before the kill.
+fn a_slow_small_body_completed_too_late_is_rejected_without_forwarding() {
+    // Guards against forwarding a body of up to 64 KiB so late that its response may come after the kill.
     for expectation in ["", "Expect: 100-continue\r\n"] {
         let (complete_sender, complete) = channel();
         let address = endpoint(move |head, stream| {
@@ -367,8 +387,8 @@
         thread::sleep(Duration::from_millis(50));
         let terminated = shutdown.terminate();
         for (n, part) in content[1_000..].chunks(3_000).enumerate() {
-            let moment = terminated + Duration::from_millis(100 * (n as u64 + 1));
-            thread::sleep(moment.saturating_duration_since(Instant::now()));
+            let send_at = terminated + Duration::from_millis(100 * (n as u64 + 1));
+            thread::sleep(send_at.saturating_duration_since(Instant::now()));
             if !send_bytes(&mut client.stream, part) {
                 break;
             }
@@ -384,20 +404,20 @@
         shutdown.kill(terminated);
         let status = reader.join().expect("a reader");
         let seen = complete.try_iter().count();
-        assert_eq!((seen, status), (0, Some(503)), "{expectation}");
+        assert_eq!((seen, status), (0, Some(503)), "requests at the endpoint and status, {expectation:?}");
     }
 }
 
 #[test]
-fn a_response_is_streamed_in_a_shutdown_beside_slow_readers_of_very_long_responses() {
-    // Guards against a streamed response waiting, until the kill, for memory that send buffers have taken.
-    let (proxy, clients, _discovery) = start_with_readers(4, 4 * LONG_RESPONSE_BYTES);
+fn a_response_is_streamed_in_a_shutdown_despite_slow_readers_of_very_long_responses() {
+    // Guards against a streamed response waiting until the kill for memory that is in use by send buffers.
+    let (proxy, clients, _discovery) = start_with_stalled_readers(4, 4 * LONG_RESPONSE_BYTES);
     let mut client = proxy.client();
     thread::sleep(Duration::from_millis(20));
     proxy.terminate();
     thread::sleep(Duration::from_millis(150));
     let target = format!("unsafe?framing=length&size={LONG_RESPONSE_BYTES}");
-    let begun = Instant::now();
+    let started = Instant::now();
     client.write(&request_head(&target, "900m", "Content-Length: 0\r\n"));
     client.stream.get_ref().set_read_timeout(Some(Duration::from_secs(3))).expect("a timeout");
     let mut received = Vec::new();
@@ -405,8 +425,8 @@
     drop(clients);
     assert!(
         received.len() > LONG_RESPONSE_BYTES,
-        "{} bytes of {LONG_RESPONSE_BYTES} in {:?}: {end:?}",
+        "received {} of {LONG_RESPONSE_BYTES} bytes in {:?}: {end:?}",
         received.len(),
-        begun.elapsed()
+        started.elapsed()
     );
 }
