--- a/crates/cli/tests/module_imports.rs
+++ b/crates/cli/tests/module_imports.rs
@@ -1,5 +1,5 @@
-//! No two modules of a crate import each other, whether directly or by way of others. Not yet checked: the simulator, whose
-//! `world` and its parts import each other.
+//! Checks that the modules of a crate have no circular imports, direct or indirect. The simulator is not
+//! checked yet: its `world` module and the submodules of `world` import each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -10,19 +10,19 @@
 type ModulePath = Vec<String>;
 type Imports = BTreeMap<ModulePath, BTreeSet<ModulePath>>;
 
-/// All source files below a folder; test files are left out.
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a source folder") {
-        let path = entry.expect("a folder entry").path();
+/// Appends all source files below a directory to `found`, except `tests.rs` files.
+fn collect_sources(directory: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(directory).expect("a source directory") {
+        let path = entry.expect("a directory entry").path();
         if path.is_dir() {
-            sources(&path, found);
-        } else if path.extension().is_some_and(|end| end == "rs") && !path.ends_with("tests.rs") {
+            collect_sources(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") && !path.ends_with("tests.rs") {
             found.push(path);
         }
     }
 }
 
-/// The module that a source file holds; empty for the root of the crate.
+/// The path of the module that a source file defines; empty for the root of the crate.
 fn module_path(root: &Path, file: &Path) -> ModulePath {
     let relative = file.strip_prefix(root).expect("a file below the root").with_extension("");
     let mut path: ModulePath = relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
@@ -32,7 +32,7 @@
     path
 }
 
-/// Collects the paths that a file names, outside its tests.
+/// The paths that a file uses outside its test modules.
 #[derive(Default)]
 struct NamedPaths(Vec<ModulePath>);
 
@@ -40,9 +40,9 @@
     fn add_use_tree(&mut self, prefix: &ModulePath, tree: &syn::UseTree) {
         match tree {
             syn::UseTree::Path(path) => {
-                let mut longer = prefix.clone();
-                longer.push(path.ident.to_string());
-                self.add_use_tree(&longer, &path.tree);
+                let mut prefix_with_segment = prefix.clone();
+                prefix_with_segment.push(path.ident.to_string());
+                self.add_use_tree(&prefix_with_segment, &path.tree);
             }
             syn::UseTree::Name(name) => self.0.push([&prefix[..], &[name.ident.to_string()]].concat()),
             syn::UseTree::Rename(name) => self.0.push([&prefix[..], &[name.ident.to_string()]].concat()),
@@ -76,7 +76,8 @@
     }
 }
 
-/// The module that a path named in `module` belongs to, if it is one of this crate other than the root.
+/// The module of this crate that a path used in `module` refers to. None if that is `module` itself, the
+/// root, or another crate.
 fn resolve(modules: &BTreeSet<ModulePath>, module: &ModulePath, named: &[String]) -> Option<ModulePath> {
     let supers = named.iter().take_while(|part| *part == "super").count();
     let mut target = match named.first()?.as_str() {
@@ -96,7 +97,7 @@
 
 fn imports(root: &Path) -> Imports {
     let mut files = Vec::new();
-    sources(root, &mut files);
+    collect_sources(root, &mut files);
     let paths = files.iter().map(|file| module_path(root, file));
     let modules: BTreeSet<ModulePath> = paths.chain([ModulePath::new()]).collect();
     let mut imports = Imports::new();
@@ -104,21 +105,21 @@
         let module = module_path(root, file);
         let text = std::fs::read_to_string(file).expect("a source file");
         let mut named = NamedPaths::default();
-        named.visit_file(&syn::parse_file(&text).expect("Rust"));
+        named.visit_file(&syn::parse_file(&text).expect("valid Rust"));
         let targets = named.0.iter().filter_map(|path| resolve(&modules, &module, path));
         imports.entry(module.clone()).or_default().extend(targets);
     }
     imports
 }
 
-/// All modules that a module imports, directly or by way of others.
-fn reachable(imports: &Imports, module: &ModulePath) -> BTreeSet<ModulePath> {
+/// All modules that a module imports, directly or indirectly.
+fn transitive_imports(imports: &Imports, module: &ModulePath) -> BTreeSet<ModulePath> {
     let mut found = BTreeSet::new();
-    let mut open = vec![module.clone()];
-    while let Some(next) = open.pop() {
+    let mut pending = vec![module.clone()];
+    while let Some(next) = pending.pop() {
         for target in imports.get(&next).into_iter().flatten() {
             if found.insert(target.clone()) {
-                open.push(target.clone());
+                pending.push(target.clone());
             }
         }
     }
@@ -126,15 +127,15 @@
 }
 
 #[test]
-fn no_two_modules_of_a_crate_import_each_other() {
+fn modules_of_a_crate_have_no_circular_imports() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     for name in CHECKED_CRATES {
         let root = crates.join(name).join("src");
         let imports = imports(&root);
-        assert!(!imports.is_empty(), "{} has sources", root.display());
+        assert!(!imports.is_empty(), "no source files in {}", root.display());
         let circular: Vec<String> = imports
             .keys()
-            .filter(|module| reachable(&imports, module).contains(*module))
+            .filter(|module| transitive_imports(&imports, module).contains(*module))
             .map(|module| module.join("::"))
             .collect();
         assert!(circular.is_empty(), "{}: circular imports of {circular:?}", root.display());
