--- a/crates/cli/tests/response_handover.rs
+++ b/crates/cli/tests/response_handover.rs
@@ -1,5 +1,5 @@
-//! Responses that their endpoints are still giving as the process is killed that passes them on: its successor delivers the
-//! rest. Nothing is lost, repeated or written by both.
+//! Responses that are still in progress when the process that forwards them is killed: its successor delivers
+//! the rest. No byte is lost, repeated or written by both processes.
 
 mod peers;
 
@@ -14,15 +14,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The socket by which a successor takes responses over.
+/// The socket on which a successor accepts responses.
 const HANDOVER_SOCKET: &str = "oakport-responses.sock";
-/// Given until well after the kill, which comes 1.7 s after SIGTERM.
-const GIVEN_BEYOND_THE_KILL: Duration = Duration::from_millis(3_000);
-/// Given until after the handover would begin, 0.7 s before the kill, and ended before the kill.
-const GIVEN_UNTIL_BEFORE_THE_KILL: Duration = Duration::from_millis(1_450);
+/// Duration of a response that lasts until well after the kill, which comes 1.7 s after SIGTERM.
+const ENDS_AFTER_KILL: Duration = Duration::from_millis(3_000);
+/// Duration of a response that ends before the kill, but after the handover begins, which is 0.7 s before the
+/// kill.
+const ENDS_BEFORE_KILL: Duration = Duration::from_millis(1_450);
 const RESPONSE_BYTES: usize = 600_000;
 
-/// An endpoint that gives the response that a request asks for over the time that it asks for. Others are answered at once.
+/// Starts an endpoint that sends the requested response evenly over the requested time. Other requests are
+/// answered immediately.
 fn paced_endpoint() -> SocketAddr {
     endpoint(|head, stream| {
         if body(head, stream).is_none() {
@@ -32,21 +34,22 @@
             write_response(stream, "length", b"ok");
             return;
         };
-        let give_ms = query_value(head, "give_ms").and_then(|ms| ms.parse().ok()).expect("a number");
-        write_response_over(stream, framing, response_body(size), Duration::from_millis(give_ms));
+        let send_ms = query_value(head, "give_ms").and_then(|ms| ms.parse().ok()).expect("a number");
+        write_response_over(stream, framing, response_body(size), Duration::from_millis(send_ms));
     })
 }
 
-/// Asks for a response on each connection, and waits until all have begun.
-fn begin_responses(clients: &mut [Client], framing: &str, size: usize, give_time: Duration) -> Vec<String> {
-    let target = format!("unsafe?framing={framing}&size={size}&give_ms={}", give_time.as_millis());
+/// Requests a response on each connection, waits until all have begun, and returns their heads.
+fn begin_responses(clients: &mut [Client], framing: &str, size: usize, send_time: Duration) -> Vec<String> {
+    let target = format!("unsafe?framing={framing}&size={size}&give_ms={}", send_time.as_millis());
     for client in clients.iter_mut() {
         client.write(&request_head(&target, "900m", "Content-Length: 0\r\n"));
     }
     clients.iter_mut().map(|client| head(&mut client.stream).expect("a response that begins")).collect()
 }
 
-/// What a client got of a response, which must be the beginning of it.
+/// The number of body bytes in `received`, which must be the beginning of the response. A chunked body counts
+/// only if it is complete.
 fn received_bytes(head: &str, received: &[u8], size: usize) -> usize {
     if head.contains("chunked") {
         return body(head, &mut &*received).map_or(0, |content| {
@@ -58,9 +61,9 @@
     received.len()
 }
 
-/// Reads all responses to the ends of their connections, and kills the process at the earliest moment. Returns how many
-/// bytes of each body came.
-fn read_across_the_kill(
+/// Sends SIGTERM, reads all responses until their connections end, and kills the process at the earliest
+/// time. Returns the number of bytes received of each body.
+fn read_across_kill(
     shutdown: &mut Shutdown,
     clients: Vec<Client>,
     heads: &[String],
@@ -77,13 +80,13 @@
 }
 
 #[test]
-fn a_response_that_announces_the_close_of_its_connection_arrives_complete_from_the_successor() {
-    // Guards against the connection being closed for writing as its process gives up the response: one that begins after
-    // SIGTERM says Connection: close.
+fn a_response_with_connection_close_is_completed_by_the_successor() {
+    // Guards against closing the connection for writing when the process hands the response over: a response
+    // that begins after SIGTERM has Connection: close.
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut client = shutdown.connected_clients(1).remove(0);
     let _successor = shutdown.start_successor();
-    // Half a head keeps the connection open in the shutdown.
+    // A partial head keeps the connection open during the shutdown.
     let target = format!("unsafe?framing=length&size={RESPONSE_BYTES}&give_ms=3000");
     let text = request_head(&target, "900m", "Content-Length: 0\r\n");
     let (beginning, rest) = text.split_at(20);
@@ -100,32 +103,36 @@
     assert_eq!(received_bytes(&head, &body, RESPONSE_BYTES), RESPONSE_BYTES);
 }
 
+/// Asserts that responses in progress at the kill are received completely, and that the successor serves
+/// requests.
 fn assert_responses_outlive_the_process(count: usize, size: usize, is_slow: bool) {
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(count);
     let successor = shutdown.start_successor().expect("a successor");
-    let heads = begin_responses(&mut clients, "length", size, GIVEN_BEYOND_THE_KILL);
-    let received = read_across_the_kill(&mut shutdown, clients, &heads, size, is_slow);
+    let heads = begin_responses(&mut clients, "length", size, ENDS_AFTER_KILL);
+    let received = read_across_kill(&mut shutdown, clients, &heads, size, is_slow);
     assert_eq!(received, vec![size; count]);
-    assert_eq!(successor.call("safe", "900m").status(), 200, "the successor serves on");
+    assert_eq!(successor.call("safe", "900m").status(), 200, "the successor should serve requests");
 }
 
 #[test]
-fn responses_that_are_still_being_given_at_the_kill_of_a_hot_restart_arrive_complete() {
-    // Guards against the kill cutting what an endpoint is still giving, though a successor could pass it on.
+fn responses_in_progress_at_the_kill_of_a_hot_restart_arrive_complete() {
+    // Guards against the kill truncating a response that a successor could continue to forward.
     assert_responses_outlive_the_process(6, RESPONSE_BYTES, false);
 }
 
 #[test]
-fn responses_to_slow_readers_that_are_still_being_given_at_the_kill_of_a_hot_restart_arrive_complete() {
-    // Guards against losing or repeating what is in buffers of the process as it passes a response on.
+fn responses_to_slow_readers_in_progress_at_the_kill_of_a_hot_restart_arrive_complete() {
+    // Guards against losing or repeating data that is in the buffers of the process when it hands a response
+    // over.
     assert_responses_outlive_the_process(3, RESPONSE_BYTES_BEYOND_A_SEND_BUFFER, true);
 }
 
-/// A response that its endpoint gives as fast as it is read, so often the longest one.
-const REPEATED_RESPONSES: usize = 5;
+/// Number of times that the longest response body is repeated in a response that is sent as fast as it is
+/// read.
+const BODY_REPETITIONS: usize = 5;
 
-/// The most memory that a process has had so far, in kB. None: it has ended.
+/// The peak resident memory of the process so far, in kB. None if the process has ended.
 fn peak_memory_kb(proxy: &Proxy) -> Option<usize> {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("a child");
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
@@ -133,10 +140,11 @@
 }
 
 #[test]
-fn passing_a_response_on_reads_nothing_more_of_it() {
-    // Guards against reading all that a fast endpoint gives into the memory of the process that is about to be killed.
+fn handing_over_a_response_reads_nothing_more_of_it() {
+    // Guards against reading a response from a fast endpoint into the memory of the process that is about to
+    // be killed.
     let part = RESPONSE_BYTES_BEYOND_A_SEND_BUFFER;
-    let size = REPEATED_RESPONSES * part;
+    let size = BODY_REPETITIONS * part;
     let address = endpoint(move |head, stream| {
         let _ = body(head, stream);
         if requested_response(head).is_none() {
@@ -144,7 +152,7 @@
             return;
         }
         send_bytes(stream, format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n").as_bytes());
-        for _ in 0..REPEATED_RESPONSES {
+        for _ in 0..BODY_REPETITIONS {
             send_bytes(stream, response_body(part));
         }
     });
@@ -158,57 +166,58 @@
     thread::sleep(Duration::from_millis(900));
     let before_kb = peak_memory_kb(&shutdown.proxy).expect("a process that writes a response");
     let mut peak_kb = before_kb;
-    // It may end once it has passed the response on.
+    // The process may end as soon as it has handed the response over.
     while let Some(kb) =
         peak_memory_kb(&shutdown.proxy).filter(|_| terminated.elapsed() < DEADLINE + KILL_MARGIN)
     {
         peak_kb = kb;
         thread::sleep(Duration::from_millis(1));
     }
-    let taken_kb = peak_kb - before_kb;
+    let growth_kb = peak_kb - before_kb;
     shutdown.kill(terminated);
     is_killed.store(true, Ordering::SeqCst);
     let received = reader.join().expect("a reader");
     assert_eq!(received.len(), size);
     let is_right = received.chunks(part).all(|received| received == response_body(part));
     assert!(is_right, "other bytes than the endpoint sent");
-    assert!(taken_kb < 4 * 1_024, "{taken_kb} kB more");
+    assert!(growth_kb < 4 * 1_024, "peak memory grew by {growth_kb} kB during the handover");
 }
 
 #[test]
-fn what_follows_a_response_that_was_passed_on_is_not_forwarded_and_may_come_again() {
-    // Guards against the kill losing a request that was sent behind the response, once it is at an endpoint.
+fn a_request_behind_a_handed_over_response_is_not_forwarded_and_may_be_retried() {
+    // Guards against forwarding a request that was sent behind the response to an endpoint, where the kill
+    // would lose it.
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(1);
     let _successor = shutdown.start_successor();
-    let heads = begin_responses(&mut clients, "length", RESPONSE_BYTES, GIVEN_BEYOND_THE_KILL);
+    let heads = begin_responses(&mut clients, "length", RESPONSE_BYTES, ENDS_AFTER_KILL);
     clients[0].write(&request_head("unsafe?follows=1", "900m", "Content-Length: 0\r\n"));
-    // Its connection ends behind the response.
-    let received = read_across_the_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
+    // The connection ends after the response.
+    let received = read_across_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
     assert_eq!(received, [RESPONSE_BYTES]);
 }
 
-/// What stands in the place of the successor's socket.
+/// A fault of the successor or its socket.
 #[derive(Clone, Copy, Debug)]
 enum BrokenSuccessor {
-    /// There is none.
+    /// The socket does not exist.
     Absent,
-    /// It left its socket's file behind.
+    /// The successor has ended and left the socket file behind.
     Ended,
-    /// It closes each connection at once.
+    /// Closes each connection immediately.
     Closes,
-    /// It says nothing.
+    /// Accepts connections and sends nothing.
     Silent,
-    /// It accepts a response and closes before it has got all.
+    /// Accepts a response and closes the connection before it has received all of it.
     ClosesLate,
-    /// It accepts a response and reads nothing of it.
+    /// Accepts a response and reads none of it.
     AcceptsAndStalls,
-    /// It answers what no version does.
+    /// Replies to an offer with this byte, which no version does.
     Answers(u8),
 }
 
-fn serve_broken(successor: BrokenSuccessor, mut stream: UnixStream, kept: &mut Vec<UnixStream>) {
-    // Each form that reads the offer leaves the descriptors that come with it to the system.
+fn serve_broken(successor: BrokenSuccessor, mut stream: UnixStream, open: &mut Vec<UnixStream>) {
+    // Where the offer is read, the kernel closes the descriptors that are passed with it.
     match successor {
         BrokenSuccessor::ClosesLate => {
             let _ = stream.read(&mut [0; 256]);
@@ -218,19 +227,19 @@
         BrokenSuccessor::AcceptsAndStalls => {
             let _ = stream.read(&mut [0; 256]);
             let _ = stream.write_all(b"+");
-            kept.push(stream);
+            open.push(stream);
         }
         BrokenSuccessor::Answers(byte) => {
             let _ = stream.read(&mut [0; 256]);
             let _ = stream.write_all(&[byte]);
-            kept.push(stream);
+            open.push(stream);
         }
-        BrokenSuccessor::Silent => kept.push(stream),
+        BrokenSuccessor::Silent => open.push(stream),
         BrokenSuccessor::Absent | BrokenSuccessor::Ended | BrokenSuccessor::Closes => {}
     }
 }
 
-/// With this in the successor's place, responses that end before the kill are delivered by their own process.
+/// Asserts that a process whose successor has this fault delivers responses that end before the kill itself.
 fn assert_process_keeps_its_responses(successor: BrokenSuccessor) {
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let path = shutdown.shared_folder().expect("a folder").join(HANDOVER_SOCKET);
@@ -240,25 +249,25 @@
         _ => {
             let listener = UnixListener::bind(&path).expect("a socket");
             thread::spawn(move || {
-                let mut kept = Vec::new();
+                let mut open = Vec::new();
                 for stream in listener.incoming().flatten() {
-                    serve_broken(successor, stream, &mut kept);
+                    serve_broken(successor, stream, &mut open);
                 }
             });
         }
     }
     let mut clients = shutdown.connected_clients(2);
-    // With megabytes in the buffers of the process, an exchange does not fit into those of its socket.
+    // With megabytes of unsent data in the process, the handover exceeds the buffers of the handover socket.
     let size = RESPONSE_BYTES_BEYOND_A_SEND_BUFFER;
-    let heads = begin_responses(&mut clients, "length", size, GIVEN_UNTIL_BEFORE_THE_KILL);
-    let received = read_across_the_kill(&mut shutdown, clients, &heads, size, false);
+    let heads = begin_responses(&mut clients, "length", size, ENDS_BEFORE_KILL);
+    let received = read_across_kill(&mut shutdown, clients, &heads, size, false);
     assert_eq!(received, [size; 2], "{successor:?}");
 }
 
 #[test]
-fn a_process_without_a_working_successor_keeps_its_responses() {
-    // Guards against a response being lost or written twice because passing it on fails at any step.
-    let forms = [
+fn a_process_without_a_working_successor_delivers_its_responses_itself() {
+    // Guards against losing a response or writing it twice when its handover fails at any step.
+    let faults = [
         BrokenSuccessor::Absent,
         BrokenSuccessor::Ended,
         BrokenSuccessor::Closes,
@@ -268,25 +277,26 @@
         BrokenSuccessor::Answers(b'-'),
         BrokenSuccessor::Answers(b'.'),
     ];
-    for successor in forms {
+    for successor in faults {
         assert_process_keeps_its_responses(successor);
     }
 }
 
 #[test]
 fn a_chunked_response_that_ends_before_the_kill_is_delivered_by_its_own_process() {
-    // Guards against passing on a response whose end only the parser of its framing knows.
+    // Guards against handing over a response whose end can only be found by parsing its chunks.
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(2);
     let _successor = shutdown.start_successor();
-    let heads = begin_responses(&mut clients, "chunked", RESPONSE_BYTES, GIVEN_UNTIL_BEFORE_THE_KILL);
-    let received = read_across_the_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
+    let heads = begin_responses(&mut clients, "chunked", RESPONSE_BYTES, ENDS_BEFORE_KILL);
+    let received = read_across_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
     assert_eq!(received, [RESPONSE_BYTES; 2]);
 }
 
 #[test]
-fn a_successor_survives_whatever_connects_to_its_socket() {
-    // Guards against a malformed or interrupted offer ending the successor or a response of another offer.
+fn a_successor_survives_malformed_and_interrupted_offers() {
+    // Guards against a malformed or interrupted offer terminating the successor or the response of another
+    // offer.
     let shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let successor = shutdown.start_successor().expect("a successor");
     let path = shutdown.shared_folder().expect("a folder").join(HANDOVER_SOCKET);
@@ -302,11 +312,11 @@
         let mut stream = UnixStream::connect(&path).expect("the successor's socket");
         stream.set_read_timeout(Some(LONG)).expect("a timeout");
         stream.write_all(offer).expect("an open connection");
-        let begun = Instant::now();
-        // Closed or reset, in its time.
-        let accepted = stream.read(&mut [0; 1]).unwrap_or(0);
-        assert_eq!(accepted, 0, "{offer:?}");
-        assert!(begun.elapsed() < LONG, "{offer:?}");
+        let started = Instant::now();
+        // The successor closes or resets the connection after its timeout at the latest.
+        let received = stream.read(&mut [0; 1]).unwrap_or(0);
+        assert_eq!(received, 0, "{offer:?} was answered");
+        assert!(started.elapsed() < LONG, "the connection of {offer:?} was not closed within {LONG:?}");
     }
     assert_eq!(successor.call("safe", "900m").status(), 200);
 }
