--- a/crates/cli/tests/shutdown.rs
+++ b/crates/cli/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, up to the SIGKILL that follows SIGTERM at the protocol's earliest moment.
+//! Graceful shutdown, up to the SIGKILL that follows SIGTERM at the earliest time that the protocol allows.
 
 mod peers;
 
@@ -11,19 +11,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sizes of responses, of which some leave a small rest beyond what the system takes for a slow reader: about 4 MB, the
-/// usual limit of a send buffer (`net.ipv4.tcp_wmem`).
-const SIZES_ABOUT_A_FULL_SEND_BUFFER: [usize; 8] =
+/// Sizes of responses, some of which exceed by a little what the kernel buffers for a slow reader: about 4
+/// MB, the usual limit of a send buffer (`net.ipv4.tcp_wmem`).
+const RESPONSE_BYTES_AROUND_A_SEND_BUFFER: [usize; 8] =
     [3_600_000, 3_700_000, 3_800_000, 3_900_000, 4_000_000, 4_100_000, 4_200_000, 4_300_000];
-/// When the last of a head arrives that must still be served.
+/// Delay from SIGTERM to the end of a request head that must still be served.
 const LATEST_HEAD: Duration = Duration::from_millis(600);
-/// A head that was sent later than this after SIGTERM, as the machine was busy, proves nothing.
+/// If a busy machine sends the end of the head later than [`LATEST_HEAD`] plus this, the attempt is repeated.
 const LATEST_HEAD_TOLERANCE: Duration = Duration::from_millis(20);
-const MAX_LATE_PLAYS: usize = 10;
+const MAX_LATE_HEAD_ATTEMPTS: usize = 10;
 
-/// Slow readers, alternately of either framing, whose requests are complete at the endpoint as SIGTERM is sent. Their
-/// responses are this long.
-fn assert_slow_readers_get_all(restart: Restart, response_bytes: &[usize]) {
+/// Asserts that slow readers receive their complete responses, which have these lengths and alternate between
+/// the framings. Their requests are complete at the endpoint when SIGTERM is sent.
+fn assert_slow_readers_receive_everything(restart: Restart, response_bytes: &[usize]) {
     let (endpoint, arrivals) = gated_endpoint();
     let mut shutdown = Shutdown::prepare(restart, endpoint);
     let mut clients = shutdown.connected_clients(response_bytes.len());
@@ -43,13 +43,17 @@
     let responses = readers.into_iter().map(|reader| reader.join().expect("a reader"));
     let lost_bytes: Vec<usize> =
         responses.zip(response_bytes).map(|(response, &size)| missing_bytes(&response, size)).collect();
-    assert!(lost_bytes.iter().all(|&count| count == 0), "{restart:?}: bytes lost, by client: {lost_bytes:?}");
+    assert!(
+        lost_bytes.iter().all(|&count| count == 0),
+        "{restart:?}: bytes lost by each client: {lost_bytes:?}"
+    );
     if let Some(successor) = successor {
-        assert_eq!(successor.call("safe", "900m").status(), 200, "the successor serves on");
+        assert_eq!(successor.call("safe", "900m").status(), 200, "the successor should serve requests");
     }
 }
 
-/// How much a response with a body of this size lacks at least. Whatever has arrived must be what was sent.
+/// The minimum number of bytes missing from a response with a body of this size. Panics if a complete body
+/// differs from what the endpoint sent.
 fn missing_bytes(response: &[u8], body_bytes: usize) -> usize {
     let mut rest = response;
     let head = head(&mut rest).unwrap_or_default();
@@ -66,31 +70,33 @@
 
 #[test]
 fn a_slow_reader_gets_its_complete_response_although_a_hot_restart_ends_in_a_kill() {
-    // Guards against a small rest of the response waiting in the process for a third of the send buffer to be free.
-    assert_slow_readers_get_all(Restart::Hot, &SIZES_ABOUT_A_FULL_SEND_BUFFER);
+    // Guards against the small remainder of a response waiting in the process until a third of the send
+    // buffer is free.
+    assert_slow_readers_receive_everything(Restart::Hot, &RESPONSE_BYTES_AROUND_A_SEND_BUFFER);
 }
 
 #[test]
 fn a_slow_reader_gets_its_complete_response_although_a_planned_restart_ends_in_a_kill() {
-    // Guards against the same where no successor shares the listener.
-    assert_slow_readers_get_all(Restart::Planned, &SIZES_ABOUT_A_FULL_SEND_BUFFER);
+    // Guards against the same fault while no successor shares the listener.
+    assert_slow_readers_receive_everything(Restart::Planned, &RESPONSE_BYTES_AROUND_A_SEND_BUFFER);
 }
 
 #[test]
 fn several_slow_readers_get_their_complete_responses_although_a_hot_restart_ends_in_a_kill() {
-    // Guards against responses beyond the default limit of a send buffer, and against a remedy for one client only.
-    assert_slow_readers_get_all(Restart::Hot, &[RESPONSE_BYTES_BEYOND_A_SEND_BUFFER; 6]);
+    // Guards against truncating responses that exceed the default limit of a send buffer, and against
+    // completing the response of only one client.
+    assert_slow_readers_receive_everything(Restart::Hot, &[RESPONSE_BYTES_BEYOND_A_SEND_BUFFER; 6]);
 }
 
 #[test]
 fn several_slow_readers_get_their_complete_responses_although_a_planned_restart_ends_in_a_kill() {
-    // Guards against the same where no successor shares the listener.
-    assert_slow_readers_get_all(Restart::Planned, &[RESPONSE_BYTES_BEYOND_A_SEND_BUFFER; 6]);
+    // Guards against the same fault while no successor shares the listener.
+    assert_slow_readers_receive_everything(Restart::Planned, &[RESPONSE_BYTES_BEYOND_A_SEND_BUFFER; 6]);
 }
 
-/// Completes the head of a small request [`LATEST_HEAD`] after SIGTERM. Returns the response, or None if the machine
-/// was too busy to send it then.
-fn play_late_head(restart: Restart) -> Option<Option<Message>> {
+/// Completes the head of a small request [`LATEST_HEAD`] after SIGTERM. Returns the response, or None if the
+/// machine was too busy to send the end of the head in time.
+fn try_late_head(restart: Restart) -> Option<Option<Message>> {
     let host = Host::serving("ok");
     let shutdown = Shutdown::prepare(restart, host.address);
     let mut client = shutdown.connected_clients(1).remove(0);
@@ -105,26 +111,28 @@
 }
 
 fn assert_late_head_is_served(restart: Restart) {
-    let response =
-        (0..MAX_LATE_PLAYS).find_map(|_| play_late_head(restart)).expect("a machine that is not busy");
+    let response = (0..MAX_LATE_HEAD_ATTEMPTS)
+        .find_map(|_| try_late_head(restart))
+        .expect("a head sent in time within the attempts");
     assert_eq!(response.expect("a response").status(), 200, "{restart:?}");
 }
 
 #[test]
 fn a_small_request_whose_head_is_complete_in_time_is_served_in_a_hot_restart() {
-    // Guards against closing on requests that came within the 0.7 s after SIGTERM in which they count as taken.
+    // Guards against closing connections of requests that arrive within 0.7 s after SIGTERM, which must be
+    // served.
     assert_late_head_is_served(Restart::Hot);
 }
 
 #[test]
 fn a_small_request_whose_head_is_complete_in_time_is_served_in_a_planned_restart() {
-    // Guards against the same where no successor shares the listener.
+    // Guards against the same fault while no successor shares the listener.
     assert_late_head_is_served(Restart::Planned);
 }
 
 #[test]
 fn a_second_sigterm_changes_nothing() {
-    // Guards against open requests being dropped, or the process ending by the signal, when SIGTERM is sent again.
+    // Guards against dropping open requests, or terminating the process, when SIGTERM is sent again.
     for restart in [Restart::Hot, Restart::Planned] {
         let (endpoint, arrivals) = gated_endpoint();
         let mut shutdown = Shutdown::prepare(restart, endpoint);
@@ -134,16 +142,19 @@
         open.write(&request_head("unsafe?framing=length&size=100000", "900m", "Content-Length: 0\r\n"));
         let gate = arrivals.recv_timeout(LONG).expect("the request at the endpoint");
         shutdown.terminate();
-        assert!(clients[0].answer().is_none(), "an idle connection closes, as the shutdown has begun");
+        assert!(clients[0].answer().is_none(), "the shutdown should close an idle connection");
         shutdown.terminate();
         drop(gate);
         let head = head(&mut open.stream).expect("a response");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-        assert!(body(&head, &mut open.stream).as_deref() == Some(response_body(100_000)), "the whole body");
+        assert!(
+            body(&head, &mut open.stream).as_deref() == Some(response_body(100_000)),
+            "the body should be complete"
+        );
         drop(open);
-        assert!(shutdown.proxy.ended(), "it exits 0");
+        assert!(shutdown.proxy.ended(), "the process should exit with status 0");
         if let Some(successor) = successor {
-            assert_eq!(successor.call("safe", "900m").status(), 200, "the successor serves on");
+            assert_eq!(successor.call("safe", "900m").status(), 200, "the successor should serve requests");
         }
     }
 }
