--- a/crates/cli/tests/shutdown_report.rs
+++ b/crates/cli/tests/shutdown_report.rs
@@ -1,4 +1,4 @@
-//! What a process in graceful shutdown reports: its log lines, and the object of the metrics.
+//! What a process reports during graceful shutdown: its log lines and the `shutdown` object of the metrics.
 
 mod peers;
 
@@ -11,12 +11,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// More than the system's buffers on both sides of the proxy hold.
+/// More than the socket buffers on both sides of the proxy hold.
 const LARGE_BODY_BYTES: usize = 24 << 20;
 const UPLOAD_BYTES: usize = 1 << 20;
 const UPLOAD_CHUNK_BYTES: usize = UPLOAD_BYTES / 4;
-/// Identify the request whose response waits for the test, and the one whose response is large.
+/// The ID of the request that the endpoint answers when the test releases it.
 const HELD_ID: &str = "7e1d0001";
+/// The ID of the request with the large response.
 const LARGE_ID: &str = "7e1d0002";
 
 const ALL_OPEN: &str = "connections=3 incomplete_requests=1 awaiting_response=1 writing_response=1";
@@ -25,12 +26,12 @@
     let listen = "127.0.0.1:0".parse().expect("an address");
     let known = [entry("s-1", endpoint.host.address, "up", 0)];
     let text = config(listen, discovery.address, 1_024, &known);
-    // No deadline may end the held request before the test does.
+    // The held request must not reach a deadline before the test releases it.
     let text = text.replace(r#""deadline_us":3000000"#, r#""deadline_us":60000000"#);
     text.replacen('{', r#"{"operator":"127.0.0.1:0","#, 1)
 }
 
-/// An endpoint that answers the held request when the test releases it.
+/// An endpoint that answers the held request only when the test releases it.
 struct Endpoint {
     host: Host,
     held_arrived: Receiver<()>,
@@ -44,7 +45,7 @@
     let host = Host::reading(move |_, request| match request.header("x-request-id") {
         Some(HELD_ID) => {
             let _ = arrived.send(());
-            let _ = released.lock().expect("one request").recv();
+            let _ = released.lock().expect("an unpoisoned lock").recv();
             Reply::Write(answer("200 OK", "", "held"))
         }
         Some(LARGE_ID) => Reply::Write(large.clone()),
@@ -53,7 +54,8 @@
     Endpoint { host, held_arrived, release }
 }
 
-/// The clients of one request of each kind, each known to be at the proxy in that state.
+/// The clients of three open requests: one awaits its response, the response of one is being written, and one
+/// is incomplete.
 struct OpenRequests {
     held: Client,
     large: Client,
@@ -84,7 +86,7 @@
         self.upload.write(&"u".repeat(UPLOAD_CHUNK_BYTES));
     }
 
-    /// Sends the 3 chunks that are left.
+    /// Sends the remaining 3 chunks.
     fn finish_upload(&mut self) {
         for _ in 0..3 {
             self.upload_chunk();
@@ -93,14 +95,14 @@
     }
 
     fn finish_held(&mut self, endpoint: &Endpoint) {
-        endpoint.release.send(()).expect("the endpoint waits");
+        endpoint.release.send(()).expect("a waiting endpoint");
         assert_eq!(self.held.answer().expect("a response").status(), 200);
     }
 
     fn finish_large(&mut self) {
         while read_line(&mut self.large) != "\r\n" {}
         let mut body = vec![0; LARGE_BODY_BYTES];
-        self.large.stream.read_exact(&mut body).expect("the whole body");
+        self.large.stream.read_exact(&mut body).expect("the complete body");
     }
 }
 
@@ -110,9 +112,10 @@
     line
 }
 
-/// Waits until these are open: connections, incomplete requests, awaited responses, responses being written.
-fn await_open(admin: SocketAddr, expected: [u64; 4]) {
-    let asked = Instant::now();
+/// Waits until the metrics report these counts of open connections, incomplete requests, awaited responses
+/// and responses being written.
+fn wait_for_open_counts(admin: SocketAddr, expected: [u64; 4]) {
+    let started = Instant::now();
     loop {
         let metrics = metrics(admin);
         let keys = ["connections", "incomplete_requests", "awaiting_response", "writing_response"];
@@ -120,12 +123,12 @@
         if open == expected {
             return;
         }
-        assert!(asked.elapsed() < LONG, "{open:?} are open, not {expected:?}");
+        assert!(started.elapsed() < LONG, "open requests: {open:?}, expected {expected:?}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// The rest of the log of a process that has ended.
+/// The unread part of the log of a process that has ended.
 fn remaining_log(proxy: &mut Proxy) -> String {
     let mut text = String::new();
     proxy.log.read_to_string(&mut text).expect("text");
@@ -133,12 +136,12 @@
 }
 
 #[test]
-fn log_and_metrics_count_what_is_open_in_graceful_shutdown() {
+fn log_and_metrics_count_open_requests_in_graceful_shutdown() {
     let (discovery, endpoint) = (Discovery::start(), endpoint());
     let mut proxy = Proxy::with(&config_with_admin_address(&discovery, &endpoint));
     let admin = proxy.operator();
     let mut open = OpenRequests::begin(&proxy, &endpoint);
-    assert_eq!(metrics(admin).get("shutdown"), None, "it has not begun");
+    assert_eq!(metrics(admin).get("shutdown"), None, "no shutdown has begun");
     let terminated = Instant::now();
     proxy.terminate();
     proxy.log_tells("graceful shutdown began", &format!("shares_listener=false {ALL_OPEN}"));
@@ -152,29 +155,30 @@
     assert_eq!(shutdown, expected);
     let table =
         Command::new(env!("CARGO_BIN_EXE_oakport")).args(["ctl", &admin.to_string(), "dump"]).output();
-    let table = String::from_utf8(table.expect("it runs").stdout).expect("text");
-    let cells = |row: &str| table.lines().find_map(|line| line.trim().strip_prefix(row)).map(str::trim);
-    assert_eq!(cells("client connections"), Some("3"), "{table}");
+    let table = String::from_utf8(table.expect("the output of oakport ctl").stdout).expect("text");
+    let value = |row: &str| table.lines().find_map(|line| line.trim().strip_prefix(row)).map(str::trim);
+    assert_eq!(value("client connections"), Some("3"), "{table}");
     for row in ["incomplete requests", "awaiting response", "writing response"] {
-        assert_eq!(cells(row), Some("1"), "{table}");
+        assert_eq!(value(row), Some("1"), "{table}");
     }
     proxy.log_tells("graceful shutdown in progress", ALL_OPEN);
     open.finish_upload();
-    await_open(admin, [2, 0, 1, 1]);
+    wait_for_open_counts(admin, [2, 0, 1, 1]);
     open.finish_held(&endpoint);
-    await_open(admin, [1, 0, 0, 1]);
+    wait_for_open_counts(admin, [1, 0, 0, 1]);
     open.finish_large();
     drop(open);
     assert!(proxy.ended());
     let log = remaining_log(&mut proxy);
     let last = log.lines().last().expect("a line");
-    let duration_ms = last.split_once("graceful shutdown ended duration_ms=").expect("the end").1;
+    let duration_ms =
+        last.split_once("graceful shutdown ended duration_ms=").expect("the last line of the shutdown").1;
     let duration = Duration::from_millis(duration_ms.trim().parse().expect("a number"));
     assert!(duration >= Duration::from_millis(500) && duration <= terminated.elapsed(), "{duration:?}");
 }
 
 #[test]
-fn the_last_log_line_of_a_killed_process_tells_what_was_open() {
+fn the_last_log_line_of_a_killed_process_reports_its_open_requests() {
     let (discovery, endpoint) = (Discovery::start(), endpoint());
     let platform = Platform::new();
     let mut proxy = platform.start(&config_with_admin_address(&discovery, &endpoint));
@@ -186,8 +190,8 @@
     proxy.log_tells("graceful shutdown began", &format!("shares_listener=true {open}"));
     proxy.log_tells("graceful shutdown in progress", open);
     proxy.signal("-KILL");
-    assert!(!proxy.ended(), "it was killed");
+    assert!(!proxy.ended(), "a killed process should not exit with status 0");
     let log = remaining_log(&mut proxy);
-    // None but further lines of the same kind may have come between the line and the kill.
+    // Only more progress lines may have been logged between that line and the kill.
     assert!(log.lines().all(|line| line.contains("in progress") && line.contains(open)), "{log}");
 }
