--- a/crates/cli/tests/endpoint_resets.rs
+++ b/crates/cli/tests/endpoint_resets.rs
@@ -17,7 +17,7 @@
 
 /// More than the socket buffers of the endpoint and the client hold together.
 const RESPONSE_BYTES: usize = 12 << 20;
-/// The number of responses of [`RESPONSE_BYTES`] that need far more memory together than the limit of bodies.
+/// A number of responses of [`RESPONSE_BYTES`] that together exceed the memory limit of bodies by far.
 const MANY_RESPONSES: usize = 12;
 /// Delay until an endpoint resets a connection: a proxy that reads ahead has received the whole response long
 /// before.
@@ -115,8 +115,8 @@
 const UNANNOUNCED_RESET_AFTER: Duration = Duration::from_millis(500);
 /// The send buffer of an endpoint that resets connections unannounced; the kernel doubles the value.
 const SMALL_SEND_BUFFER_BYTES: usize = 192 * 1_024;
-/// Lengths of responses, spread evenly over the bytes that a socket accepts between two writes for a slow
-/// client: the socket becomes writable when a third of its send buffer is free.
+/// Lengths of responses whose ends are spread over the range between two writes to the socket of a slow
+/// client, which becomes writable when a third of its send buffer is free.
 fn lengths_between_two_writes() -> impl Iterator<Item = usize> {
     (6_000_000..7_440_000).step_by(120_000)
 }
--- a/crates/cli/tests/response_handover.rs
+++ b/crates/cli/tests/response_handover.rs
@@ -17,10 +17,10 @@
 /// The socket on which a successor accepts responses.
 const HANDOVER_SOCKET: &str = "oakport-responses.sock";
 /// Duration of a response that lasts until well after the kill, which comes 1.7 s after SIGTERM.
-const ENDS_AFTER_KILL: Duration = Duration::from_millis(3_000);
+const SEND_TIME_UNTIL_AFTER_KILL: Duration = Duration::from_millis(3_000);
 /// Duration of a response that ends before the kill, but after the handover begins, which is 0.7 s before the
 /// kill.
-const ENDS_BEFORE_KILL: Duration = Duration::from_millis(1_450);
+const SEND_TIME_UNTIL_BEFORE_KILL: Duration = Duration::from_millis(1_450);
 const RESPONSE_BYTES: usize = 600_000;
 
 /// Starts an endpoint that sends the requested response evenly over the requested time. Other requests are
@@ -109,7 +109,7 @@
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(count);
     let successor = shutdown.start_successor().expect("a successor");
-    let heads = begin_responses(&mut clients, "length", size, ENDS_AFTER_KILL);
+    let heads = begin_responses(&mut clients, "length", size, SEND_TIME_UNTIL_AFTER_KILL);
     let received = read_across_kill(&mut shutdown, clients, &heads, size, is_slow);
     assert_eq!(received, vec![size; count]);
     assert_eq!(successor.call("safe", "900m").status(), 200, "the successor should serve requests");
@@ -185,12 +185,11 @@
 
 #[test]
 fn a_request_behind_a_handed_over_response_is_not_forwarded_and_may_be_retried() {
-    // Guards against forwarding a request that was sent behind the response to an endpoint, where the kill
-    // would lose it.
+    // Guards against forwarding the request behind the response: the kill would lose it at the endpoint.
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(1);
     let _successor = shutdown.start_successor();
-    let heads = begin_responses(&mut clients, "length", RESPONSE_BYTES, ENDS_AFTER_KILL);
+    let heads = begin_responses(&mut clients, "length", RESPONSE_BYTES, SEND_TIME_UNTIL_AFTER_KILL);
     clients[0].write(&request_head("unsafe?follows=1", "900m", "Content-Length: 0\r\n"));
     // The connection ends after the response.
     let received = read_across_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
@@ -259,7 +258,7 @@
     let mut clients = shutdown.connected_clients(2);
     // With megabytes of unsent data in the process, the handover exceeds the buffers of the handover socket.
     let size = RESPONSE_BYTES_BEYOND_A_SEND_BUFFER;
-    let heads = begin_responses(&mut clients, "length", size, ENDS_BEFORE_KILL);
+    let heads = begin_responses(&mut clients, "length", size, SEND_TIME_UNTIL_BEFORE_KILL);
     let received = read_across_kill(&mut shutdown, clients, &heads, size, false);
     assert_eq!(received, [size; 2], "{successor:?}");
 }
@@ -288,7 +287,7 @@
     let mut shutdown = Shutdown::prepare(Restart::Hot, paced_endpoint());
     let mut clients = shutdown.connected_clients(2);
     let _successor = shutdown.start_successor();
-    let heads = begin_responses(&mut clients, "chunked", RESPONSE_BYTES, ENDS_BEFORE_KILL);
+    let heads = begin_responses(&mut clients, "chunked", RESPONSE_BYTES, SEND_TIME_UNTIL_BEFORE_KILL);
     let received = read_across_kill(&mut shutdown, clients, &heads, RESPONSE_BYTES, false);
     assert_eq!(received, [RESPONSE_BYTES; 2]);
 }
--- a/crates/cli/tests/shutdown.rs
+++ b/crates/cli/tests/shutdown.rs
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sizes of responses, some of which exceed by a little what the kernel buffers for a slow reader: about 4
-/// MB, the usual limit of a send buffer (`net.ipv4.tcp_wmem`).
+/// Sizes of responses, some of which are slightly larger than what the kernel buffers for a slow reader:
+/// about 4 MB, the usual limit of a send buffer (`net.ipv4.tcp_wmem`).
 const RESPONSE_BYTES_AROUND_A_SEND_BUFFER: [usize; 8] =
     [3_600_000, 3_700_000, 3_800_000, 3_900_000, 4_000_000, 4_100_000, 4_200_000, 4_300_000];
 /// Delay from SIGTERM to the end of a request head that must still be served.
@@ -52,8 +52,8 @@
     }
 }
 
-/// The minimum number of bytes missing from a response with a body of this size. Panics if a complete body
-/// differs from what the endpoint sent.
+/// The minimum number of bytes missing from a response with a body of this size. Panics if its status is
+/// not 200 or a complete body differs from what the endpoint sent.
 fn missing_bytes(response: &[u8], body_bytes: usize) -> usize {
     let mut rest = response;
     let head = head(&mut rest).unwrap_or_default();
--- a/crates/cli/tests/upload_shutdown.rs
+++ b/crates/cli/tests/upload_shutdown.rs
@@ -20,15 +20,15 @@
 /// Bytes of an upload that are sent before SIGTERM: enough that the proxy streams it to the endpoint, which
 /// receives the beginning before SIGTERM.
 const UPLOAD_BYTES_BEFORE_SHUTDOWN: usize = 80_000;
-/// Time from SIGTERM to the completion of an upload, and its service time: completed from well before the
-/// kill to just before it, with a short service time.
+/// Pairs of the time from SIGTERM to the completion of an upload and its service time: completed from well
+/// before the kill to just before it, with a short service time.
 const UPLOADS_WITH_LARGE_RESPONSES_MS: [(u64, u64); 4] =
     [(1_000, 100), (1_200, 100), (1_400, 100), (1_600, 100)];
-/// As above: served within the client timeout, but after the kill.
+/// Pairs of completion and service time of uploads served within their client timeout, but after the kill.
 const UPLOADS_SERVED_AFTER_THE_KILL_MS: [(u64, u64); 2] = [(900, 850), (1_300, 600)];
 const SMALL_RESPONSE_BYTES: usize = 1_000;
-/// Time from SIGTERM to the completion of an upload: early enough that its client timeout of 300 ms ends well
-/// before the kill.
+/// Times from SIGTERM to the completion of an upload: early enough that its client timeout of 300 ms ends
+/// well before the kill.
 const UPLOADS_WITH_A_SHORT_TIMEOUT_MS: [u64; 3] = [800, 950, 1_100];
 /// Duration of a response that ends after the kill if it begins later than 0.7 s after SIGTERM.
 const LONG_SEND_TIME: Duration = Duration::from_millis(1_200);
