--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! When clients first ask, for what, and through which client proxy: the same draws in virtual time and on sockets.
 
-use crate::chance::{self, Part};
-use crate::scenario::{Scenario, What};
+use crate::chance::{self, StreamId};
+use crate::scenario::{Scenario, FaultKind};
 use oakport_core::Micros;
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
@@ -36,7 +36,7 @@
             sum += (scenario.uneven * 2.0 * (fleet.gen::<f64>() * 2.0 - 1.0)).exp();
             sum
         });
-        Arrivals { shares: shares.collect(), random: chance::stream(seed, Part::Arrivals) }
+        Arrivals { shares: shares.collect(), random: chance::stream(seed, StreamId::Arrivals) }
     }
 
     /// Time until the next arrival at so many a second, in microseconds.
@@ -64,10 +64,10 @@
 
     /// All arrivals of a day, in order.
     pub fn whole_day(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-        let mut arrivals = Arrivals::new(scenario, seed, &mut chance::stream(seed, Part::Fleet));
+        let mut arrivals = Arrivals::new(scenario, seed, &mut chance::stream(seed, StreamId::Fleet));
         let (mut at, mut all) = (0, Vec::new());
         loop {
-            let surges = scenario.events.iter().filter(|e| e.what == What::Surge);
+            let surges = scenario.events.iter().filter(|e| e.what == FaultKind::Surge);
             let surge: f64 =
                 surges.filter(|e| (e.at..e.at + e.lasts).contains(&at)).map(|e| e.factor).product();
             at += arrivals.gap(scenario.rate * surge);
--- a/crates/simulator/src/chance.rs
+++ b/crates/simulator/src/chance.rs
@@ -8,7 +8,7 @@
 
 /// Parts of the world that draw.
 #[derive(Clone, Copy, Debug)]
-pub enum Part {
+pub enum StreamId {
     /// When requests come, and which.
     Arrivals,
     /// Which servers a fault meets.
@@ -24,14 +24,14 @@
 }
 
 /// A stream of its own for a part of the day of this seed.
-pub fn stream(seed: u64, part: Part) -> Pcg64 {
+pub fn stream(seed: u64, part: StreamId) -> Pcg64 {
     let number = match part {
-        Part::Arrivals => 1,
-        Part::Faults => 2,
-        Part::Luck => 3,
-        Part::Clients => 4,
-        Part::Fleet => 5,
-        Part::Policy(proxy) => 1_000 + proxy as u128,
+        StreamId::Arrivals => 1,
+        StreamId::Faults => 2,
+        StreamId::Luck => 3,
+        StreamId::Clients => 4,
+        StreamId::Fleet => 5,
+        StreamId::Policy(proxy) => 1_000 + proxy as u128,
     };
     // Streams of one state differ by their increments; the state is mixed so that seeds that are near differ too.
     let state =
@@ -45,19 +45,19 @@
 }
 
 /// A seed for a policy of its own.
-pub fn seed_of(seed: u64, proxy: usize) -> u64 {
-    stream(seed, Part::Policy(proxy)).gen()
+pub fn policy_seed(seed: u64, proxy: usize) -> u64 {
+    stream(seed, StreamId::Policy(proxy)).gen()
 }
 
 /// A generator for a policy of its own.
-pub fn policy(seed: u64) -> Pcg64 {
+pub fn policy_rng(seed: u64) -> Pcg64 {
     Pcg64::seed_from_u64(seed)
 }
 
 /// How the work of requests is spread about its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Spread {
+pub enum WorkDistribution {
     /// All alike.
     Fixed,
     /// Mostly short, some long.
@@ -67,14 +67,14 @@
     Lognormal,
 }
 
-impl Spread {
+impl WorkDistribution {
     /// A draw about a mean, in microseconds.
     pub fn draw(self, mean: f64, random: &mut impl Rng) -> f64 {
         const SIGMA: f64 = 0.7;
         match self {
-            Spread::Fixed => mean,
-            Spread::Exponential => Exp::new(1.0 / mean.max(1.0)).map_or(mean, |d| d.sample(random)),
-            Spread::Lognormal => {
+            WorkDistribution::Fixed => mean,
+            WorkDistribution::Exponential => Exp::new(1.0 / mean.max(1.0)).map_or(mean, |d| d.sample(random)),
+            WorkDistribution::Lognormal => {
                 let mu = mean.max(1.0).ln() - SIGMA * SIGMA / 2.0;
                 LogNormal::new(mu, SIGMA).map_or(mean, |d| d.sample(random))
             }
--- a/crates/simulator/src/judge.rs
+++ b/crates/simulator/src/judge.rs
@@ -1,16 +1,16 @@
 //! What a day is worth, and whether the rules were kept (BRIEF, "How we count"; WIRE, "Invariants").
 
-use crate::scenario::{Again, Scenario, What};
+use crate::scenario::{IdempotencySpec, Scenario, FaultKind};
 use hdrhistogram::Histogram;
 use oakport_core::{CallId, EndpointId, Micros, Outcome};
 use serde::Serialize;
 
 /// Seconds of the worst stretch.
-const STRETCH: usize = 10;
+const WORST_WINDOW_S: usize = 10;
 /// Share of the earlier service that counts as recovered.
-const RECOVERED: f64 = 0.95;
+const RECOVERED_RATIO: f64 = 0.95;
 /// Violations that are kept with their story; all are counted.
-const KEPT: usize = 20;
+const MAX_STORED_VIOLATIONS: usize = 20;
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -94,7 +94,7 @@
 
 /// How a client's request ended, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served, so long after it was first asked.
     Served(Micros),
     /// The last try was refused.
@@ -107,7 +107,7 @@
 pub struct Judge {
     aims: Vec<Micros>,
     worths: Vec<f64>,
-    again: Vec<Again>,
+    again: Vec<IdempotencySpec>,
     seconds: Vec<Window>,
     by_class: Vec<(f64, f64)>,
     latency: Histogram<u64>,
@@ -165,7 +165,7 @@
         server: Option<EndpointId>,
     ) {
         self.broken += 1;
-        if self.violations.len() < KEPT {
+        if self.violations.len() < MAX_STORED_VIOLATIONS {
             let (call, server) = (call.map(|c| c.0), server.map(|s| s.0));
             self.violations.push(Violation { at, proxy, call, server, rule });
         }
@@ -173,7 +173,7 @@
 
     /// May a call of this class be sent again, or refused, after attempts with these outcomes?
     pub fn harmless(&self, class: usize, outcomes: impl Iterator<Item = Option<Outcome>>) -> bool {
-        self.again[class] == Again::Free
+        self.again[class] == IdempotencySpec::Free
             || outcomes.into_iter().all(|o| o.is_some_and(Outcome::proves_not_started))
     }
 
@@ -189,12 +189,12 @@
     }
 
     /// A client's request, first asked at `at`, has ended for good at `now`.
-    pub fn ended(&mut self, class: usize, at: Micros, now: Micros, end: End) {
+    pub fn ended(&mut self, class: usize, at: Micros, now: Micros, end: RequestOutcome) {
         let worth = self.worths[class];
         let last = self.seconds.len() - 1;
         let second = &mut self.seconds[(at / 1_000_000).min(last as Micros) as usize];
         match end {
-            End::Served(took) => {
+            RequestOutcome::Served(took) => {
                 // The histogram takes all that a clock of this world tells.
                 self.latency.saturating_record(took.max(1));
                 if took <= self.aims[class] {
@@ -204,8 +204,8 @@
                 }
                 second.late += 1;
             }
-            End::Refused => second.refused += 1,
-            End::Failed => second.failed += 1,
+            RequestOutcome::Refused => second.refused += 1,
+            RequestOutcome::Failed => second.failed += 1,
         }
         if now.saturating_sub(at) > self.aims[class] {
             self.late_fail += worth;
@@ -223,18 +223,18 @@
                 1.0
             }
         };
-        let surges = || scenario.events.iter().filter(|e| e.what == What::Surge);
+        let surges = || scenario.events.iter().filter(|e| e.what == FaultKind::Surge);
         let second = |at: Micros| ((at / 1_000_000) as usize).min(self.seconds.len());
         let recover = surges().map(|e| e.at + e.lasts).max().and_then(|end| {
             let begin = surges().map(|e| second(e.at)).min().unwrap_or(0);
-            let usual = share(&self.seconds[..begin]) * RECOVERED;
+            let usual = share(&self.seconds[..begin]) * RECOVERED_RATIO;
             let (from, asked) = (second(end), second(scenario.length));
             let late = self.seconds[from..asked].windows(3).position(|three| share(three) >= usual)?;
             Some(late as Micros * 1_000_000)
         });
         let whole = share(&self.seconds);
         // From the first second on, as far as a stretch is whole.
-        let stretches = self.seconds.windows(STRETCH.min(self.seconds.len()));
+        let stretches = self.seconds.windows(WORST_WINDOW_S.min(self.seconds.len()));
         let worst_window = stretches.map(share).fold(1.0, f64::min);
         let class_share = |&(asked, served): &(f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let worst_class = self.by_class.iter().map(class_share).fold(1.0, f64::min);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -14,6 +14,6 @@
 
 pub use arrivals::{Arrival, Arrivals};
 pub use judge::{Verdict, Violation, Window};
-pub use policy::{Kind, Policy, Sight, Truth, KINDS};
-pub use scenario::{BadScenario, Scenario};
-pub use world::{play, play_with, Make};
+pub use policy::{PolicyKind, Policy, Visibility, ServerState, POLICY_KINDS};
+pub use scenario::{ScenarioError, Scenario};
+pub use world::{simulate, simulate_with, MakePolicy};
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -12,7 +12,7 @@
 
 /// What a server truly is at a moment: only the ceiling's policies see it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Truth {
+pub struct ServerState {
     /// Work in hand, in microseconds of one core.
     pub backlog: f64,
     /// Cores' worth of work that it can do.
@@ -26,12 +26,12 @@
 /// Decides for one client proxy.
 pub trait Policy {
     /// Takes one event and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>);
 }
 
 /// How much of the truth a policy is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
+pub enum Visibility {
     /// Nothing: as in service.
     None,
     /// The state of a second ago at the oldest.
@@ -42,7 +42,7 @@
 
 /// The policies by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum PolicyKind {
     /// The module that serves.
     Oakport,
     /// Any server.
@@ -60,58 +60,58 @@
 }
 
 /// All of them, in the order of reports.
-pub const KINDS: [Kind; 7] = [
-    Kind::Oakport,
-    Kind::Random,
-    Kind::RoundRobin,
-    Kind::Least,
-    Kind::TwoChoices,
-    Kind::CeilingLate,
-    Kind::Ceiling,
+pub const POLICY_KINDS: [PolicyKind; 7] = [
+    PolicyKind::Oakport,
+    PolicyKind::Random,
+    PolicyKind::RoundRobin,
+    PolicyKind::Least,
+    PolicyKind::TwoChoices,
+    PolicyKind::CeilingLate,
+    PolicyKind::Ceiling,
 ];
 
-impl Kind {
+impl PolicyKind {
     /// As the command line has it.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Oakport => "oakport",
-            Kind::Random => "random",
-            Kind::RoundRobin => "round-robin",
-            Kind::Least => "least",
-            Kind::TwoChoices => "two-choices",
-            Kind::Ceiling => "ceiling",
-            Kind::CeilingLate => "ceiling-late",
+            PolicyKind::Oakport => "oakport",
+            PolicyKind::Random => "random",
+            PolicyKind::RoundRobin => "round-robin",
+            PolicyKind::Least => "least",
+            PolicyKind::TwoChoices => "two-choices",
+            PolicyKind::Ceiling => "ceiling",
+            PolicyKind::CeilingLate => "ceiling-late",
         }
     }
 
     /// What it is shown.
-    pub fn sight(self) -> Sight {
+    pub fn sight(self) -> Visibility {
         match self {
-            Kind::Ceiling => Sight::Now,
-            Kind::CeilingLate => Sight::Late,
-            _ => Sight::None,
+            PolicyKind::Ceiling => Visibility::Now,
+            PolicyKind::CeilingLate => Visibility::Late,
+            _ => Visibility::None,
         }
     }
 
     /// One for a client proxy.
     pub fn make(self, seed: u64, settings: &Settings) -> Box<dyn Policy> {
         match self {
-            Kind::Oakport => Box::new(Module(Balancer::new(seed, settings.clone()))),
-            kind => Box::new(Plain::new(kind, seed, settings.clone())),
+            PolicyKind::Oakport => Box::new(OakportPolicy(Balancer::new(seed, settings.clone()))),
+            kind => Box::new(BaselinePolicy::new(kind, seed, settings.clone())),
         }
     }
 }
 
-struct Module(Balancer);
+struct OakportPolicy(Balancer);
 
-impl Policy for Module {
-    fn handle(&mut self, now: Micros, event: Event, _: &[Truth], actions: &mut Vec<Action>) {
+impl Policy for OakportPolicy {
+    fn handle(&mut self, now: Micros, event: Event, _: &[ServerState], actions: &mut Vec<Action>) {
         self.0.handle(now, event, actions);
     }
 }
 
 #[derive(Clone, Copy)]
-struct Known {
+struct KnownServer {
     id: EndpointId,
     in_flight: u32,
     ready: bool,
@@ -125,57 +125,57 @@
 }
 
 /// A policy that picks and goes again where that is allowed, and does nothing else.
-struct Plain {
-    kind: Kind,
+struct BaselinePolicy {
+    kind: PolicyKind,
     settings: Settings,
     random: Pcg64,
-    servers: BTreeMap<EndpointId, Known>,
+    servers: BTreeMap<EndpointId, KnownServer>,
     calls: HashMap<CallId, Call>,
     next: usize,
 }
 
-impl Plain {
-    fn new(kind: Kind, seed: u64, settings: Settings) -> Self {
+impl BaselinePolicy {
+    fn new(kind: PolicyKind, seed: u64, settings: Settings) -> Self {
         let (servers, calls) = (BTreeMap::new(), HashMap::new());
-        Plain { kind, settings, random: chance::policy(seed), servers, calls, next: 0 }
+        BaselinePolicy { kind, settings, random: chance::policy_rng(seed), servers, calls, next: 0 }
     }
 
     /// Where a call goes. None: nowhere.
-    fn pick(&mut self, call: CallId, truth: &[Truth]) -> Option<EndpointId> {
+    fn pick(&mut self, call: CallId, truth: &[ServerState]) -> Option<EndpointId> {
         /// Work for which the ceiling goes to another zone, in microseconds.
         const AWAY: f64 = 15_000.0;
         let tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
-        let ready: Vec<Known> = self.servers.values().copied().filter(|s| s.ready).collect();
-        let fresh: Vec<Known> = ready.iter().copied().filter(|s| !tried(s.id)).collect();
+        let ready: Vec<KnownServer> = self.servers.values().copied().filter(|s| s.ready).collect();
+        let fresh: Vec<KnownServer> = ready.iter().copied().filter(|s| !tried(s.id)).collect();
         let among = if fresh.is_empty() { ready } else { fresh };
         let any = |random: &mut Pcg64| among.get(random.gen_range(0..among.len().max(1))).copied();
         let found = match self.kind {
-            Kind::RoundRobin => {
+            PolicyKind::RoundRobin => {
                 self.next += 1;
                 among.get(self.next % among.len().max(1)).copied()
             }
-            Kind::Least => {
+            PolicyKind::Least => {
                 let least = among.iter().map(|s| s.in_flight).min()?;
-                let least: Vec<&Known> = among.iter().filter(|s| s.in_flight == least).collect();
+                let least: Vec<&KnownServer> = among.iter().filter(|s| s.in_flight == least).collect();
                 Some(*least[self.random.gen_range(0..least.len())])
             }
-            Kind::TwoChoices => {
+            PolicyKind::TwoChoices => {
                 let (one, two) = (any(&mut self.random)?, any(&mut self.random)?);
                 Some(if two.in_flight < one.in_flight { two } else { one })
             }
-            Kind::Ceiling | Kind::CeilingLate => {
+            PolicyKind::Ceiling | PolicyKind::CeilingLate => {
                 // By the time to an answer, and where that is alike, in the own zone.
-                let load = |s: &Known| {
+                let load = |s: &KnownServer| {
                     let server = truth.get(s.id.0 as usize).filter(|t| t.serves && t.capacity > 0.0)?;
                     let away = if server.zone == self.settings.zone { 0.0 } else { AWAY };
                     // Of what is a second old only the lasting part is of use.
-                    let now = self.kind == Kind::Ceiling;
+                    let now = self.kind == PolicyKind::Ceiling;
                     let load = if now { server.backlog } else { (f64::from(s.in_flight) + 1.0) * AWAY };
                     Some((load + away) / server.capacity)
                 };
-                let mut loads: Vec<(f64, &Known)> =
+                let mut loads: Vec<(f64, &KnownServer)> =
                     among.iter().filter_map(|s| Some((load(s)?, s))).collect();
-                if self.kind == Kind::CeilingLate {
+                if self.kind == PolicyKind::CeilingLate {
                     // All proxies see the same state: the best of all would be everybody's. Of two it is not.
                     loads.shuffle(&mut self.random);
                     loads.truncate(2);
@@ -194,7 +194,7 @@
         found.map(|s| s.id)
     }
 
-    fn send(&mut self, now: Micros, id: CallId, truth: &[Truth], actions: &mut Vec<Action>) {
+    fn send(&mut self, now: Micros, id: CallId, truth: &[ServerState], actions: &mut Vec<Action>) {
         let Some(server) = self.pick(id, truth) else { return self.give_up(id, actions) };
         if let Some(known) = self.servers.get_mut(&server) {
             known.in_flight += 1;
@@ -219,15 +219,15 @@
     }
 }
 
-impl Policy for Plain {
-    fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>) {
+impl Policy for BaselinePolicy {
+    fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, endpoints: entries } => {
                 if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                     self.servers.values_mut().for_each(|s| s.ready = false);
                 }
                 for entry in entries {
-                    let known = Known { id: entry.id, in_flight: 0, ready: false };
+                    let known = KnownServer { id: entry.id, in_flight: 0, ready: false };
                     self.servers.entry(entry.id).or_insert(known).ready = entry.state == EndpointState::Ready;
                 }
                 self.servers.retain(|_, s| s.ready || s.in_flight > 0);
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -6,7 +6,7 @@
 
 /// Things that are to happen at a moment.
 #[derive(Debug)]
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Item<E>>>,
     serial: u64,
     now: Micros,
@@ -45,10 +45,10 @@
     }
 }
 
-impl<E> Queue<E> {
+impl<E> EventQueue<E> {
     /// Empty, at this moment.
     pub fn new(now: Micros) -> Self {
-        Queue { heap: BinaryHeap::new(), serial: 0, now }
+        EventQueue { heap: BinaryHeap::new(), serial: 0, now }
     }
 
     /// The moment of what was taken last.
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A day as it is written: TOML, times with their units, and a time line of what goes wrong.
 
-use crate::chance::Spread;
+use crate::chance::WorkDistribution;
 use oakport_core::Micros;
 use serde::{Deserialize, Deserializer};
 
@@ -11,7 +11,7 @@
     /// What the day is for, for people.
     pub purpose: String,
     /// How long requests come.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub length: Micros,
     /// Client proxies.
     pub balancers: usize,
@@ -23,7 +23,7 @@
     #[serde(default)]
     pub uneven: f64,
     /// Zones over which servers and client proxies are spread.
-    #[serde(default = "one_zone")]
+    #[serde(default = "default_zones")]
     pub zones: Vec<String>,
     /// Client proxies know of each other; on sockets only.
     #[serde(default)]
@@ -48,16 +48,16 @@
     pub goal: GoalSpec,
     /// What goes wrong, and when.
     #[serde(default, rename = "event")]
-    pub events: Vec<Trouble>,
+    pub events: Vec<FaultSpec>,
     /// What the day's figures must be on sockets.
     #[serde(default, rename = "expect")]
-    pub expects: Vec<Expect>,
+    pub expects: Vec<Expectation>,
 }
 
 /// What a figure of the day must be.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
+pub struct Expectation {
     /// Its dotted name.
     pub figure: String,
     /// No less than this.
@@ -68,7 +68,7 @@
     pub most: Option<f64>,
 }
 
-fn one_zone() -> Vec<String> {
+fn default_zones() -> Vec<String> {
     vec!["a".to_owned()]
 }
 
@@ -85,44 +85,44 @@
     /// Share of its capacity that a fresh server has.
     pub cold_share: f64,
     /// And is warm after this.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub cold_time: Micros,
     /// Sent more than this multiple of what it can then do ...
     pub fall_multiple: f64,
     /// ... over this span, a cold server falls over.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub fall_time: Micros,
     /// Connections that it holds at the most.
     pub connections: usize,
     /// It closes a connection that has been idle for this long.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub idle_close: Micros,
     /// Work that a new connection costs it.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub handshake: Micros,
     /// How it suffers under a crowd, if at all.
-    pub choke: Option<ChokeSpec>,
+    pub choke: Option<CongestionSpec>,
 }
 
 /// A server that has had too many waiting for too long is slower, until it has had little to do for a while (BRIEF,
 /// "Servers").
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChokeSpec {
+pub struct CongestionSpec {
     /// More requests than this wait for each core ...
     pub at: f64,
     /// ... for this span: then it chokes.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub over: Micros,
     /// How many times slower it is then.
     pub slower: f64,
     /// Fewer requests than this are in hand for each core ...
     pub below: f64,
     /// ... for this span: then it is well again.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub rest: Micros,
     /// It is well again after this in any case.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub most: Micros,
 }
 
@@ -149,15 +149,15 @@
 #[serde(default, deny_unknown_fields)]
 pub struct NetworkSpec {
     /// One way within a zone.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub within: Micros,
     /// One way between zones.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub across: Micros,
     /// Share by which each delay differs, up or down.
     pub jitter: f64,
     /// A connection that is not up by then has failed.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub connect_timeout: Micros,
 }
 
@@ -172,13 +172,13 @@
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoverySpec {
     /// News reach each client proxy so long after they are true, give or take half of it.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub delay: Micros,
     /// Latest that requests may go to a server after word that it drains or is gone.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub drain_grace: Micros,
     /// One service of limited room is asked by all, each so often where nothing fails; else lists are pushed.
-    #[serde(default, deserialize_with = "some_span")]
+    #[serde(default, deserialize_with = "optional_duration")]
     pub ask_every: Option<Micros>,
 }
 
@@ -195,12 +195,12 @@
     /// Further tries after the first.
     pub retries: u32,
     /// How long they wait before, give or take half of it.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub wait: Micros,
     /// Whether they wait at least as long as they are told.
     pub heed_retry_after: bool,
     /// The longest advice that they heed.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub retry_after_most: Micros,
     /// Least share of the deadline after which a try is given up.
     pub patience: f64,
@@ -221,7 +221,7 @@
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Again {
+pub enum IdempotencySpec {
     /// It may.
     Free,
     /// Never.
@@ -238,23 +238,23 @@
     /// Its share of the requests, against the other classes'.
     pub share: f64,
     /// Mean work on one core.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub work: Micros,
     /// How work is spread about the mean.
     #[serde(default)]
-    pub spread: Spread,
+    pub spread: WorkDistribution,
     /// An answer by then earns its worth.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub aim: Micros,
     /// How long a client waits over all its tries.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub deadline: Micros,
     /// What an answer in time is worth.
-    #[serde(default = "one")]
+    #[serde(default = "default_priority_weight")]
     pub worth: f64,
     /// Whether it may run again.
     #[serde(default)]
-    pub idempotency: Again,
+    pub idempotency: IdempotencySpec,
     /// Large bodies that a client sends and reads slowly; on sockets only. Else bodies are small.
     #[serde(default)]
     pub transfer: Option<TransferSpec>,
@@ -285,7 +285,7 @@
     pub const MIN_RESPONSE_BYTES: usize = 65_537;
 
     /// What makes no sense although it can be read, for this class of requests.
-    fn odd(&self, idempotency: Again) -> Option<&'static str> {
+    fn odd(&self, idempotency: IdempotencySpec) -> Option<&'static str> {
         let ordered = |[least, most]: [usize; 2]| least <= most;
         match () {
             () if !ordered(self.request_bytes) || !ordered(self.response_bytes) => {
@@ -297,10 +297,10 @@
             () if [self.give_rate, self.write_rate, self.read_rate].contains(&0) => {
                 Some("rates must be above 0")
             }
-            () if idempotency == Again::Free && self.request_bytes[1] > 0 => {
+            () if idempotency == IdempotencySpec::Free && self.request_bytes[1] > 0 => {
                 Some("request_bytes needs idempotency = \"single_shot\", as other requests have no body")
             }
-            () if idempotency != Again::Free && self.pipelined => {
+            () if idempotency != IdempotencySpec::Free && self.pipelined => {
                 Some("pipelined needs idempotency = \"free\": what may not run again is not written ahead")
             }
             () => None,
@@ -308,7 +308,7 @@
     }
 }
 
-fn one() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
@@ -350,23 +350,23 @@
 /// Something that goes wrong for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct FaultSpec {
     /// When it begins.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub at: Micros,
     /// How long it lasts.
-    #[serde(rename = "for", deserialize_with = "span")]
+    #[serde(rename = "for", deserialize_with = "duration")]
     pub lasts: Micros,
     /// What.
-    pub what: What,
+    pub what: FaultKind,
     /// Share of the servers that it meets; of a zone, all.
-    #[serde(default = "tenth")]
+    #[serde(default = "default_share")]
     pub part: f64,
     /// The zone that it meets, by its name; else servers of all zones.
     #[serde(default)]
     pub zone: Option<String>,
     /// How many times slower, or how many times the rate.
-    #[serde(default = "three")]
+    #[serde(default = "default_factor")]
     pub factor: f64,
     /// Servers that it met start again, cold, when it is over.
     #[serde(default)]
@@ -382,7 +382,7 @@
     #[serde(default)]
     pub link: LinkSpec,
     /// An extra response follows so long after the first, or an idle connection is closed so long after a response.
-    #[serde(default, deserialize_with = "span")]
+    #[serde(default, deserialize_with = "duration")]
     pub after: Micros,
     /// The signals of a series, evenly over the time.
     #[serde(default)]
@@ -412,7 +412,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct LinkSpec {
     /// All comes so much later.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     pub delay: Micros,
     /// Share of the datagrams that are lost.
     pub drop: f64,
@@ -428,18 +428,18 @@
     pub refuse: bool,
 }
 
-fn tenth() -> f64 {
+fn default_share() -> f64 {
     0.1
 }
 
-fn three() -> f64 {
+fn default_factor() -> f64 {
     3.0
 }
 
 /// Kinds of trouble (BENCH, "Troubles", and the days of the full fleet).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// Processes die and come back cold.
     Crash,
     /// They run `factor` times slower.
@@ -488,10 +488,10 @@
     ClosesIdle,
 }
 
-impl What {
+impl FaultKind {
     /// It is played on sockets only.
     pub fn on_sockets(self) -> bool {
-        use What::*;
+        use FaultKind::*;
         matches!(
             self,
             Kill | Stall
@@ -513,31 +513,31 @@
 
 /// Why a scenario cannot be played.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BadScenario(pub String);
+pub struct ScenarioError(pub String);
 
-impl std::fmt::Display for BadScenario {
+impl std::fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.0.trim_end())
     }
 }
 
-impl std::error::Error for BadScenario {}
+impl std::error::Error for ScenarioError {}
 
 impl Scenario {
     /// Reads a day.
     ///
     /// # Errors
     /// What is wrong, with its place in the text, or which figure makes no sense.
-    pub fn parse(text: &str) -> Result<Self, BadScenario> {
-        let scenario: Scenario = toml::from_str(text).map_err(|e| BadScenario(e.to_string()))?;
+    pub fn parse(text: &str) -> Result<Self, ScenarioError> {
+        let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError(e.to_string()))?;
         match scenario.odd(text) {
-            Some(odd) => Err(BadScenario(odd)),
+            Some(odd) => Err(ScenarioError(odd)),
             None => Ok(scenario),
         }
     }
 
     /// The first event that virtual time does not play yet, if there is one.
-    pub fn only_on_sockets(&self) -> Option<What> {
+    pub fn only_on_sockets(&self) -> Option<FaultKind> {
         self.events.iter().map(|e| e.what).find(|what| what.on_sockets())
     }
 
@@ -575,7 +575,7 @@
             Some(format!("class {}: transfer: {odd}", class.name))
         };
         let event = || {
-            let fine = |t: &Trouble| {
+            let fine = |t: &FaultSpec| {
                 let known = t.zone.as_ref().is_none_or(|z| self.zones.contains(z));
                 known && share(t.part) && positive(t.factor)
             };
@@ -588,9 +588,9 @@
             ))
         };
         let link = || {
-            let odd = |t: &Trouble| {
+            let odd = |t: &FaultSpec| {
                 match t.what {
-                What::Cut | What::Link if t.cut.len() != 2 => {
+                FaultKind::Cut | FaultKind::Link if t.cut.len() != 2 => {
                     Some("cut must name two groups, such as [\"zone:derby\", \"servers\"]".to_owned())
                 }
                 _ => t.cut.iter().find(|group| Group::read(group, self).is_none()).map(|group| {
@@ -613,7 +613,7 @@
             Some(format!("line {line}: expect {}: give least, most or both", self.expects[number].figure))
         };
         let signals = || {
-            let number = self.events.iter().position(|t| t.what == What::Signals && t.signals.is_empty())?;
+            let number = self.events.iter().position(|t| t.what == FaultKind::Signals && t.signals.is_empty())?;
             let line = line_of(text, "[[event]]", number);
             Some(format!("line {line}: event: signals must name at least one of hup, hup_invalid, term"))
         };
@@ -685,12 +685,12 @@
 }
 
 /// A time that is given.
-fn some_span<'de, D: Deserializer<'de>>(reader: D) -> Result<Option<Micros>, D::Error> {
-    span(reader).map(Some)
+fn optional_duration<'de, D: Deserializer<'de>>(reader: D) -> Result<Option<Micros>, D::Error> {
+    duration(reader).map(Some)
 }
 
 /// A time such as "400ms", or a whole number of microseconds.
-fn span<'de, D: Deserializer<'de>>(reader: D) -> Result<Micros, D::Error> {
+fn duration<'de, D: Deserializer<'de>>(reader: D) -> Result<Micros, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Form {
--- a/crates/simulator/src/server.rs
+++ b/crates/simulator/src/server.rs
@@ -28,7 +28,7 @@
 
 /// What a server does with a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is in work, or waits for a slot.
     Yes,
     /// No place: it never runs.
@@ -59,7 +59,7 @@
 
 /// Where a server stands that chokes under a crowd.
 #[derive(Clone, Copy, Debug, Default)]
-struct Choke {
+struct CongestionState {
     /// Since when too many have waited, or too few have been in hand.
     since: Option<Micros>,
     /// Since when it has been slower.
@@ -97,7 +97,7 @@
     links_open: usize,
     /// Work that arrived while it was cold, of late.
     flood: VecDeque<(Micros, f64)>,
-    choke: Choke,
+    choke: CongestionState,
     /// It was sent too much while it was cold, and stays down.
     pub fallen: bool,
 }
@@ -123,7 +123,7 @@
             links: BTreeMap::new(),
             links_open: 0,
             flood: VecDeque::new(),
-            choke: Choke::default(),
+            choke: CongestionState::default(),
             fallen: false,
         }
     }
@@ -201,22 +201,22 @@
             self.choke.since = None;
         } else if over || now >= since + lasts {
             let slower = if self.choke.slower.is_none() { Some(now) } else { None };
-            self.choke = Choke { since: None, slower };
+            self.choke = CongestionState { since: None, slower };
             self.version += 1;
         }
     }
 
     /// A request with so much work arrives.
-    pub fn take(&mut self, now: Micros, attempt: usize, work: f64) -> Taken {
+    pub fn take(&mut self, now: Micros, attempt: usize, work: f64) -> Admission {
         self.advance(now);
         if self.in_work < self.spec.slots {
             self.start(attempt, work);
         } else if self.waiting.len() < self.spec.room {
             self.waiting.push_back((attempt, work));
         } else {
-            return Taken::Full;
+            return Admission::Full;
         }
-        Taken::Yes
+        Admission::Yes
     }
 
     fn start(&mut self, attempt: usize, work: f64) {
@@ -309,7 +309,7 @@
         (self.up, self.draining, self.fallen, self.started) = (true, false, false, now);
         (self.at, self.health) = (now, Health::default());
         self.flood.clear();
-        self.choke = Choke::default();
+        self.choke = CongestionState::default();
     }
 
     /// Work arrives, wherever it goes from here. True if that pushes a cold server over.
@@ -376,7 +376,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::scenario::ChokeSpec;
+    use crate::scenario::CongestionSpec;
 
     fn run(server: &mut Server, mut now: Micros) -> Vec<(usize, Micros)> {
         let mut ends = Vec::new();
@@ -393,8 +393,8 @@
     fn requests_share_the_cores_and_wait_for_slots() {
         let spec = ServerSpec { cores: 2.0, slots: 4, room: 1, ..ServerSpec::default() };
         let mut server = Server::new(&spec, 0, 0);
-        let taken: Vec<Taken> = (0..6).map(|attempt| server.take(0, attempt, 10_000.0)).collect();
-        assert_eq!(taken, [Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Full]);
+        let taken: Vec<Admission> = (0..6).map(|attempt| server.take(0, attempt, 10_000.0)).collect();
+        assert_eq!(taken, [Admission::Yes, Admission::Yes, Admission::Yes, Admission::Yes, Admission::Yes, Admission::Full]);
         // Four share two cores: 20 ms. The fifth then has a core to itself.
         assert_eq!(run(&mut server, 0), [(0, 20_000), (1, 20_000), (2, 20_000), (3, 20_000), (4, 30_000)]);
     }
@@ -403,7 +403,7 @@
     fn what_is_dropped_leaves_its_core_to_the_others() {
         let spec = ServerSpec { cores: 1.0, slots: 4, ..ServerSpec::default() };
         let mut server = Server::new(&spec, 0, 0);
-        (0..2).for_each(|attempt| assert_eq!(server.take(0, attempt, 10_000.0), Taken::Yes));
+        (0..2).for_each(|attempt| assert_eq!(server.take(0, attempt, 10_000.0), Admission::Yes));
         assert_eq!(server.drop_work(10_000, 0), Some(5_000.0), "half of it is done");
         assert_eq!((server.drop_work(10_000, 0), server.backlog()), (None, 5_000.0));
         assert_eq!(run(&mut server, 10_000), [(1, 15_000)]);
@@ -428,7 +428,7 @@
     #[test]
     fn a_crowded_server_chokes_and_is_well_again_after_rest_or_in_the_end() {
         let (over, rest, most) = (100_000, 50_000, 400_000);
-        let choke = ChokeSpec { at: 2.0, over, slower: 4.0, below: 1.0, rest, most };
+        let choke = CongestionSpec { at: 2.0, over, slower: 4.0, below: 1.0, rest, most };
         let spec = ServerSpec { cores: 1.0, slots: 1, choke: Some(choke), ..ServerSpec::default() };
         // What waits, when it leaves, and when the server is asked; its pace then.
         let cases = [(2, None, 200_000, 1.0), (4, Some(50_000), 200_000, 1.0), (4, None, 200_000, 0.25)];
@@ -436,7 +436,7 @@
             [(4, Some(200_000), 240_000, 0.25), (4, Some(200_000), 260_000, 1.0), (4, None, 510_000, 1.0)];
         for (waiting, leaves, asked, pace) in cases.into_iter().chain(more) {
             let mut server = Server::new(&spec, 0, 0);
-            let taken = (0..=waiting).filter(|&n| server.take(1, n, 9e9) == Taken::Yes).count();
+            let taken = (0..=waiting).filter(|&n| server.take(1, n, 9e9) == Admission::Yes).count();
             assert_eq!(taken, waiting + 1);
             for at in (1..=asked).step_by(1_000) {
                 server.advance(at);
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn next_arrival(&mut self) {
         let at = self.now() + self.arrivals.gap(self.scenario.rate * self.surge);
-        if at < START + self.scenario.length {
-            self.queue.at(at, Happening::Arrival);
+        if at < START_US + self.scenario.length {
+            self.queue.at(at, SimEvent::Arrival);
         }
     }
 
     pub(super) fn arrival(&mut self) {
         let asked = self.now();
-        let Arrival { class, work, proxy, .. } = self.arrivals.draw(self.scenario, asked - START);
-        self.judge.asked(class, asked - START, work);
+        let Arrival { class, work, proxy, .. } = self.arrivals.draw(self.scenario, asked - START_US);
+        self.judge.asked(class, asked - START_US, work);
         self.requests.push(Request { class, proxy, asked, work, tries: 0, ended: false });
         self.try_again(self.requests.len() - 1);
         self.next_arrival();
@@ -29,13 +29,13 @@
         let share = patience + (1.0 - patience) * self.clients.gen::<f64>();
         let time_left = ((spec.deadline as f64 * share) as Micros).min(left);
         if time_left < 2_000 {
-            return self.done(number, End::Failed);
+            return self.done(number, RequestOutcome::Failed);
         }
         self.requests[number].tries += 1;
         self.judge.tries += 1;
         let (call, deadline) = (self.calls.len(), now + time_left);
         self.calls.push(Call { request: number, proxy, deadline, open: true, attempts: Vec::new() });
-        self.queue.at(deadline + SLACK, Happening::Backstop { call });
+        self.queue.at(deadline + ANSWER_SLACK_US, SimEvent::Backstop { call });
         let event = Event::Request {
             call: CallId(call as u64),
             class: ClassId(class),
@@ -47,7 +47,7 @@
     }
 
     /// A client hears that its try has ended unserved.
-    pub(super) fn unserved(&mut self, number: usize, may_come: bool, told: Micros, end: End) {
+    pub(super) fn unserved(&mut self, number: usize, may_come: bool, told: Micros, end: RequestOutcome) {
         let spec = &self.scenario.clients;
         let Request { class, asked, tries, ended, .. } = self.requests[number];
         if ended {
@@ -57,24 +57,24 @@
         let told = if spec.heed_retry_after { told.min(spec.retry_after_most) } else { 0 };
         let at = self.now() + wait.max(told);
         if may_come && tries <= spec.retries && at < asked + self.scenario.classes[class].deadline {
-            self.queue.at(at, Happening::Retry { request: number });
+            self.queue.at(at, SimEvent::Retry { request: number });
         } else {
             self.done(number, end);
         }
     }
 
-    pub(super) fn done(&mut self, number: usize, end: End) {
-        let now = self.now() - START;
+    pub(super) fn done(&mut self, number: usize, end: RequestOutcome) {
+        let now = self.now() - START_US;
         let request = &mut self.requests[number];
         if !std::mem::replace(&mut request.ended, true) {
-            self.judge.ended(request.class, request.asked - START, now, end);
+            self.judge.ended(request.class, request.asked - START_US, now, end);
         }
     }
 
     /// What is open when the day is over has failed.
     pub(super) fn give_up_rest(&mut self) {
         for number in 0..self.requests.len() {
-            self.done(number, End::Failed);
+            self.done(number, RequestOutcome::Failed);
         }
     }
 }
--- a/crates/simulator/src/world/fleet.rs
+++ b/crates/simulator/src/world/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn at_server(&mut self, number: usize) {
         let now = self.now();
         let Attempt { server: place, call, outcome, until, .. } = self.attempts[number];
@@ -19,7 +19,7 @@
             self.judge.fallen += 1;
             self.judge.broke(
                 "a cold server was pushed over",
-                now - START,
+                now - START_US,
                 proxy,
                 None,
                 Some(EndpointId(place as u32)),
@@ -36,14 +36,14 @@
             return self.reply(number, Outcome::Rejected, 0);
         }
         if errors && self.luck.gen_bool(0.5) {
-            return self.reply(number, Outcome::Error, FAST);
+            return self.reply(number, Outcome::Error, ERROR_DELAY_US);
         }
         if resets && self.luck.gen_bool(1.0 / 3.0) {
-            return self.reply(number, Outcome::Reset, FAST);
+            return self.reply(number, Outcome::Reset, ERROR_DELAY_US);
         }
         match self.servers[place].take(now, number, work) {
-            Taken::Full => self.reply(number, Outcome::Rejected, 0),
-            Taken::Yes => self.foresee(place),
+            Admission::Full => self.reply(number, Outcome::Rejected, 0),
+            Admission::Yes => self.foresee(place),
         }
     }
 
@@ -51,14 +51,14 @@
     pub(super) fn reply(&mut self, number: usize, outcome: Outcome, after: Micros) {
         let Attempt { server, call, .. } = self.attempts[number];
         let way = self.way(self.calls[call].proxy, server);
-        self.queue.after(after + way, Happening::AtProxy { attempt: number, outcome });
+        self.queue.after(after + way, SimEvent::AtProxy { attempt: number, outcome });
     }
 
     pub(super) fn foresee(&mut self, place: usize) {
         let now = self.now();
         let version = self.servers[place].version;
         if let Some(at) = self.servers[place].next_end(now) {
-            self.queue.at(at, Happening::ServerEnd { server: place, version });
+            self.queue.at(at, SimEvent::ServerEnd { server: place, version });
         }
     }
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -7,12 +7,12 @@
 mod troubles;
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::chance::{self, jitter, Part};
-use crate::judge::{End, Judge, Verdict};
-use crate::policy::{Kind, Policy, Sight, Truth};
-use crate::queue::Queue;
-use crate::scenario::{Again, Scenario, Trouble, What};
-use crate::server::{Server, Taken};
+use crate::chance::{self, jitter, StreamId};
+use crate::judge::{RequestOutcome, Judge, Verdict};
+use crate::policy::{PolicyKind, Policy, Visibility, ServerState};
+use crate::queue::EventQueue;
+use crate::scenario::{IdempotencySpec, Scenario, FaultSpec, FaultKind};
+use crate::server::{Server, Admission};
 use oakport_core::{
     Action, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport,
     Micros, Outcome, Settings, ZoneId,
@@ -23,22 +23,22 @@
 use std::collections::VecDeque;
 
 /// Start of the day on its clock: servers that started before it are warm.
-const START: Micros = 1_000_000_000;
+const START_US: Micros = 1_000_000_000;
 /// Attempts for a request at the most.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 /// Time after a deadline in which an answer still counts as given (WIRE, `answer_slack_us`).
-const SLACK: Micros = 20_000;
+const ANSWER_SLACK_US: Micros = 20_000;
 /// How long a drained process has for what it holds.
-const DRAIN: Micros = 2_000_000;
+const DRAIN_TIMEOUT_US: Micros = 2_000_000;
 /// A fast error, or a reset, comes after this.
-const FAST: Micros = 1_000;
+const ERROR_DELAY_US: Micros = 1_000;
 /// After the last request the day runs on for so long at the most.
-const TAIL: Micros = 30_000_000;
+const MAX_TAIL_US: Micros = 30_000_000;
 /// How old the truth is that the late ceiling sees.
-const LATE: Micros = 1_000_000;
+const STATE_REFRESH_US: Micros = 1_000_000;
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     Arrival,
     Retry { request: usize },
     AtServer { attempt: usize },
@@ -99,18 +99,18 @@
 }
 
 /// A fleet in the middle of a day.
-struct World<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    make: &'a Make<'a>,
-    sight: Sight,
-    queue: Queue<Happening>,
+    make: &'a MakePolicy<'a>,
+    sight: Visibility,
+    queue: EventQueue<SimEvent>,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
     requests: Vec<Request>,
     calls: Vec<Call>,
     attempts: Vec<Attempt>,
-    truth: Vec<Truth>,
+    truth: Vec<ServerState>,
     surge: f64,
     arrivals: Arrivals,
     luck: Pcg64,
@@ -124,23 +124,23 @@
 }
 
 /// Makes the policy of a client proxy from a seed and what it is told of the site.
-pub type Make<'a> = dyn Fn(u64, &Settings) -> Box<dyn Policy> + 'a;
+pub type MakePolicy<'a> = dyn Fn(u64, &Settings) -> Box<dyn Policy> + 'a;
 
 /// Plays a day with one policy.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Verdict {
-    play_with(scenario, kind.name(), kind.sight(), &|seed, settings| kind.make(seed, settings), seed)
+pub fn simulate(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Verdict {
+    simulate_with(scenario, kind.name(), kind.sight(), &|seed, settings| kind.make(seed, settings), seed)
 }
 
 /// Plays a day with a policy that is not one of the kinds, under this name.
-pub fn play_with(
+pub fn simulate_with(
     scenario: &Scenario,
     name: &'static str,
-    sight: Sight,
-    make: &Make<'_>,
+    sight: Visibility,
+    make: &MakePolicy<'_>,
     seed: u64,
 ) -> Verdict {
-    let mut world = World::new(scenario, sight, make, seed);
-    let end = START + scenario.length + TAIL;
+    let mut world = Simulation::new(scenario, sight, make, seed);
+    let end = START_US + scenario.length + MAX_TAIL_US;
     while let Some(what) = world.queue.next() {
         if world.queue.now() > end {
             break;
@@ -152,18 +152,18 @@
     world.judge.verdict(name, scenario, events)
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, sight: Sight, make: &'a Make<'a>, seed: u64) -> Self {
-        let mut fleet = chance::stream(seed, Part::Fleet);
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, sight: Visibility, make: &'a MakePolicy<'a>, seed: u64) -> Self {
+        let mut fleet = chance::stream(seed, StreamId::Fleet);
         let zones = scenario.zones.len();
         let servers = (0..scenario.servers).map(|n| Server::new(&scenario.server, n % zones, 0)).collect();
         let arrivals = Arrivals::new(scenario, seed, &mut fleet);
-        let mut world = World {
+        let mut world = Simulation {
             scenario,
             seed,
             make,
             sight,
-            queue: Queue::new(START),
+            queue: EventQueue::new(START_US),
             servers,
             proxies: Vec::new(),
             requests: Vec::new(),
@@ -172,10 +172,10 @@
             truth: Vec::new(),
             surge: 1.0,
             arrivals,
-            luck: chance::stream(seed, Part::Luck),
-            clients: chance::stream(seed, Part::Clients),
+            luck: chance::stream(seed, StreamId::Luck),
+            clients: chance::stream(seed, StreamId::Clients),
             fleet,
-            faults: chance::stream(seed, Part::Faults),
+            faults: chance::stream(seed, StreamId::Faults),
             judge: Judge::new(scenario),
             actions: Vec::new(),
             acting: false,
@@ -183,16 +183,16 @@
         world.look();
         for number in 0..scenario.balancers {
             let zone = number % zones;
-            let policy = make(chance::seed_of(seed, number), &site::settings(scenario, zone));
-            let told = vec![Some((EndpointState::Ready, 0, START)); scenario.servers];
+            let policy = make(chance::policy_seed(seed, number), &site::settings(scenario, zone));
+            let told = vec![Some((EndpointState::Ready, 0, START_US)); scenario.servers];
             world.proxies.push(Proxy { policy, zone, life: 0, told, events: VecDeque::new() });
             world.start(number, ListUpdateKind::Snapshot);
         }
         for (trouble, spec) in scenario.events.iter().enumerate() {
-            world.queue.at(START + spec.at, Happening::Begin { trouble });
+            world.queue.at(START_US + spec.at, SimEvent::Begin { trouble });
         }
-        if sight == Sight::Late {
-            world.queue.after(LATE, Happening::Look);
+        if sight == Visibility::Late {
+            world.queue.after(STATE_REFRESH_US, SimEvent::Look);
         }
         world.next_arrival();
         world
@@ -202,32 +202,32 @@
         self.queue.now()
     }
 
-    fn happens(&mut self, what: Happening) {
+    fn happens(&mut self, what: SimEvent) {
         match what {
-            Happening::Arrival => self.arrival(),
-            Happening::Retry { request } => self.try_again(request),
-            Happening::AtServer { attempt } => self.at_server(attempt),
-            Happening::ServerEnd { server, version } => self.server_end(server, version),
-            Happening::AtProxy { attempt, outcome } => self.at_proxy(attempt, outcome),
-            Happening::Timeout { attempt } => self.timeout(attempt),
-            Happening::DropAt { attempt } => self.drop_at(attempt),
-            Happening::Backstop { call } => self.backstop(call),
-            Happening::Wake { proxy, life } if self.proxies[proxy].life == life => {
+            SimEvent::Arrival => self.arrival(),
+            SimEvent::Retry { request } => self.try_again(request),
+            SimEvent::AtServer { attempt } => self.at_server(attempt),
+            SimEvent::ServerEnd { server, version } => self.server_end(server, version),
+            SimEvent::AtProxy { attempt, outcome } => self.at_proxy(attempt, outcome),
+            SimEvent::Timeout { attempt } => self.timeout(attempt),
+            SimEvent::DropAt { attempt } => self.drop_at(attempt),
+            SimEvent::Backstop { call } => self.backstop(call),
+            SimEvent::Wake { proxy, life } if self.proxies[proxy].life == life => {
                 self.event(proxy, Event::Timer);
             }
-            Happening::Wake { .. } => {}
-            Happening::News { proxy, server, state, started } => self.news(proxy, server, state, started),
-            Happening::Begin { trouble } => self.begin(trouble),
-            Happening::Finish { trouble, server } => self.finish(trouble, server),
-            Happening::Drain { server } => {
+            SimEvent::Wake { .. } => {}
+            SimEvent::News { proxy, server, state, started } => self.news(proxy, server, state, started),
+            SimEvent::Begin { trouble } => self.begin(trouble),
+            SimEvent::Finish { trouble, server } => self.finish(trouble, server),
+            SimEvent::Drain { server } => {
                 self.servers[server].draining = true;
                 self.tell(server, EndpointState::Draining);
-                self.queue.after(DRAIN, Happening::Replace { server });
+                self.queue.after(DRAIN_TIMEOUT_US, SimEvent::Replace { server });
             }
-            Happening::Replace { server } => self.replace(server),
-            Happening::Look => {
+            SimEvent::Replace { server } => self.replace(server),
+            SimEvent::Look => {
                 self.look();
-                self.queue.after(LATE, Happening::Look);
+                self.queue.after(STATE_REFRESH_US, SimEvent::Look);
             }
         }
     }
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn start(&mut self, proxy: usize, kind: ListUpdateKind) {
         self.event(proxy, Event::Start);
         let told = &self.proxies[proxy].told;
@@ -34,7 +34,7 @@
             return;
         }
         while let Some(event) = self.proxies[proxy].events.pop_front() {
-            if self.sight == Sight::Now {
+            if self.sight == Visibility::Now {
                 self.look();
             }
             let mut actions = std::mem::take(&mut self.actions);
@@ -62,7 +62,7 @@
             }
             Action::SetTimer { after } => {
                 let life = self.proxies[proxy].life;
-                self.queue.after(after, Happening::Wake { proxy, life });
+                self.queue.after(after, SimEvent::Wake { proxy, life });
             }
             // A site without probes, and with a list that comes by itself.
             Action::PollLoad { endpoint: server } => {
@@ -79,7 +79,7 @@
 
     /// The proxy's final answer that serves nobody.
     pub(super) fn answer(&mut self, proxy: usize, id: CallId, refused: Option<Micros>) {
-        let at = self.now() - START;
+        let at = self.now() - START_US;
         let Some(call) = self.calls.get_mut(id.0 as usize).filter(|c| c.proxy == proxy) else { return };
         if !std::mem::replace(&mut call.open, false) {
             return self.judge.broke("a second final answer", at, proxy, Some(id), None);
@@ -92,28 +92,28 @@
             self.judge.broke("refused though it may have run", at, proxy, Some(id), None);
         }
         match refused {
-            Some(told) => self.unserved(request, true, told, End::Refused),
+            Some(told) => self.unserved(request, true, told, RequestOutcome::Refused),
             None => {
-                let free = self.scenario.classes[class].idempotency == Again::Free;
-                self.unserved(request, free, 0, End::Failed);
+                let free = self.scenario.classes[class].idempotency == IdempotencySpec::Free;
+                self.unserved(request, free, 0, RequestOutcome::Failed);
             }
         }
     }
 
     /// The client's time is up and it has no answer: the rule on lost requests is broken.
     pub(super) fn backstop(&mut self, number: usize) {
-        let at = self.now() - START;
+        let at = self.now() - START_US;
         let call = &mut self.calls[number];
         if std::mem::replace(&mut call.open, false) {
             let (proxy, request) = (call.proxy, call.request);
             self.judge.broke("no answer in time", at, proxy, Some(CallId(number as u64)), None);
-            self.done(request, End::Failed);
+            self.done(request, RequestOutcome::Failed);
         }
     }
 
     pub(super) fn send(&mut self, proxy: usize, id: CallId, server: EndpointId, until: Option<Micros>) {
         let (now, place) = (self.now(), server.0 as usize);
-        let at = now - START;
+        let at = now - START_US;
         let Some(call) = self.calls.get(id.0 as usize).filter(|c| c.proxy == proxy) else { return };
         let (open, deadline) = (call.open, call.deadline);
         let class = self.requests[call.request].class;
@@ -154,7 +154,7 @@
         }
         self.judge.attempts += 1;
         self.judge.crossings += u64::from(self.servers[place].zone != self.proxies[proxy].zone);
-        self.queue.at(until, Happening::Timeout { attempt: number });
+        self.queue.at(until, SimEvent::Timeout { attempt: number });
         self.connect(number, proxy, place);
     }
 
@@ -165,17 +165,17 @@
             // It never comes up.
             let connect_timeout = self.scenario.network.connect_timeout;
             let outcome = Outcome::ConnectFailed;
-            return self.queue.after(connect_timeout, Happening::AtProxy { attempt: number, outcome });
+            return self.queue.after(connect_timeout, SimEvent::AtProxy { attempt: number, outcome });
         }
         let link = if server.up && !server.fallen { server.link(now, proxy) } else { None };
         let Some(kept) = link else {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.after(2 * way, Happening::AtProxy { attempt: number, outcome });
+            return self.queue.after(2 * way, SimEvent::AtProxy { attempt: number, outcome });
         };
         self.attempts[number].linked = true;
         self.judge.handshakes += u64::from(!kept);
         let way = if kept { way } else { 3 * way };
-        self.queue.after(way, Happening::AtServer { attempt: number });
+        self.queue.after(way, SimEvent::AtServer { attempt: number });
     }
 
     /// One way between a proxy and a server, as it is this time.
@@ -216,7 +216,7 @@
         let Attempt { call, server, outcome, .. } = self.attempts[number];
         if outcome.is_none() && server < self.servers.len() {
             let way = self.way(self.calls[call].proxy, server);
-            self.queue.after(way, Happening::DropAt { attempt: number });
+            self.queue.after(way, SimEvent::DropAt { attempt: number });
         }
     }
 
@@ -238,7 +238,7 @@
         if outcome == Outcome::Served {
             if open {
                 self.calls[id].open = false;
-                self.done(request, End::Served(now - self.requests[request].asked));
+                self.done(request, RequestOutcome::Served(now - self.requests[request].asked));
             } else {
                 self.judge.wasted_work += self.requests[request].work;
             }
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -1,7 +1,7 @@
 //! What a client proxy is told of the site.
 
-use super::ATTEMPTS;
-use crate::scenario::{Again, Scenario};
+use super::MAX_ATTEMPTS;
+use crate::scenario::{IdempotencySpec, Scenario};
 use oakport_core::{Class, Idempotency, Limits, Rules, Settings, ZoneId};
 
 /// What a proxy in this zone is told of the site.
@@ -11,7 +11,7 @@
         client_timeout: c.deadline,
         priority_weight: c.worth,
         late_weight_ratio: 0.0,
-        idempotency: if c.idempotency == Again::Free {
+        idempotency: if c.idempotency == IdempotencySpec::Free {
             Idempotency::Idempotent
         } else {
             Idempotency::NonIdempotent
@@ -27,7 +27,7 @@
             cancellation: true,
             load_polling: false,
             hedging: true,
-            max_attempts: ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             max_retry_after: scenario.clients.retry_after_most,
             max_streams: 1,
         },
--- a/crates/simulator/src/world/troubles.rs
+++ b/crates/simulator/src/world/troubles.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// News of a server goes to all proxies.
     pub(super) fn tell(&mut self, server: usize, state: EndpointState) {
         let delay = self.scenario.discovery.delay;
         let started = self.servers[server].started;
         for proxy in 0..self.proxies.len() {
             let delay = jitter(delay, 0.5, &mut self.fleet);
-            self.queue.after(delay, Happening::News { proxy, server, state, started });
+            self.queue.after(delay, SimEvent::News { proxy, server, state, started });
         }
     }
 
@@ -48,7 +48,7 @@
     /// What the ceiling's policies see.
     pub(super) fn look(&mut self) {
         let now = self.queue.now();
-        let truth = self.servers.iter().map(|server| Truth {
+        let truth = self.servers.iter().map(|server| ServerState {
             backlog: server.backlog(),
             capacity: server.capacity(now),
             serves: server.serves() && !server.draining && !server.health.hangs && server.holds_more(),
@@ -59,7 +59,7 @@
     }
 
     /// The servers that a trouble meets.
-    pub(super) fn met(&mut self, spec: &Trouble) -> Vec<usize> {
+    pub(super) fn met(&mut self, spec: &FaultSpec) -> Vec<usize> {
         let zone = spec.zone.as_ref().and_then(|zone| self.scenario.zones.iter().position(|z| z == zone));
         let running = (0..self.servers.len()).filter(|&s| self.servers[s].up && !self.servers[s].draining);
         let mut met: Vec<usize> =
@@ -75,17 +75,17 @@
     pub(super) fn begin(&mut self, trouble: usize) {
         let spec = self.scenario.events[trouble].clone();
         match spec.what {
-            What::Surge => {
+            FaultKind::Surge => {
                 self.surge *= spec.factor;
-                self.queue.after(spec.lasts, Happening::Finish { trouble, server: 0 });
+                self.queue.after(spec.lasts, SimEvent::Finish { trouble, server: 0 });
                 return;
             }
-            What::Herd => return self.herd(&spec),
-            What::Release => {
+            FaultKind::Herd => return self.herd(&spec),
+            FaultKind::Release => {
                 let met = self.met(&spec);
                 let step = spec.lasts / met.len().max(1) as Micros;
                 for (place, server) in met.into_iter().enumerate() {
-                    self.queue.after(step * place as Micros, Happening::Drain { server });
+                    self.queue.after(step * place as Micros, SimEvent::Drain { server });
                 }
                 return;
             }
@@ -95,34 +95,34 @@
         for server in self.met(&spec) {
             let health = &mut self.servers[server].health;
             match spec.what {
-                What::Slow => {
+                FaultKind::Slow => {
                     self.servers[server].advance(now);
                     self.servers[server].health.slow = spec.factor;
                     self.servers[server].version += 1;
                 }
-                What::Hang => {
+                FaultKind::Hang => {
                     self.servers[server].advance(now);
                     self.servers[server].health.hangs = true;
                     self.servers[server].version += 1;
                 }
-                What::Error => health.errors = true,
-                What::Reset => health.resets = true,
-                What::Silent => health.silent = true,
+                FaultKind::Error => health.errors = true,
+                FaultKind::Reset => health.resets = true,
+                FaultKind::Silent => health.silent = true,
                 _ => {
                     self.fall(server);
                     self.tell(server, EndpointState::Removed);
                 }
             }
             self.foresee(server);
-            self.queue.after(spec.lasts, Happening::Finish { trouble, server });
+            self.queue.after(spec.lasts, SimEvent::Finish { trouble, server });
         }
     }
 
     pub(super) fn finish(&mut self, trouble: usize, server: usize) {
         let now = self.now();
         match self.scenario.events[trouble].what {
-            What::Surge => self.surge /= self.scenario.events[trouble].factor,
-            What::Crash => {
+            FaultKind::Surge => self.surge /= self.scenario.events[trouble].factor,
+            FaultKind::Crash => {
                 self.servers[server].restart(now);
                 self.tell(server, EndpointState::Ready);
             }
@@ -141,7 +141,7 @@
     }
 
     /// Client proxies die at once and start again from what they were told.
-    pub(super) fn herd(&mut self, spec: &Trouble) {
+    pub(super) fn herd(&mut self, spec: &FaultSpec) {
         let mut all: Vec<usize> = (0..self.proxies.len()).collect();
         all.shuffle(&mut self.faults);
         all.truncate((self.proxies.len() as f64 * spec.part).round() as usize);
@@ -156,13 +156,13 @@
                     self.attempts[attempt].outcome.get_or_insert(Outcome::Unknown);
                 }
                 let request = self.calls[call].request;
-                let free = self.scenario.classes[self.requests[request].class].idempotency == Again::Free;
-                self.unserved(request, free, 0, End::Failed);
+                let free = self.scenario.classes[self.requests[request].class].idempotency == IdempotencySpec::Free;
+                self.unserved(request, free, 0, RequestOutcome::Failed);
             }
         }
         for number in all {
             self.servers.iter_mut().for_each(|server| server.forget(number));
-            let seed = self.fleet.gen::<u64>() ^ chance::seed_of(self.seed, number);
+            let seed = self.fleet.gen::<u64>() ^ chance::policy_seed(self.seed, number);
             let proxy = &mut self.proxies[number];
             proxy.life += 1;
             proxy.events.clear();
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! Whole days of the model: what must hold whatever the policy, and what the judge must see.
 
 use oakport_core::{Action, Balancer, CallId, EndpointId, EndpointState, Event, Micros, Settings};
-use oakport_simulator::{play, play_with, Kind, Policy, Scenario, Sight, Truth, Verdict, KINDS};
+use oakport_simulator::{simulate, simulate_with, PolicyKind, Policy, Scenario, Visibility, ServerState, Verdict, POLICY_KINDS};
 use std::path::Path;
 
 fn scenario(name: &str) -> Scenario {
@@ -16,11 +16,11 @@
 #[test]
 fn one_seed_gives_one_day_and_another_seed_another() {
     let day = scenario("crash");
-    for kind in [Kind::Oakport, Kind::TwoChoices, Kind::CeilingLate] {
-        let here = json(&play(&day, kind, 5));
-        let there = std::thread::scope(|scope| scope.spawn(|| json(&play(&day, kind, 5))).join());
+    for kind in [PolicyKind::Oakport, PolicyKind::TwoChoices, PolicyKind::CeilingLate] {
+        let here = json(&simulate(&day, kind, 5));
+        let there = std::thread::scope(|scope| scope.spawn(|| json(&simulate(&day, kind, 5))).join());
         assert_eq!(here, there.expect("a verdict"), "{kind:?}");
-        assert_ne!(here, json(&play(&day, kind, 6)), "{kind:?}");
+        assert_ne!(here, json(&simulate(&day, kind, 6)), "{kind:?}");
     }
 }
 
@@ -28,12 +28,12 @@
 fn all_policies_are_asked_for_the_same() {
     let day = scenario("release");
     let asked = |kind| {
-        let verdict = play(&day, kind, 3);
+        let verdict = simulate(&day, kind, 3);
         (verdict.requests, verdict.windows.iter().map(|w| (w.asked, w.worth as u64)).collect::<Vec<_>>())
     };
-    let first = asked(KINDS[0]);
+    let first = asked(POLICY_KINDS[0]);
     assert!(first.0 > 10_000);
-    for kind in &KINDS[1..] {
+    for kind in &POLICY_KINDS[1..] {
         assert_eq!(asked(*kind), first, "{kind:?}");
     }
 }
@@ -42,14 +42,14 @@
 fn each_request_ends_once_and_nothing_is_served_that_was_not_asked() {
     for name in ["calm", "slow", "crash", "hang", "zone", "release", "surge"] {
         let day = scenario(name);
-        for kind in KINDS {
-            let v = play(&day, kind, 2);
+        for kind in POLICY_KINDS {
+            let v = simulate(&day, kind, 2);
             let ended: u64 = v.windows.iter().map(|w| w.refused + w.failed + w.late).sum();
             assert!(ended <= v.requests && v.tries >= v.requests, "{name} {kind:?}");
             assert!((0.0..=1.0).contains(&v.whole) && v.worst_window <= v.whole + 1e-9, "{name} {kind:?}");
             assert!(v.g <= v.whole, "prices come off: {name} {kind:?}");
             let rules = v.violations.iter().map(|v| v.rule).collect::<Vec<_>>();
-            assert!(kind != Kind::Oakport || rules.is_empty(), "{name}: {rules:?}");
+            assert!(kind != PolicyKind::Oakport || rules.is_empty(), "{name}: {rules:?}");
         }
     }
 }
@@ -58,8 +58,8 @@
 fn who_sees_more_serves_more() {
     for name in ["calm", "slow", "hang"] {
         let day = scenario(name);
-        let mean = |kind| (1..=3).map(|seed| play(&day, kind, seed).g).sum::<f64>() / 3.0;
-        let (random, two, ceiling) = (mean(Kind::Random), mean(Kind::TwoChoices), mean(Kind::Ceiling));
+        let mean = |kind| (1..=3).map(|seed| simulate(&day, kind, seed).g).sum::<f64>() / 3.0;
+        let (random, two, ceiling) = (mean(PolicyKind::Random), mean(PolicyKind::TwoChoices), mean(PolicyKind::Ceiling));
         assert!(random < two && two < ceiling, "{name}: {random} {two} {ceiling}");
     }
 }
@@ -74,7 +74,7 @@
 }
 
 impl Policy for Broken {
-    fn handle(&mut self, now: Micros, mut event: Event, _: &[Truth], actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, mut event: Event, _: &[ServerState], actions: &mut Vec<Action>) {
         if let Event::EndpointList { endpoints: entries, .. } = &mut event {
             match self.what {
                 "drains are not heard" => entries.retain(|e| e.state == EndpointState::Ready),
@@ -139,7 +139,7 @@
             let module = Balancer::new(seed, settings.clone());
             Box::new(Broken { module, what, met: Vec::new(), last: None })
         };
-        let verdict = play_with(&day, "broken", Sight::None, &make, 4);
+        let verdict = simulate_with(&day, "broken", Visibility::None, &make, 4);
         let seen: Vec<&str> = verdict.violations.iter().map(|v| v.rule).collect();
         if wanted.is_empty() {
             assert!(seen.is_empty(), "{what}: {seen:?}");
@@ -172,7 +172,7 @@
 #[test]
 fn a_burst_that_chokes_servers_is_over_when_it_ends_and_plain_policies_never_come_back() {
     let day = scenario("burst");
-    let recovers = |kind| play(&day, kind, 4).recover;
-    assert!(recovers(Kind::Oakport).is_some_and(|after| after <= 5_000_000));
-    assert_eq!(recovers(Kind::TwoChoices), None);
+    let recovers = |kind| simulate(&day, kind, 4).recover;
+    assert!(recovers(PolicyKind::Oakport).is_some_and(|after| after <= 5_000_000));
+    assert_eq!(recovers(PolicyKind::TwoChoices), None);
 }
--- a/crates/testbed/src/cluster/calls.rs
+++ b/crates/testbed/src/cluster/calls.rs
@@ -2,7 +2,7 @@
 
 use super::record::Shared;
 use oakport_core::Micros;
-use oakport_simulator::scenario::{Trouble, What};
+use oakport_simulator::scenario::{FaultSpec, FaultKind};
 use std::collections::BTreeMap;
 
 /// Calls for lists and their answers, by proxy and time.
@@ -20,8 +20,8 @@
         /// The shortest wait of a watch, and until its client has noticed and asked once more.
         const BEFORE: Micros = 6_500_000;
         const SECOND: Micros = 1_000_000;
-        let fails = |event: &&Trouble| {
-            matches!(event.what, What::ListSilent | What::ListUnavailable)
+        let fails = |event: &&FaultSpec| {
+            matches!(event.what, FaultKind::ListSilent | FaultKind::ListUnavailable)
                 && event.part >= 1.0
                 && event.lasts >= BEFORE + SECOND
         };
--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -6,8 +6,8 @@
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::Micros;
-use oakport_simulator::chance::{self, Part};
-use oakport_simulator::scenario::{Again, TransferSpec};
+use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::scenario::{IdempotencySpec, TransferSpec};
 use rand::Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -111,7 +111,7 @@
         let (class, clients) = (&shared.day.classes[shared.arrivals[request].class], &shared.day.clients);
         let first = shared.at(shared.arrivals[request].at);
         let last = first + class.deadline;
-        let mut random = chance::stream(shared.seed, Part::Policy(2_000_000 + request));
+        let mut random = chance::stream(shared.seed, StreamId::Policy(2_000_000 + request));
         let mut number = 0;
         let mut away = self.away.subscribe();
         let end = loop {
@@ -131,7 +131,7 @@
                 TryEnd::Served(_) => break end,
                 TryEnd::Refused(told) => (true, told),
                 TryEnd::Unreachable => (true, 0),
-                _ => (class.idempotency == Again::Free, 0),
+                _ => (class.idempotency == IdempotencySpec::Free, 0),
             };
             let told = if clients.heed_retry_after { told.min(clients.retry_after_most) } else { 0 };
             let at = shared.now() + chance::jitter(clients.wait, 0.5, &mut random).max(told);
@@ -221,8 +221,8 @@
         let class = &shared.day.classes[shared.arrivals[asked.request].class];
         let id = Shared::id(asked.request, asked.number);
         let (method, body) = match class.idempotency {
-            Again::Free => ("GET", ""),
-            Again::SingleShot => ("POST", "Content-Length: 1\r\n\r\n1"),
+            IdempotencySpec::Free => ("GET", ""),
+            IdempotencySpec::SingleShot => ("POST", "Content-Length: 1\r\n\r\n1"),
         };
         let time = asked.deadline.saturating_sub(shared.now());
         let body = if body.is_empty() { "\r\n" } else { body };
--- a/crates/testbed/src/cluster/ending.rs
+++ b/crates/testbed/src/cluster/ending.rs
@@ -2,7 +2,7 @@
 
 use super::events::Fleet;
 use oakport_core::Micros;
-use oakport_simulator::scenario::{SignalSpec, Trouble, What};
+use oakport_simulator::scenario::{SignalSpec, FaultSpec, FaultKind};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
@@ -23,7 +23,7 @@
     }
 
     /// Proxies die at once, and start again one after the other until the end.
-    pub(super) async fn kill(self: &Arc<Self>, event: &Trouble, begin: Micros) {
+    pub(super) async fn kill(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
         let met = self.site.met_proxies(event);
         let step = event.lasts / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
@@ -40,23 +40,23 @@
     }
 
     /// A process is met.
-    pub(super) async fn meet(self: Arc<Self>, proxy: usize, event: Trouble, end: Micros) {
+    pub(super) async fn meet(self: Arc<Self>, proxy: usize, event: FaultSpec, end: Micros) {
         match event.what {
-            What::Stall => {
+            FaultKind::Stall => {
                 self.seats[proxy].lock().await.stall(true);
                 self.site.shared.until(end).await;
                 self.seats[proxy].lock().await.stall(false);
             }
-            What::Herd => {
+            FaultKind::Herd => {
                 let mut seat = self.seats[proxy].lock().await;
                 seat.kill().await;
                 self.start(&mut seat).await;
             }
-            What::Restart => {
+            FaultKind::Restart => {
                 let pause = Duration::ZERO;
                 self.signal_series(proxy, &[SignalSpec::Term], pause, event.clients_stay).await;
             }
-            What::Signals => {
+            FaultKind::Signals => {
                 let pause = Duration::from_micros(event.lasts / event.signals.len().max(1) as Micros);
                 self.signal_series(proxy, &event.signals, pause, event.clients_stay).await;
             }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -10,7 +10,7 @@
 use super::servers::Machine;
 use super::site::{met, met_peers, Pair, Site};
 use oakport_core::{EndpointState, Micros};
-use oakport_simulator::scenario::{LinkSpec, Trouble, What};
+use oakport_simulator::scenario::{LinkSpec, FaultSpec, FaultKind};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,51 +45,51 @@
         self.site.shared.until(begin).await;
         match event.what {
             // Arrivals were drawn with it.
-            What::Surge => {}
-            What::Crash | What::Slow | What::Hang | What::Error | What::Reset | What::Silent => {
+            FaultKind::Surge => {}
+            FaultKind::Crash | FaultKind::Slow | FaultKind::Hang | FaultKind::Error | FaultKind::Reset | FaultKind::Silent => {
                 let met = self.site.met_servers(&event);
                 met.iter().for_each(|machine| self.strike(machine, &event));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|machine| self.heal(machine, &event));
             }
-            What::Release => self.release(&event, begin).await,
-            What::Kill => self.kill(&event, begin).await,
-            What::Herd | What::Restart | What::Upgrade | What::Stall | What::Signals => {
+            FaultKind::Release => self.release(&event, begin).await,
+            FaultKind::Kill => self.kill(&event, begin).await,
+            FaultKind::Herd | FaultKind::Restart | FaultKind::Upgrade | FaultKind::Stall | FaultKind::Signals => {
                 let mut all = JoinSet::new();
                 for proxy in self.site.met_proxies(&event) {
                     all.spawn(Arc::clone(&self).meet(proxy, event.clone(), end));
                 }
                 while all.join_next().await.is_some() {}
             }
-            What::Crowd => {
+            FaultKind::Crowd => {
                 let met = self.site.met_proxies(&event);
                 let addresses: Vec<_> = met.iter().map(|&proxy| self.apps[proxy].address()).collect();
                 let crowd = Crowd::open(&addresses, event.connections);
                 self.site.shared.until(end).await;
                 drop(crowd);
             }
-            What::ExtraResponses | What::ClosesIdle => {
+            FaultKind::ExtraResponses | FaultKind::ClosesIdle => {
                 let met = self.site.met_servers(&event);
                 met.iter().for_each(|machine| set_quirk(machine, event.what, Some(event.after)));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|machine| set_quirk(machine, event.what, None));
             }
-            What::ListSilent | What::ListUnavailable => {
+            FaultKind::ListSilent | FaultKind::ListUnavailable => {
                 let mode = match event.what {
-                    What::ListSilent => Mode::Silent,
+                    FaultKind::ListSilent => Mode::Silent,
                     _ => Mode::Unavailable,
                 };
-                let met = self.site.met_proxies(&Trouble { zone: None, ..event.clone() });
+                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
                 met.iter().for_each(|&proxy| self.site.agents[proxy].turn(mode));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|&proxy| self.site.agents[proxy].turn(Mode::Well));
             }
-            What::WatchesSilent => {
-                let met = self.site.met_proxies(&Trouble { zone: None, ..event.clone() });
+            FaultKind::WatchesSilent => {
+                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
                 met.iter().for_each(|&proxy| self.site.agents[proxy].hush());
             }
-            What::ListDiffers => {
-                let met = self.site.met_proxies(&Trouble { zone: None, ..event.clone() });
+            FaultKind::ListDiffers => {
+                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
                 let hidden = self.site.met_servers(&event);
                 for (state, until) in [(EndpointState::Removed, end), (EndpointState::Ready, end)] {
                     for machine in &hidden {
@@ -98,9 +98,9 @@
                     self.site.shared.until(until).await;
                 }
             }
-            What::Cut | What::Link => {
+            FaultKind::Cut | FaultKind::Link => {
                 let spec = match event.what {
-                    What::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
+                    FaultKind::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
                     _ => event.link,
                 };
                 let mut ways: BTreeMap<Pair, Both> = BTreeMap::new();
@@ -142,23 +142,23 @@
         datagrams.turn(ways);
     }
 
-    fn strike(self: &Arc<Self>, machine: &Arc<Machine>, event: &Trouble) {
+    fn strike(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
         match event.what {
-            What::Crash => {
+            FaultKind::Crash => {
                 machine.stop();
                 self.site.tell(machine, EndpointState::Removed);
             }
-            What::Slow => machine.fall_ill(|health| health.slow = event.factor),
-            What::Hang => machine.fall_ill(|health| health.hangs = true),
-            What::Error => machine.fall_ill(|health| health.errors = true),
-            What::Reset => machine.fall_ill(|health| health.resets = true),
+            FaultKind::Slow => machine.fall_ill(|health| health.slow = event.factor),
+            FaultKind::Hang => machine.fall_ill(|health| health.hangs = true),
+            FaultKind::Error => machine.fall_ill(|health| health.errors = true),
+            FaultKind::Reset => machine.fall_ill(|health| health.resets = true),
             _ => machine.fall_ill(|health| health.silent = true),
         }
     }
 
-    fn heal(self: &Arc<Self>, machine: &Arc<Machine>, event: &Trouble) {
-        if event.what == What::Crash || event.cold {
-            if event.what != What::Crash {
+    fn heal(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
+        if event.what == FaultKind::Crash || event.cold {
+            if event.what != FaultKind::Crash {
                 machine.stop();
             }
             machine.restart();
@@ -169,7 +169,7 @@
     }
 
     /// Servers drain one after the other, and others start in their place.
-    async fn release(self: &Arc<Self>, event: &Trouble, begin: Micros) {
+    async fn release(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
         let met = self.site.met_servers(event);
         let step = event.lasts / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
@@ -222,9 +222,9 @@
 }
 
 /// A server does something wrong on its connections from now on, or no more.
-fn set_quirk(machine: &Machine, what: What, after: Option<Micros>) {
+fn set_quirk(machine: &Machine, what: FaultKind, after: Option<Micros>) {
     machine.change_quirks(|quirks| match what {
-        What::ExtraResponses => quirks.extra_response_after = after,
+        FaultKind::ExtraResponses => quirks.extra_response_after = after,
         _ => quirks.closes_idle_after = after,
     });
 }
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -7,7 +7,7 @@
 use super::membership;
 use super::record::{histogram, Late, Seen, Shared, Signal, Try, TryEnd, Word, TOO_LATE};
 use oakport_core::{EndpointState, Micros, Outcome};
-use oakport_simulator::scenario::Again;
+use oakport_simulator::scenario::IdempotencySpec;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -387,7 +387,7 @@
                 continue;
             }
             let class = &self.shared.day.classes[self.shared.arrivals[attempt.request].class];
-            if class.idempotency == Again::SingleShot && attempt.may_have_run() {
+            if class.idempotency == IdempotencySpec::SingleShot && attempt.may_have_run() {
                 by_request.entry(attempt.request).or_default().push(attempt);
             }
         }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -34,7 +34,7 @@
 use events::Fleet;
 use links::Datagrams;
 use oakport_core::Micros;
-use oakport_simulator::scenario::What;
+use oakport_simulator::scenario::FaultKind;
 use processes::{Peer, Seat};
 use record::Shared;
 use servers::Machine;
@@ -80,7 +80,7 @@
     }
     let operators: Vec<_> = peers.iter().map(|peer| peer.operator).collect();
     let mut peers = peers.into_iter();
-    let inherits = day.events.iter().any(|event| event.what == What::Upgrade);
+    let inherits = day.events.iter().any(|event| event.what == FaultKind::Upgrade);
     let mut seats = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = play.logs.as_deref();
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -5,7 +5,7 @@
 use super::record::{Seen, Shared, Signal};
 use nix::sys::signal::{kill, Signal as Number};
 use nix::unistd::Pid;
-use oakport_simulator::scenario::Again;
+use oakport_simulator::scenario::IdempotencySpec;
 use serde_json::{json, Value};
 use socket2::Socket;
 use std::net::SocketAddr;
@@ -182,7 +182,7 @@
 
     /// What the process is told (DEPLOY, "What a client proxy is told").
     fn configuration(&self) -> Value {
-        let seed = oakport_simulator::chance::seed_of(self.shared.seed ^ u64::from(self.starts), self.number);
+        let seed = oakport_simulator::chance::policy_seed(self.shared.seed ^ u64::from(self.starts), self.number);
         let mut file = json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": self.discovery,
             "seed": format!("{seed:016x}"),
@@ -378,7 +378,7 @@
     let classes = day.classes.iter().map(|c| {
         json!({
             "name": c.name, "objective_us": c.aim, "deadline_us": c.deadline, "worth": c.worth, "late_value": 0.0,
-            "idempotency": if c.idempotency == Again::Free { "free" } else { "single_shot" },
+            "idempotency": if c.idempotency == IdempotencySpec::Free { "free" } else { "single_shot" },
         })
     });
     let (server, goal) = (&day.server, &day.goal);
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 use oakport_core::{EndpointState, Micros, Outcome};
-use oakport_simulator::chance::{self, Part};
+use oakport_simulator::chance::{self, StreamId};
 use oakport_simulator::scenario::{Scenario, TransferSpec};
 use oakport_simulator::Arrival;
 use rand::Rng;
@@ -294,7 +294,7 @@
     }
 
     fn sizes(&self, request: usize) -> impl Rng {
-        chance::stream(self.seed, Part::Policy(FIRST_SIZE_STREAM + request))
+        chance::stream(self.seed, StreamId::Policy(FIRST_SIZE_STREAM + request))
     }
 
     /// The number of the try that is written right behind this one.
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -7,8 +7,8 @@
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::{Micros, Outcome};
-use oakport_simulator::chance::{self, Part};
-use oakport_simulator::server::{Health, Server, Taken};
+use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::server::{Health, Server, Admission};
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -86,7 +86,7 @@
             flood: Window::default(),
             waiting: HashMap::new(),
             open: 0,
-            luck: chance::stream(shared.seed, Part::Policy(1_000_000 + number)),
+            luck: chance::stream(shared.seed, StreamId::Policy(1_000_000 + number)),
         };
         let machine = Arc::new(Machine {
             number,
@@ -388,7 +388,7 @@
         if resets && inner.luck.gen_bool(1.0 / 3.0) {
             return Err((Outcome::Reset, FAST));
         }
-        if inner.server.take(now, attempt, work) == Taken::Full {
+        if inner.server.take(now, attempt, work) == Admission::Full {
             return Err((Outcome::Rejected, 0));
         }
         let (sender, ends) = oneshot::channel();
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -5,8 +5,8 @@
 use super::record::Shared;
 use super::servers::Machine;
 use oakport_core::EndpointState;
-use oakport_simulator::chance::{self, Part};
-use oakport_simulator::scenario::{Group, Scenario, Trouble, What};
+use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::scenario::{Group, Scenario, FaultSpec, FaultKind};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 }
 
 /// Which pairs a cut meets, and which way: 0 from the proxy, 1 to it.
-pub fn met(day: &Scenario, event: &Trouble) -> Vec<(Pair, usize)> {
+pub fn met(day: &Scenario, event: &FaultSpec) -> Vec<(Pair, usize)> {
     let groups: Vec<Group> = event.cut.iter().filter_map(|text| Group::read(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let zone = |number: usize| number % day.zones.len();
@@ -49,7 +49,7 @@
 }
 
 /// Which ways between two proxies an event meets.
-pub fn met_peers(day: &Scenario, event: &Trouble) -> Vec<(usize, usize)> {
+pub fn met_peers(day: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
     let groups: Vec<Group> = event.cut.iter().filter_map(|text| Group::read(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let of = |group: &Group| {
@@ -66,7 +66,7 @@
 
 /// All pairs that need a relay in this day.
 fn pairs(day: &Scenario) -> Vec<Pair> {
-    let events = day.events.iter().filter(|e| matches!(e.what, What::Cut | What::Link));
+    let events = day.events.iter().filter(|e| matches!(e.what, FaultKind::Cut | FaultKind::Link));
     let mut pairs: Vec<Pair> = events.flat_map(|event| met(day, event)).map(|(pair, _)| pair).collect();
     pairs.sort();
     pairs.dedup();
@@ -91,7 +91,7 @@
             };
             relays.insert(pair, Relay::start(target)?);
         }
-        let luck = Mutex::new(chance::stream(shared.seed, Part::Faults));
+        let luck = Mutex::new(chance::stream(shared.seed, StreamId::Faults));
         let site = Site { machines: Mutex::new(machines), relays, agents, luck, shared: Arc::clone(shared) };
         for (proxy, agent) in site.agents.iter().enumerate() {
             if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.ask_every.is_some() {
@@ -152,7 +152,7 @@
     }
 
     /// The servers that an event meets.
-    pub fn met_servers(&self, event: &Trouble) -> Vec<Arc<Machine>> {
+    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let machines = self.machines();
@@ -166,7 +166,7 @@
     }
 
     /// The proxies that an event meets.
-    pub fn met_proxies(&self, event: &Trouble) -> Vec<usize> {
+    pub fn met_proxies(&self, event: &FaultSpec) -> Vec<usize> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let mut met: Vec<usize> = (0..self.agents.len()).collect();
--- a/crates/testbed/src/cluster/transfers.rs
+++ b/crates/testbed/src/cluster/transfers.rs
@@ -7,7 +7,7 @@
 use super::slow_stream::pace;
 use bytes::{BufMut, BytesMut};
 use oakport_core::Micros;
-use oakport_simulator::scenario::{Again, TransferSpec};
+use oakport_simulator::scenario::{IdempotencySpec, TransferSpec};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -91,8 +91,8 @@
         };
         let body = upload(&id, self.shared.request_bytes(done.request).unwrap_or(1));
         let own = match class.idempotency {
-            Again::Free => head("GET", &id) + "\r\n",
-            Again::SingleShot => format!("{}Content-Length: {}\r\n\r\n{body}", head("POST", &id), body.len()),
+            IdempotencySpec::Free => head("GET", &id) + "\r\n",
+            IdempotencySpec::SingleShot => format!("{}Content-Length: {}\r\n\r\n{body}", head("POST", &id), body.len()),
         };
         let ahead = Shared::id(done.request, Shared::ahead(done.number));
         own + &if spec.pipelined { head("GET", &ahead) + "\r\n" } else { String::new() }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -69,7 +69,7 @@
 /// What is wrong, for people: where, from when to when.
 pub fn events(day: &Scenario) -> Vec<(f64, f64, String)> {
     let seconds = |at: u64| at as f64 / 1e6;
-    let event = |e: &oakport_simulator::scenario::Trouble| {
+    let event = |e: &oakport_simulator::scenario::FaultSpec| {
         let place = match (&e.zone, e.cut.as_slice()) {
             (Some(zone), _) => format!(" in {zone}"),
             (None, []) => String::new(),
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,7 +11,7 @@
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::{Action, EndpointInfo, Event, Micros, Settings};
-use oakport_simulator::{play_with, Kind, Policy, Scenario, Truth, Verdict, Window};
+use oakport_simulator::{simulate_with, PolicyKind, Policy, Scenario, ServerState, Verdict, Window};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -191,7 +191,7 @@
 impl Metered {
     fn make(seed: u64, settings: &Settings, meter: &Rc<Meter>) -> Box<dyn Policy> {
         let mut policy = None;
-        let (_, held) = measured(|| policy = Some(Kind::Oakport.make(seed, settings)));
+        let (_, held) = measured(|| policy = Some(PolicyKind::Oakport.make(seed, settings)));
         let number = meter.memory.borrow().len();
         meter.memory.borrow_mut().push(held);
         // It has just been made.
@@ -201,7 +201,7 @@
 }
 
 impl Policy for Metered {
-    fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>) {
         /// Room for what an event brings: the list of actions is not the balancer's, and is not to grow.
         const ROOM: usize = 256;
         let meter = &self.meter;
@@ -236,7 +236,7 @@
     let meter = Rc::new(Meter::new(until));
     let make = |seed: u64, settings: &Settings| Metered::make(seed, settings, &meter);
     let scenario = day.scenario(balancers, servers)?;
-    let verdict = play_with(&scenario, "oakport", Kind::Oakport.sight(), &make, seed);
+    let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.sight(), &make, seed);
     if meter.late.get() {
         let why = format!("{day:?} with {servers} servers did not end in its time");
         return Err(Stopped::NotRun(why));
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -3,7 +3,7 @@
 use clap::builder::PossibleValuesParser;
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use oakport_simulator::{play, Kind, Scenario, Verdict, KINDS};
+use oakport_simulator::{simulate, PolicyKind, Scenario, Verdict, POLICY_KINDS};
 use rayon::prelude::*;
 use serde_json::json;
 use std::fmt::Write;
@@ -32,7 +32,7 @@
     #[arg(long, value_name = "R")]
     rate: Option<f64>,
     /// Only these policies; `random` and `ceiling` are played all the same, as scores need them
-    #[arg(long, value_name = "NAME,...", value_delimiter = ',', value_parser = PossibleValuesParser::new(KINDS.map(Kind::name)))]
+    #[arg(long, value_name = "NAME,...", value_delimiter = ',', value_parser = PossibleValuesParser::new(POLICY_KINDS.map(PolicyKind::name)))]
     policy: Vec<String>,
     /// Also print oakport's day in stretches of five seconds
     #[arg(long)]
@@ -50,14 +50,14 @@
 }
 
 impl Day {
-    fn g(&self, kind: Kind) -> f64 {
+    fn g(&self, kind: PolicyKind) -> f64 {
         self.verdicts.iter().find(|v| v.policy == kind.name()).map_or(f64::NAN, |v| v.g)
     }
 
     /// 0 for random choice, 1 for the ceiling. None: the two lie too near to tell.
     fn score(&self, verdict: &Verdict) -> Option<f64> {
         const LEAST: f64 = 0.02;
-        let (floor, top) = (self.g(Kind::Random), self.g(Kind::Ceiling));
+        let (floor, top) = (self.g(PolicyKind::Random), self.g(PolicyKind::Ceiling));
         (top - floor >= LEAST).then(|| (verdict.g - floor) / (top - floor))
     }
 }
@@ -66,19 +66,19 @@
     /// Plays all, in parallel, and prints the tables. True if oakport kept the rules.
     pub fn run(&self) -> Result<bool, String> {
         let scenarios = self.scenarios.iter().map(|path| self.read(path)).collect::<Result<Vec<_>, _>>()?;
-        let needed = [Kind::Random, Kind::Ceiling];
-        let wanted = |kind: &Kind| {
+        let needed = [PolicyKind::Random, PolicyKind::Ceiling];
+        let wanted = |kind: &PolicyKind| {
             self.policy.is_empty() || needed.contains(kind) || self.policy.iter().any(|p| p == kind.name())
         };
-        let kinds: Vec<Kind> = KINDS.into_iter().filter(wanted).collect();
+        let kinds: Vec<PolicyKind> = POLICY_KINDS.into_iter().filter(wanted).collect();
         let seeds = || self.seed..self.seed + self.seeds;
-        let runs: Vec<(usize, u64, Kind)> = (0..scenarios.len())
+        let runs: Vec<(usize, u64, PolicyKind)> = (0..scenarios.len())
             .flat_map(|day| seeds().flat_map(move |seed| [(day, seed)]))
             .flat_map(|(day, seed)| kinds.iter().map(move |&kind| (day, seed, kind)))
             .collect();
         // Each run is a world of its own, so that the number of threads changes nothing.
         let verdicts: Vec<Verdict> =
-            runs.par_iter().map(|&(day, seed, kind)| play(&scenarios[day].1, kind, seed)).collect();
+            runs.par_iter().map(|&(day, seed, kind)| simulate(&scenarios[day].1, kind, seed)).collect();
         let days: Vec<Day> = runs
             .chunks(kinds.len())
             .zip(verdicts.chunks(kinds.len()))
@@ -102,7 +102,7 @@
             std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let broken =
-            |day: &Day| day.verdicts.iter().any(|v| v.policy == Kind::Oakport.name() && v.broken > 0);
+            |day: &Day| day.verdicts.iter().any(|v| v.policy == PolicyKind::Oakport.name() && v.broken > 0);
         Ok(!days.iter().any(broken))
     }
 
@@ -170,7 +170,7 @@
         table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
         let mut text = String::new();
         text.extend(table.lines().map(|line| format!("{}\n", line.trim_end())));
-        for v in day.verdicts.iter().filter(|v| v.policy == Kind::Oakport.name()) {
+        for v in day.verdicts.iter().filter(|v| v.policy == PolicyKind::Oakport.name()) {
             for broken in &v.violations {
                 let _ = writeln!(
                     text,
@@ -208,7 +208,7 @@
 }
 
 /// Means over all days and seeds.
-fn summary(days: &[Day], kinds: &[Kind]) -> String {
+fn summary(days: &[Day], kinds: &[PolicyKind]) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header([
         "policy",
