--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,16 +4,16 @@
 //! whatever the machine: `docs/simulator.md` says how, and what the model leaves out.
 
 mod arrivals;
-pub mod chance;
 mod judge;
 mod policy;
 mod queue;
+pub mod random;
 pub mod scenario;
 pub mod server;
 mod world;
 
 pub use arrivals::{Arrival, Arrivals};
 pub use judge::{Verdict, Violation, Window};
-pub use policy::{PolicyKind, Policy, Visibility, ServerState, POLICY_KINDS};
-pub use scenario::{ScenarioError, Scenario};
+pub use policy::{Policy, PolicyKind, ServerState, Visibility, POLICY_KINDS};
+pub use scenario::{Scenario, ScenarioError};
 pub use world::{simulate, simulate_with, MakePolicy};
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,6 +1,6 @@
 //! Who decides: oakport's own module, and the plain policies that it is held against.
 
-use crate::chance;
+use crate::random;
 use oakport_core::{
     Action, Balancer, CallId, ClassId, EndpointId, EndpointState, Event, Idempotency, ListUpdateKind, Micros,
     Outcome, Settings, ZoneId,
@@ -18,7 +18,7 @@
     /// Cores' worth of work that it can do.
     pub capacity: f64,
     /// It can be reached, takes work and has room for one more connection.
-    pub serves: bool,
+    pub available: bool,
     /// Its zone.
     pub zone: ZoneId,
 }
@@ -35,9 +35,9 @@
     /// Nothing: as in service.
     None,
     /// The state of a second ago at the oldest.
-    Late,
+    Delayed,
     /// The state as it is.
-    Now,
+    Current,
 }
 
 /// The policies by name.
@@ -85,10 +85,10 @@
     }
 
     /// What it is shown.
-    pub fn sight(self) -> Visibility {
+    pub fn visibility(self) -> Visibility {
         match self {
-            PolicyKind::Ceiling => Visibility::Now,
-            PolicyKind::CeilingLate => Visibility::Late,
+            PolicyKind::Ceiling => Visibility::Current,
+            PolicyKind::CeilingLate => Visibility::Delayed,
             _ => Visibility::None,
         }
     }
@@ -131,19 +131,26 @@
     random: Pcg64,
     servers: BTreeMap<EndpointId, KnownServer>,
     calls: HashMap<CallId, Call>,
-    next: usize,
+    round_robin_index: usize,
 }
 
 impl BaselinePolicy {
     fn new(kind: PolicyKind, seed: u64, settings: Settings) -> Self {
         let (servers, calls) = (BTreeMap::new(), HashMap::new());
-        BaselinePolicy { kind, settings, random: chance::policy_rng(seed), servers, calls, next: 0 }
+        BaselinePolicy {
+            kind,
+            settings,
+            random: random::policy_rng(seed),
+            servers,
+            calls,
+            round_robin_index: 0,
+        }
     }
 
     /// Where a call goes. None: nowhere.
     fn pick(&mut self, call: CallId, truth: &[ServerState]) -> Option<EndpointId> {
         /// Work for which the ceiling goes to another zone, in microseconds.
-        const AWAY: f64 = 15_000.0;
+        const CROSS_ZONE_WORK_US: f64 = 15_000.0;
         let tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
         let ready: Vec<KnownServer> = self.servers.values().copied().filter(|s| s.ready).collect();
         let fresh: Vec<KnownServer> = ready.iter().copied().filter(|s| !tried(s.id)).collect();
@@ -151,8 +158,8 @@
         let any = |random: &mut Pcg64| among.get(random.gen_range(0..among.len().max(1))).copied();
         let found = match self.kind {
             PolicyKind::RoundRobin => {
-                self.next += 1;
-                among.get(self.next % among.len().max(1)).copied()
+                self.round_robin_index += 1;
+                among.get(self.round_robin_index % among.len().max(1)).copied()
             }
             PolicyKind::Least => {
                 let least = among.iter().map(|s| s.in_flight).min()?;
@@ -166,11 +173,15 @@
             PolicyKind::Ceiling | PolicyKind::CeilingLate => {
                 // By the time to an answer, and where that is alike, in the own zone.
                 let load = |s: &KnownServer| {
-                    let server = truth.get(s.id.0 as usize).filter(|t| t.serves && t.capacity > 0.0)?;
-                    let away = if server.zone == self.settings.zone { 0.0 } else { AWAY };
+                    let server = truth.get(s.id.0 as usize).filter(|t| t.available && t.capacity > 0.0)?;
+                    let away = if server.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_WORK_US };
                     // Of what is a second old only the lasting part is of use.
                     let now = self.kind == PolicyKind::Ceiling;
-                    let load = if now { server.backlog } else { (f64::from(s.in_flight) + 1.0) * AWAY };
+                    let load = if now {
+                        server.backlog
+                    } else {
+                        (f64::from(s.in_flight) + 1.0) * CROSS_ZONE_WORK_US
+                    };
                     Some((load + away) / server.capacity)
                 };
                 let mut loads: Vec<(f64, &KnownServer)> =
@@ -195,7 +206,7 @@
     }
 
     fn send(&mut self, now: Micros, id: CallId, truth: &[ServerState], actions: &mut Vec<Action>) {
-        let Some(server) = self.pick(id, truth) else { return self.give_up(id, actions) };
+        let Some(server) = self.pick(id, truth) else { return self.reject_or_fail(id, actions) };
         if let Some(known) = self.servers.get_mut(&server) {
             known.in_flight += 1;
         }
@@ -204,17 +215,17 @@
         actions.push(Action::Send { call: id, endpoint: server, timeout_at: None, send_before: None });
     }
 
-    fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
-        const COME_BACK: Micros = 200_000;
+    fn reject_or_fail(&mut self, id: CallId, actions: &mut Vec<Action>) {
+        const RETRY_AFTER_US: Micros = 200_000;
         let Some(call) = self.calls.remove(&id) else { return };
         let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
-        actions.push(match self.repeat(call.class) {
+        actions.push(match self.idempotency(call.class) {
             Idempotency::NonIdempotent if ran => Action::Fail { call: id },
-            _ => Action::Reject { call: id, retry_after: COME_BACK },
+            _ => Action::Reject { call: id, retry_after: RETRY_AFTER_US },
         });
     }
 
-    fn repeat(&self, class: ClassId) -> Idempotency {
+    fn idempotency(&self, class: ClassId) -> Idempotency {
         self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 }
@@ -252,10 +263,10 @@
                 let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
                 let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
                 let in_time = call.deadline > now;
-                if more && in_time && (!ran || self.repeat(class) == Idempotency::Idempotent) {
+                if more && in_time && (!ran || self.idempotency(class) == Idempotency::Idempotent) {
                     self.send(now, id, truth, actions);
                 } else {
-                    self.give_up(id, actions);
+                    self.reject_or_fail(id, actions);
                 }
             }
             Event::ClientDisconnected { call } => {
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -16,7 +16,7 @@
 struct Item<E> {
     at: Micros,
     serial: u64,
-    what: E,
+    event: E,
 }
 
 impl<E> Item<E> {
@@ -57,25 +57,25 @@
     }
 
     /// Puts in what happens at `at`, or now if that has passed.
-    pub fn at(&mut self, at: Micros, what: E) {
+    pub fn schedule_at(&mut self, at: Micros, what: E) {
         self.serial += 1;
-        self.heap.push(Reverse(Item { at: at.max(self.now), serial: self.serial, what }));
+        self.heap.push(Reverse(Item { at: at.max(self.now), serial: self.serial, event: what }));
     }
 
     /// The same, so long from now.
-    pub fn after(&mut self, after: Micros, what: E) {
-        self.at(self.now.saturating_add(after), what);
+    pub fn schedule_after(&mut self, after: Micros, what: E) {
+        self.schedule_at(self.now.saturating_add(after), what);
     }
 
     /// Takes the next thing, and moves on to its moment.
-    pub fn next(&mut self) -> Option<E> {
+    pub fn pop(&mut self) -> Option<E> {
         let Reverse(item) = self.heap.pop()?;
         self.now = item.at;
-        Some(item.what)
+        Some(item.event)
     }
 
     /// How many things have been put in so far.
-    pub fn count(&self) -> u64 {
+    pub fn scheduled_count(&self) -> u64 {
         self.serial
     }
 }
--- a/crates/simulator/src/chance.rs
+++ b/crates/simulator/src/random.rs
@@ -14,7 +14,7 @@
     /// Which servers a fault meets.
     Faults,
     /// Delays, losses and errors.
-    Luck,
+    Noise,
     /// How long clients wait, and when they come again.
     Clients,
     /// The policy of a proxy.
@@ -28,7 +28,7 @@
     let number = match part {
         StreamId::Arrivals => 1,
         StreamId::Faults => 2,
-        StreamId::Luck => 3,
+        StreamId::Noise => 3,
         StreamId::Clients => 4,
         StreamId::Fleet => 5,
         StreamId::Policy(proxy) => 1_000 + proxy as u128,
@@ -69,7 +69,7 @@
 
 impl WorkDistribution {
     /// A draw about a mean, in microseconds.
-    pub fn draw(self, mean: f64, random: &mut impl Rng) -> f64 {
+    pub fn sample(self, mean: f64, random: &mut impl Rng) -> f64 {
         const SIGMA: f64 = 0.7;
         match self {
             WorkDistribution::Fixed => mean,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A day as it is written: TOML, times with their units, and a time line of what goes wrong.
 
-use crate::chance::WorkDistribution;
+use crate::random::WorkDistribution;
 use oakport_core::Micros;
 use serde::{Deserialize, Deserializer};
 
@@ -12,7 +12,8 @@
     pub purpose: String,
     /// How long requests come.
     #[serde(deserialize_with = "duration")]
-    pub length: Micros,
+    #[serde(rename = "length")]
+    pub duration: Micros,
     /// Client proxies.
     pub balancers: usize,
     /// Servers at the start.
@@ -21,7 +22,8 @@
     pub rate: f64,
     /// How unequal the client proxies' parts of them are: 0 alike, 1 the largest has several times the mean.
     #[serde(default)]
-    pub uneven: f64,
+    #[serde(rename = "uneven")]
+    pub proxy_skew: f64,
     /// Zones over which servers and client proxies are spread.
     #[serde(default = "default_zones")]
     pub zones: Vec<String>,
@@ -51,7 +53,7 @@
     pub events: Vec<FaultSpec>,
     /// What the day's figures must be on sockets.
     #[serde(default, rename = "expect")]
-    pub expects: Vec<Expectation>,
+    pub expectations: Vec<Expectation>,
 }
 
 /// What a figure of the day must be.
@@ -62,10 +64,12 @@
     pub figure: String,
     /// No less than this.
     #[serde(default)]
-    pub least: Option<f64>,
+    #[serde(rename = "least")]
+    pub min: Option<f64>,
     /// No more than this.
     #[serde(default)]
-    pub most: Option<f64>,
+    #[serde(rename = "most")]
+    pub max: Option<f64>,
 }
 
 fn default_zones() -> Vec<String> {
@@ -81,27 +85,36 @@
     /// Requests in work at a time.
     pub slots: usize,
     /// Requests that may wait for a slot; beyond them it turns away.
-    pub room: usize,
+    #[serde(rename = "room")]
+    pub queue_capacity: usize,
     /// Share of its capacity that a fresh server has.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub initial_capacity_ratio: f64,
     /// And is warm after this.
     #[serde(deserialize_with = "duration")]
-    pub cold_time: Micros,
+    #[serde(rename = "cold_time")]
+    pub warm_up_duration: Micros,
     /// Sent more than this multiple of what it can then do ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub cold_overload_factor: f64,
     /// ... over this span, a cold server falls over.
     #[serde(deserialize_with = "duration")]
-    pub fall_time: Micros,
+    #[serde(rename = "fall_time")]
+    pub cold_overload_window: Micros,
     /// Connections that it holds at the most.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// It closes a connection that has been idle for this long.
     #[serde(deserialize_with = "duration")]
-    pub idle_close: Micros,
+    #[serde(rename = "idle_close")]
+    pub idle_timeout: Micros,
     /// Work that a new connection costs it.
     #[serde(deserialize_with = "duration")]
-    pub handshake: Micros,
+    #[serde(rename = "handshake")]
+    pub handshake_work: Micros,
     /// How it suffers under a crowd, if at all.
-    pub choke: Option<CongestionSpec>,
+    #[serde(rename = "choke")]
+    pub congestion: Option<CongestionSpec>,
 }
 
 /// A server that has had too many waiting for too long is slower, until it has had little to do for a while (BRIEF,
@@ -110,20 +123,26 @@
 #[serde(deny_unknown_fields)]
 pub struct CongestionSpec {
     /// More requests than this wait for each core ...
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub min_waiting_per_core: f64,
     /// ... for this span: then it chokes.
     #[serde(deserialize_with = "duration")]
-    pub over: Micros,
+    #[serde(rename = "over")]
+    pub onset_time: Micros,
     /// How many times slower it is then.
-    pub slower: f64,
+    #[serde(rename = "slower")]
+    pub slowdown_factor: f64,
     /// Fewer requests than this are in hand for each core ...
-    pub below: f64,
+    #[serde(rename = "below")]
+    pub recovery_load_per_core: f64,
     /// ... for this span: then it is well again.
     #[serde(deserialize_with = "duration")]
-    pub rest: Micros,
+    #[serde(rename = "rest")]
+    pub recovery_time: Micros,
     /// It is well again after this in any case.
     #[serde(deserialize_with = "duration")]
-    pub most: Micros,
+    #[serde(rename = "most")]
+    pub max_duration: Micros,
 }
 
 impl Default for ServerSpec {
@@ -131,15 +150,15 @@
         ServerSpec {
             cores: 3.0,
             slots: 12,
-            room: 24,
-            cold_share: 0.13,
-            cold_time: 24_000_000,
-            fall_multiple: 3.0,
-            fall_time: 3_000_000,
-            connections: 80,
-            idle_close: 5_000_000,
-            handshake: 1_000,
-            choke: None,
+            queue_capacity: 24,
+            initial_capacity_ratio: 0.13,
+            warm_up_duration: 24_000_000,
+            cold_overload_factor: 3.0,
+            cold_overload_window: 3_000_000,
+            max_connections: 80,
+            idle_timeout: 5_000_000,
+            handshake_work: 1_000,
+            congestion: None,
         }
     }
 }
@@ -150,10 +169,12 @@
 pub struct NetworkSpec {
     /// One way within a zone.
     #[serde(deserialize_with = "duration")]
-    pub within: Micros,
+    #[serde(rename = "within")]
+    pub delay_within_zone: Micros,
     /// One way between zones.
     #[serde(deserialize_with = "duration")]
-    pub across: Micros,
+    #[serde(rename = "across")]
+    pub delay_across_zones: Micros,
     /// Share by which each delay differs, up or down.
     pub jitter: f64,
     /// A connection that is not up by then has failed.
@@ -163,7 +184,12 @@
 
 impl Default for NetworkSpec {
     fn default() -> Self {
-        NetworkSpec { within: 300, across: 2_000, jitter: 0.2, connect_timeout: 200_000 }
+        NetworkSpec {
+            delay_within_zone: 300,
+            delay_across_zones: 2_000,
+            jitter: 0.2,
+            connect_timeout: 200_000,
+        }
     }
 }
 
@@ -179,12 +205,13 @@
     pub drain_grace: Micros,
     /// One service of limited room is asked by all, each so often where nothing fails; else lists are pushed.
     #[serde(default, deserialize_with = "optional_duration")]
-    pub ask_every: Option<Micros>,
+    #[serde(rename = "ask_every")]
+    pub poll_interval: Option<Micros>,
 }
 
 impl Default for DiscoverySpec {
     fn default() -> Self {
-        DiscoverySpec { delay: 1_500_000, drain_grace: 1_000_000, ask_every: None }
+        DiscoverySpec { delay: 1_500_000, drain_grace: 1_000_000, poll_interval: None }
     }
 }
 
@@ -196,24 +223,27 @@
     pub retries: u32,
     /// How long they wait before, give or take half of it.
     #[serde(deserialize_with = "duration")]
-    pub wait: Micros,
+    #[serde(rename = "wait")]
+    pub retry_delay: Micros,
     /// Whether they wait at least as long as they are told.
     pub heed_retry_after: bool,
     /// The longest advice that they heed.
     #[serde(deserialize_with = "duration")]
-    pub retry_after_most: Micros,
+    #[serde(rename = "retry_after_most")]
+    pub max_retry_after: Micros,
     /// Least share of the deadline after which a try is given up.
-    pub patience: f64,
+    #[serde(rename = "patience")]
+    pub min_timeout_ratio: f64,
 }
 
 impl Default for ClientSpec {
     fn default() -> Self {
         ClientSpec {
             retries: 2,
-            wait: 200_000,
+            retry_delay: 200_000,
             heed_retry_after: true,
-            retry_after_most: 2_000_000,
-            patience: 1.0,
+            max_retry_after: 2_000_000,
+            min_timeout_ratio: 1.0,
         }
     }
 }
@@ -223,10 +253,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum IdempotencySpec {
     /// It may.
-    Free,
+    #[serde(rename = "free")]
+    Idempotent,
     /// Never.
     #[default]
-    SingleShot,
+    #[serde(rename = "single_shot")]
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -242,16 +274,20 @@
     pub work: Micros,
     /// How work is spread about the mean.
     #[serde(default)]
-    pub spread: WorkDistribution,
+    #[serde(rename = "spread")]
+    pub work_distribution: WorkDistribution,
     /// An answer by then earns its worth.
     #[serde(deserialize_with = "duration")]
-    pub aim: Micros,
+    #[serde(rename = "aim")]
+    pub latency_objective: Micros,
     /// How long a client waits over all its tries.
     #[serde(deserialize_with = "duration")]
-    pub deadline: Micros,
+    #[serde(rename = "deadline")]
+    pub client_timeout: Micros,
     /// What an answer in time is worth.
     #[serde(default = "default_priority_weight")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Whether it may run again.
     #[serde(default)]
     pub idempotency: IdempotencySpec,
@@ -270,11 +306,14 @@
     /// The least and the most bytes of a response's body.
     pub response_bytes: [usize; 2],
     /// Bytes a second that a server writes of its response.
-    pub give_rate: usize,
+    #[serde(rename = "give_rate")]
+    pub response_write_rate: usize,
     /// Bytes a second that a client writes of its request.
-    pub write_rate: usize,
+    #[serde(rename = "write_rate")]
+    pub request_write_rate: usize,
     /// Bytes a second that a client reads of its response.
-    pub read_rate: usize,
+    #[serde(rename = "read_rate")]
+    pub response_read_rate: usize,
     /// A client writes its next request right behind each request, before it has read the response.
     #[serde(default)]
     pub pipelined: bool,
@@ -285,7 +324,7 @@
     pub const MIN_RESPONSE_BYTES: usize = 65_537;
 
     /// What makes no sense although it can be read, for this class of requests.
-    fn odd(&self, idempotency: IdempotencySpec) -> Option<&'static str> {
+    fn validation_error(&self, idempotency: IdempotencySpec) -> Option<&'static str> {
         let ordered = |[least, most]: [usize; 2]| least <= most;
         match () {
             () if !ordered(self.request_bytes) || !ordered(self.response_bytes) => {
@@ -294,13 +333,15 @@
             () if self.response_bytes[0] < Self::MIN_RESPONSE_BYTES => {
                 Some("response_bytes must be above 65,536")
             }
-            () if [self.give_rate, self.write_rate, self.read_rate].contains(&0) => {
+            () if [self.response_write_rate, self.request_write_rate, self.response_read_rate]
+                .contains(&0) =>
+            {
                 Some("rates must be above 0")
             }
-            () if idempotency == IdempotencySpec::Free && self.request_bytes[1] > 0 => {
+            () if idempotency == IdempotencySpec::Idempotent && self.request_bytes[1] > 0 => {
                 Some("request_bytes needs idempotency = \"single_shot\", as other requests have no body")
             }
-            () if idempotency != IdempotencySpec::Free && self.pipelined => {
+            () if idempotency != IdempotencySpec::Idempotent && self.pipelined => {
                 Some("pipelined needs idempotency = \"free\": what may not run again is not written ahead")
             }
             () => None,
@@ -317,7 +358,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct GoalSpec {
     /// The whole day.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub overall: f64,
     /// The worst 10 s.
     pub worst_window: f64,
     /// The worst-served class.
@@ -325,9 +367,11 @@
     /// Price of each request crossing zones once.
     pub cross_zone: f64,
     /// Price of as much work wasted as was asked for.
-    pub waste: f64,
+    #[serde(rename = "waste")]
+    pub wasted_work: f64,
     /// Price of all failing only after its aim.
-    pub late_fail: f64,
+    #[serde(rename = "late_fail")]
+    pub late_failure: f64,
     /// Price of a new connection for each request.
     pub handshake: f64,
 }
@@ -336,12 +380,12 @@
     /// BRIEF's weights and deductions; its share for the worst tenant goes to the whole.
     fn default() -> Self {
         GoalSpec {
-            whole: 0.55,
+            overall: 0.55,
             worst_window: 0.15,
             worst_class: 0.30,
             cross_zone: 0.022,
-            waste: 0.082,
-            late_fail: 0.15,
+            wasted_work: 0.082,
+            late_failure: 0.15,
             handshake: 0.0,
         }
     }
@@ -356,12 +400,14 @@
     pub at: Micros,
     /// How long it lasts.
     #[serde(rename = "for", deserialize_with = "duration")]
-    pub lasts: Micros,
+    pub duration: Micros,
     /// What.
-    pub what: FaultKind,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// Share of the servers that it meets; of a zone, all.
     #[serde(default = "default_share")]
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub share: f64,
     /// The zone that it meets, by its name; else servers of all zones.
     #[serde(default)]
     pub zone: Option<String>,
@@ -370,11 +416,13 @@
     pub factor: f64,
     /// Servers that it met start again, cold, when it is over.
     #[serde(default)]
-    pub cold: bool,
+    #[serde(rename = "cold")]
+    pub restart_cold: bool,
     /// For a cut or a bad link: the two groups between which it lies, each as "zone:derby", "proxies:derby",
     /// "servers:derby", "proxies", "servers", "proxy:3", "server:5" or "discovery".
     #[serde(default)]
-    pub cut: Vec<String>,
+    #[serde(rename = "cut")]
+    pub link_groups: Vec<String>,
     /// Only what the first group sends to the second is met.
     #[serde(default)]
     pub one_way: bool,
@@ -389,7 +437,8 @@
     pub signals: Vec<SignalSpec>,
     /// Clients of a process that was told to end use their open connections until it is killed.
     #[serde(default)]
-    pub clients_stay: bool,
+    #[serde(rename = "clients_stay")]
+    pub clients_keep_connections: bool,
     /// The connections of a crowd to each client proxy.
     #[serde(default)]
     pub connections: usize,
@@ -490,7 +539,7 @@
 
 impl FaultKind {
     /// It is played on sockets only.
-    pub fn on_sockets(self) -> bool {
+    pub fn requires_sockets(self) -> bool {
         use FaultKind::*;
         matches!(
             self,
@@ -530,70 +579,74 @@
     /// What is wrong, with its place in the text, or which figure makes no sense.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError(e.to_string()))?;
-        match scenario.odd(text) {
+        match scenario.validation_error(text) {
             Some(odd) => Err(ScenarioError(odd)),
             None => Ok(scenario),
         }
     }
 
     /// The first event that virtual time does not play yet, if there is one.
-    pub fn only_on_sockets(&self) -> Option<FaultKind> {
-        self.events.iter().map(|e| e.what).find(|what| what.on_sockets())
+    pub fn first_socket_only_fault(&self) -> Option<FaultKind> {
+        self.events.iter().map(|e| e.kind).find(|what| what.requires_sockets())
     }
 
     /// What makes no sense although it can be read.
-    fn odd(&self, text: &str) -> Option<String> {
+    fn validation_error(&self, text: &str) -> Option<String> {
         let share = |value: f64| (0.0..=1.0).contains(&value);
         let positive = |value: f64| value.is_finite() && value > 0.0;
-        let whole = [
+        let scenario_checks = [
             (self.balancers > 0, "balancers: at least 1 is needed"),
             (self.servers > 0, "servers: at least 1 is needed"),
             (positive(self.rate), "rate: must be above 0 requests a second"),
-            (self.length >= 1_000_000, "length: at least 1s is needed"),
+            (self.duration >= 1_000_000, "length: at least 1s is needed"),
             (!self.zones.is_empty(), "zones: at least one is needed; leave the key out for one zone"),
             (!self.classes.is_empty(), "class: at least one [[class]] is needed"),
-            (share(self.uneven), "uneven: must be from 0 to 1"),
+            (share(self.proxy_skew), "uneven: must be from 0 to 1"),
             (positive(self.server.cores), "server.cores: must be above 0"),
             (self.server.slots > 0, "server.slots: at least 1 is needed"),
             (
-                self.server.choke.as_ref().is_none_or(|c| positive(c.slower)),
+                self.server.congestion.as_ref().is_none_or(|c| positive(c.slowdown_factor)),
                 "server.choke.slower: must be above 0",
             ),
-            (share(self.server.cold_share), "server.cold_share: must be from 0 to 1"),
+            (share(self.server.initial_capacity_ratio), "server.cold_share: must be from 0 to 1"),
             (share(self.network.jitter), "network.jitter: must be from 0 to 1"),
-            (share(self.clients.patience), "clients.patience: must be from 0 to 1"),
+            (share(self.clients.min_timeout_ratio), "clients.patience: must be from 0 to 1"),
         ];
-        let odd = whole.into_iter().find(|(fine, _)| !fine).map(|(_, odd)| odd.to_owned());
+        let odd = scenario_checks.into_iter().find(|(fine, _)| !fine).map(|(_, odd)| odd.to_owned());
         let class = || {
-            let fine = |c: &&ClassSpec| c.deadline > 0 && positive(c.share) && c.work > 0 && c.worth >= 0.0;
+            let fine = |c: &&ClassSpec| {
+                c.client_timeout > 0 && positive(c.share) && c.work > 0 && c.priority_weight >= 0.0
+            };
             let bad = self.classes.iter().find(|c| !fine(c))?;
             Some(format!("class {}: share, work and deadline must be above 0, worth not below", bad.name))
         };
         let transfer = || {
-            let odd = |c: &ClassSpec| c.transfer.as_ref().and_then(|transfer| transfer.odd(c.idempotency));
+            let odd = |c: &ClassSpec| {
+                c.transfer.as_ref().and_then(|transfer| transfer.validation_error(c.idempotency))
+            };
             let (class, odd) = self.classes.iter().find_map(|c| Some((c, odd(c)?)))?;
             Some(format!("class {}: transfer: {odd}", class.name))
         };
         let event = || {
             let fine = |t: &FaultSpec| {
                 let known = t.zone.as_ref().is_none_or(|z| self.zones.contains(z));
-                known && share(t.part) && positive(t.factor)
+                known && share(t.share) && positive(t.factor)
             };
             let number = self.events.iter().position(|t| !fine(t))?;
             Some(format!(
                 "line {}: event {:?}: its zone must be one of {}, part from 0 to 1, factor above 0",
                 line_of(text, "[[event]]", number),
-                self.events[number].what,
+                self.events[number].kind,
                 self.zones.join(", ")
             ))
         };
         let link = || {
             let odd = |t: &FaultSpec| {
-                match t.what {
-                FaultKind::Cut | FaultKind::Link if t.cut.len() != 2 => {
+                match t.kind {
+                FaultKind::Cut | FaultKind::Link if t.link_groups.len() != 2 => {
                     Some("cut must name two groups, such as [\"zone:derby\", \"servers\"]".to_owned())
                 }
-                _ => t.cut.iter().find(|group| Group::read(group, self).is_none()).map(|group| {
+                _ => t.link_groups.iter().find(|group| Group::parse(group, self).is_none()).map(|group| {
                     let zones = self.zones.join(", ");
                     format!(
                         "{group} is no group; write zone:, proxies: or servers: with one of {zones}, or proxies, \
@@ -608,12 +661,16 @@
             found.map(|(n, odd)| format!("line {}: event: {odd}", line_of(text, "[[event]]", n)))
         };
         let expect = || {
-            let number = self.expects.iter().position(|e| e.least.is_none() && e.most.is_none())?;
+            let number = self.expectations.iter().position(|e| e.min.is_none() && e.max.is_none())?;
             let line = line_of(text, "[[expect]]", number);
-            Some(format!("line {line}: expect {}: give least, most or both", self.expects[number].figure))
+            Some(format!(
+                "line {line}: expect {}: give least, most or both",
+                self.expectations[number].figure
+            ))
         };
         let signals = || {
-            let number = self.events.iter().position(|t| t.what == FaultKind::Signals && t.signals.is_empty())?;
+            let number =
+                self.events.iter().position(|t| t.kind == FaultKind::Signals && t.signals.is_empty())?;
             let line = line_of(text, "[[event]]", number);
             Some(format!("line {line}: event: signals must name at least one of hup, hup_invalid, term"))
         };
@@ -640,7 +697,7 @@
 
 impl Group {
     /// The group that a text names in this scenario.
-    pub fn read(text: &str, scenario: &Scenario) -> Option<Group> {
+    pub fn parse(text: &str, scenario: &Scenario) -> Option<Group> {
         let (kind, name) = text.split_once(':').map_or((text, None), |(kind, name)| (kind, Some(name)));
         let zone = || scenario.zones.iter().position(|zone| Some(zone.as_str()) == name);
         let number = |below: usize| name?.parse().ok().filter(|number| *number < below);
@@ -658,7 +715,7 @@
     }
 
     /// Does a proxy of this number and zone belong to it?
-    pub fn has_proxy(self, number: usize, zone: usize) -> bool {
+    pub fn contains_proxy(self, number: usize, zone: usize) -> bool {
         match self {
             Group::Zone(z) | Group::Proxies(Some(z)) => z == zone,
             Group::Proxies(None) => true,
@@ -668,7 +725,7 @@
     }
 
     /// Does a server of this number and zone belong to it?
-    pub fn has_server(self, number: usize, zone: usize) -> bool {
+    pub fn contains_server(self, number: usize, zone: usize) -> bool {
         match self {
             Group::Zone(z) | Group::Servers(Some(z)) => z == zone,
             Group::Servers(None) => true,
@@ -693,13 +750,13 @@
 fn duration<'de, D: Deserializer<'de>>(reader: D) -> Result<Micros, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Form {
+    enum DurationText {
         Number(u64),
         Text(String),
     }
-    match Form::deserialize(reader) {
-        Ok(Form::Number(number)) => Ok(number),
-        Ok(Form::Text(text)) => match humantime::parse_duration(&text) {
+    match DurationText::deserialize(reader) {
+        Ok(DurationText::Number(number)) => Ok(number),
+        Ok(DurationText::Text(text)) => match humantime::parse_duration(&text) {
             Ok(span) => Ok(span.as_micros() as Micros),
             Err(odd) => {
                 Err(serde::de::Error::custom(format!("\"{text}\" is no time: {odd}; write \"400ms\"")))
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,18 +1,18 @@
 //! The day as it goes: who sends what to whom, when it arrives, and what that brings.
 
 mod clients;
+mod faults;
 mod fleet;
 mod proxies;
 mod site;
-mod troubles;
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::chance::{self, jitter, StreamId};
-use crate::judge::{RequestOutcome, Judge, Verdict};
-use crate::policy::{PolicyKind, Policy, Visibility, ServerState};
+use crate::judge::{Judge, RequestOutcome, Verdict};
+use crate::policy::{Policy, PolicyKind, ServerState, Visibility};
 use crate::queue::EventQueue;
-use crate::scenario::{IdempotencySpec, Scenario, FaultSpec, FaultKind};
-use crate::server::{Server, Admission};
+use crate::random::{self, jitter, StreamId};
+use crate::scenario::{FaultKind, FaultSpec, IdempotencySpec, Scenario};
+use crate::server::{Admission, Server};
 use oakport_core::{
     Action, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport,
     Micros, Outcome, Settings, ZoneId,
@@ -41,26 +41,26 @@
 enum SimEvent {
     Arrival,
     Retry { request: usize },
-    AtServer { attempt: usize },
+    RequestArrives { attempt: usize },
     ServerEnd { server: usize, version: u64 },
-    AtProxy { attempt: usize, outcome: Outcome },
+    OutcomeArrives { attempt: usize, outcome: Outcome },
     Timeout { attempt: usize },
-    DropAt { attempt: usize },
-    Backstop { call: usize },
-    Wake { proxy: usize, life: u32 },
-    News { proxy: usize, server: usize, state: EndpointState, started: Micros },
-    Begin { trouble: usize },
-    Finish { trouble: usize, server: usize },
+    CancelArrives { attempt: usize },
+    AnswerDeadline { call: usize },
+    PolicyTimer { proxy: usize, incarnation: u32 },
+    ListUpdate { proxy: usize, server: usize, state: EndpointState, started: Micros },
+    FaultBegins { fault: usize },
+    FaultEnds { fault: usize, server: usize },
     Drain { server: usize },
     Replace { server: usize },
-    Look,
+    RefreshServerStates,
 }
 
 /// A client's request, over all its tries.
 struct Request {
     class: usize,
     proxy: usize,
-    asked: Micros,
+    arrived_at: Micros,
     work: f64,
     tries: u32,
     ended: bool,
@@ -80,11 +80,11 @@
     call: usize,
     number: u32,
     server: usize,
-    sent: Micros,
-    until: Micros,
-    reached: bool,
+    sent_at: Micros,
+    timeout_at: Micros,
+    reached_server: bool,
     outcome: Option<Outcome>,
-    linked: bool,
+    has_connection: bool,
 }
 
 /// A client proxy.
@@ -92,35 +92,35 @@
     policy: Box<dyn Policy>,
     zone: usize,
     /// Counts its processes.
-    life: u32,
+    incarnation: u32,
     /// What it has been told of each server, and since when.
-    told: Vec<Option<(EndpointState, Micros, Micros)>>,
-    events: VecDeque<Event>,
+    known_servers: Vec<Option<(EndpointState, Micros, Micros)>>,
+    pending_events: VecDeque<Event>,
 }
 
 /// A fleet in the middle of a day.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    make: &'a MakePolicy<'a>,
-    sight: Visibility,
+    make_policy: &'a MakePolicy<'a>,
+    visibility: Visibility,
     queue: EventQueue<SimEvent>,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
     requests: Vec<Request>,
     calls: Vec<Call>,
     attempts: Vec<Attempt>,
-    truth: Vec<ServerState>,
-    surge: f64,
+    server_states: Vec<ServerState>,
+    surge_factor: f64,
     arrivals: Arrivals,
-    luck: Pcg64,
-    clients: Pcg64,
-    fleet: Pcg64,
-    faults: Pcg64,
+    noise_rng: Pcg64,
+    client_rng: Pcg64,
+    fleet_rng: Pcg64,
+    fault_rng: Pcg64,
     judge: Judge,
     actions: Vec<Action>,
     /// Actions are being carried out.
-    acting: bool,
+    applying_actions: bool,
 }
 
 /// Makes the policy of a client proxy from a seed and what it is told of the site.
@@ -128,73 +128,79 @@
 
 /// Plays a day with one policy.
 pub fn simulate(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Verdict {
-    simulate_with(scenario, kind.name(), kind.sight(), &|seed, settings| kind.make(seed, settings), seed)
+    simulate_with(scenario, kind.name(), kind.visibility(), &|seed, settings| kind.make(seed, settings), seed)
 }
 
 /// Plays a day with a policy that is not one of the kinds, under this name.
 pub fn simulate_with(
     scenario: &Scenario,
     name: &'static str,
-    sight: Visibility,
+    visibility: Visibility,
     make: &MakePolicy<'_>,
     seed: u64,
 ) -> Verdict {
-    let mut world = Simulation::new(scenario, sight, make, seed);
-    let end = START_US + scenario.length + MAX_TAIL_US;
-    while let Some(what) = world.queue.next() {
+    let mut world = Simulation::new(scenario, visibility, make, seed);
+    let end = START_US + scenario.duration + MAX_TAIL_US;
+    while let Some(what) = world.queue.pop() {
         if world.queue.now() > end {
             break;
         }
-        world.happens(what);
+        world.handle(what);
     }
-    let events = world.queue.count();
-    world.give_up_rest();
-    world.judge.verdict(name, scenario, events)
+    let events = world.queue.scheduled_count();
+    world.fail_open_requests();
+    world.judge.into_verdict(name, scenario, events)
 }
 
 impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, sight: Visibility, make: &'a MakePolicy<'a>, seed: u64) -> Self {
-        let mut fleet = chance::stream(seed, StreamId::Fleet);
+        let mut fleet = random::stream(seed, StreamId::Fleet);
         let zones = scenario.zones.len();
         let servers = (0..scenario.servers).map(|n| Server::new(&scenario.server, n % zones, 0)).collect();
         let arrivals = Arrivals::new(scenario, seed, &mut fleet);
         let mut world = Simulation {
             scenario,
             seed,
-            make,
-            sight,
+            make_policy: make,
+            visibility: sight,
             queue: EventQueue::new(START_US),
             servers,
             proxies: Vec::new(),
             requests: Vec::new(),
             calls: Vec::new(),
             attempts: Vec::new(),
-            truth: Vec::new(),
-            surge: 1.0,
+            server_states: Vec::new(),
+            surge_factor: 1.0,
             arrivals,
-            luck: chance::stream(seed, StreamId::Luck),
-            clients: chance::stream(seed, StreamId::Clients),
-            fleet,
-            faults: chance::stream(seed, StreamId::Faults),
+            noise_rng: random::stream(seed, StreamId::Noise),
+            client_rng: random::stream(seed, StreamId::Clients),
+            fleet_rng: fleet,
+            fault_rng: random::stream(seed, StreamId::Faults),
             judge: Judge::new(scenario),
             actions: Vec::new(),
-            acting: false,
+            applying_actions: false,
         };
-        world.look();
+        world.refresh_server_states();
         for number in 0..scenario.balancers {
             let zone = number % zones;
-            let policy = make(chance::policy_seed(seed, number), &site::settings(scenario, zone));
+            let policy = make(random::policy_seed(seed, number), &site::settings(scenario, zone));
             let told = vec![Some((EndpointState::Ready, 0, START_US)); scenario.servers];
-            world.proxies.push(Proxy { policy, zone, life: 0, told, events: VecDeque::new() });
-            world.start(number, ListUpdateKind::Snapshot);
+            world.proxies.push(Proxy {
+                policy,
+                zone,
+                incarnation: 0,
+                known_servers: told,
+                pending_events: VecDeque::new(),
+            });
+            world.start_policy(number, ListUpdateKind::Snapshot);
         }
         for (trouble, spec) in scenario.events.iter().enumerate() {
-            world.queue.at(START_US + spec.at, SimEvent::Begin { trouble });
+            world.queue.schedule_at(START_US + spec.at, SimEvent::FaultBegins { fault: trouble });
         }
-        if sight == Visibility::Late {
-            world.queue.after(STATE_REFRESH_US, SimEvent::Look);
+        if sight == Visibility::Delayed {
+            world.queue.schedule_after(STATE_REFRESH_US, SimEvent::RefreshServerStates);
         }
-        world.next_arrival();
+        world.schedule_arrival();
         world
     }
 
@@ -202,32 +208,34 @@
         self.queue.now()
     }
 
-    fn happens(&mut self, what: SimEvent) {
+    fn handle(&mut self, what: SimEvent) {
         match what {
-            SimEvent::Arrival => self.arrival(),
-            SimEvent::Retry { request } => self.try_again(request),
-            SimEvent::AtServer { attempt } => self.at_server(attempt),
+            SimEvent::Arrival => self.handle_arrival(),
+            SimEvent::Retry { request } => self.start_try(request),
+            SimEvent::RequestArrives { attempt } => self.request_arrives(attempt),
             SimEvent::ServerEnd { server, version } => self.server_end(server, version),
-            SimEvent::AtProxy { attempt, outcome } => self.at_proxy(attempt, outcome),
+            SimEvent::OutcomeArrives { attempt, outcome } => self.outcome_arrives(attempt, outcome),
             SimEvent::Timeout { attempt } => self.timeout(attempt),
-            SimEvent::DropAt { attempt } => self.drop_at(attempt),
-            SimEvent::Backstop { call } => self.backstop(call),
-            SimEvent::Wake { proxy, life } if self.proxies[proxy].life == life => {
-                self.event(proxy, Event::Timer);
+            SimEvent::CancelArrives { attempt } => self.cancel_arrives(attempt),
+            SimEvent::AnswerDeadline { call } => self.check_answered(call),
+            SimEvent::PolicyTimer { proxy, incarnation: life } if self.proxies[proxy].incarnation == life => {
+                self.deliver_event(proxy, Event::Timer);
             }
-            SimEvent::Wake { .. } => {}
-            SimEvent::News { proxy, server, state, started } => self.news(proxy, server, state, started),
-            SimEvent::Begin { trouble } => self.begin(trouble),
-            SimEvent::Finish { trouble, server } => self.finish(trouble, server),
+            SimEvent::PolicyTimer { .. } => {}
+            SimEvent::ListUpdate { proxy, server, state, started } => {
+                self.list_update_arrives(proxy, server, state, started)
+            }
+            SimEvent::FaultBegins { fault: trouble } => self.begin_fault(trouble),
+            SimEvent::FaultEnds { fault: trouble, server } => self.end_fault(trouble, server),
             SimEvent::Drain { server } => {
                 self.servers[server].draining = true;
-                self.tell(server, EndpointState::Draining);
-                self.queue.after(DRAIN_TIMEOUT_US, SimEvent::Replace { server });
+                self.publish(server, EndpointState::Draining);
+                self.queue.schedule_after(DRAIN_TIMEOUT_US, SimEvent::Replace { server });
             }
             SimEvent::Replace { server } => self.replace(server),
-            SimEvent::Look => {
-                self.look();
-                self.queue.after(STATE_REFRESH_US, SimEvent::Look);
+            SimEvent::RefreshServerStates => {
+                self.refresh_server_states();
+                self.queue.schedule_after(STATE_REFRESH_US, SimEvent::RefreshServerStates);
             }
         }
     }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,9 @@
 //! Whole days of the model: what must hold whatever the policy, and what the judge must see.
 
 use oakport_core::{Action, Balancer, CallId, EndpointId, EndpointState, Event, Micros, Settings};
-use oakport_simulator::{simulate, simulate_with, PolicyKind, Policy, Scenario, Visibility, ServerState, Verdict, POLICY_KINDS};
+use oakport_simulator::{
+    simulate, simulate_with, Policy, PolicyKind, Scenario, ServerState, Verdict, Visibility, POLICY_KINDS,
+};
 use std::path::Path;
 
 fn scenario(name: &str) -> Scenario {
@@ -29,7 +31,10 @@
     let day = scenario("release");
     let asked = |kind| {
         let verdict = simulate(&day, kind, 3);
-        (verdict.requests, verdict.windows.iter().map(|w| (w.asked, w.worth as u64)).collect::<Vec<_>>())
+        (
+            verdict.requests,
+            verdict.windows.iter().map(|w| (w.requests, w.requested_weight as u64)).collect::<Vec<_>>(),
+        )
     };
     let first = asked(POLICY_KINDS[0]);
     assert!(first.0 > 10_000);
@@ -46,8 +51,11 @@
             let v = simulate(&day, kind, 2);
             let ended: u64 = v.windows.iter().map(|w| w.refused + w.failed + w.late).sum();
             assert!(ended <= v.requests && v.tries >= v.requests, "{name} {kind:?}");
-            assert!((0.0..=1.0).contains(&v.whole) && v.worst_window <= v.whole + 1e-9, "{name} {kind:?}");
-            assert!(v.g <= v.whole, "prices come off: {name} {kind:?}");
+            assert!(
+                (0.0..=1.0).contains(&v.served_share) && v.worst_window_share <= v.served_share + 1e-9,
+                "{name} {kind:?}"
+            );
+            assert!(v.goal_value <= v.served_share, "prices come off: {name} {kind:?}");
             let rules = v.violations.iter().map(|v| v.rule).collect::<Vec<_>>();
             assert!(kind != PolicyKind::Oakport || rules.is_empty(), "{name}: {rules:?}");
         }
@@ -58,8 +66,9 @@
 fn who_sees_more_serves_more() {
     for name in ["calm", "slow", "hang"] {
         let day = scenario(name);
-        let mean = |kind| (1..=3).map(|seed| simulate(&day, kind, seed).g).sum::<f64>() / 3.0;
-        let (random, two, ceiling) = (mean(PolicyKind::Random), mean(PolicyKind::TwoChoices), mean(PolicyKind::Ceiling));
+        let mean = |kind| (1..=3).map(|seed| simulate(&day, kind, seed).goal_value).sum::<f64>() / 3.0;
+        let (random, two, ceiling) =
+            (mean(PolicyKind::Random), mean(PolicyKind::TwoChoices), mean(PolicyKind::Ceiling));
         assert!(random < two && two < ceiling, "{name}: {random} {two} {ceiling}");
     }
 }
@@ -132,8 +141,8 @@
         let mut day = scenario(day);
         if what == "starts are not heard" {
             // A fleet with little to spare: what an even part is too much for shows only there.
-            (day.rate, day.server.cold_share) = (330.0, 0.02);
-            day.server.fall_multiple = 1.5;
+            (day.rate, day.server.initial_capacity_ratio) = (330.0, 0.02);
+            day.server.cold_overload_factor = 1.5;
         }
         let make = |seed: u64, settings: &Settings| -> Box<dyn Policy> {
             let module = Balancer::new(seed, settings.clone());
@@ -172,7 +181,7 @@
 #[test]
 fn a_burst_that_chokes_servers_is_over_when_it_ends_and_plain_policies_never_come_back() {
     let day = scenario("burst");
-    let recovers = |kind| simulate(&day, kind, 4).recover;
+    let recovers = |kind| simulate(&day, kind, 4).recovery_time;
     assert!(recovers(PolicyKind::Oakport).is_some_and(|after| after <= 5_000_000));
     assert_eq!(recovers(PolicyKind::TwoChoices), None);
 }
--- a/crates/testbed/src/cluster/calls.rs
+++ b/crates/testbed/src/cluster/calls.rs
@@ -2,7 +2,7 @@
 
 use super::record::Shared;
 use oakport_core::Micros;
-use oakport_simulator::scenario::{FaultSpec, FaultKind};
+use oakport_simulator::scenario::{FaultKind, FaultSpec};
 use std::collections::BTreeMap;
 
 /// Calls for lists and their answers, by proxy and time.
@@ -21,16 +21,16 @@
         const BEFORE: Micros = 6_500_000;
         const SECOND: Micros = 1_000_000;
         let fails = |event: &&FaultSpec| {
-            matches!(event.what, FaultKind::ListSilent | FaultKind::ListUnavailable)
-                && event.part >= 1.0
-                && event.lasts >= BEFORE + SECOND
+            matches!(event.kind, FaultKind::ListSilent | FaultKind::ListUnavailable)
+                && event.share >= 1.0
+                && event.duration >= BEFORE + SECOND
         };
         let mut figures = BTreeMap::new();
         let mut put = |name, value: f64| {
             figures.entry(name).and_modify(|old: &mut f64| *old = old.max(value)).or_insert(value);
         };
         for event in shared.day.events.iter().filter(fails) {
-            let (from, to) = (shared.at(event.at) + BEFORE, shared.at(event.at + event.lasts));
+            let (from, to) = (shared.at(event.at) + BEFORE, shared.at(event.at + event.duration));
             let mut seconds = vec![0_u32; ((to - from) / SECOND) as usize];
             for (_, at) in self.asked.iter().filter(|(_, at)| *at >= from) {
                 if let Some(second) = seconds.get_mut(((at - from) / SECOND) as usize) {
--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -342,7 +342,7 @@
         parties.push(Hop { proxy: Caller::new(seat.address), servers });
         seats.push(seat);
     }
-    let idle = Duration::from_micros(shared.day.server.idle_close);
+    let idle = Duration::from_micros(shared.day.server.idle_timeout);
     let chain = Arc::new(Chain { hops: parties, arrivals: Mutex::default(), idle });
     let mut accepting = JoinSet::new();
     for (listener, hop, server) in listeners {
@@ -377,9 +377,9 @@
 
 /// When calls are to be sent, in order. Both ways take turns: what else the machine does meets them alike.
 fn moments(day: &Scenario, seed: u64, pace: &Pace) -> Vec<Moment> {
-    let day = Scenario { rate: pace.rate, length: pace.length, ..day.clone() };
+    let day = Scenario { rate: pace.rate, duration: pace.length, ..day.clone() };
     let mut moments = Vec::new();
-    for (call, arrival) in (0..).zip(Arrivals::whole_day(&day, seed)) {
+    for (call, arrival) in (0..).zip(Arrivals::generate_all(&day, seed)) {
         moments.push((Duration::from_micros(arrival.at), Way::Proxies, call));
         moments.push((Duration::from_micros(arrival.at + LAG), Way::Direct, call));
     }
--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -6,7 +6,7 @@
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::Micros;
-use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::{IdempotencySpec, TransferSpec};
 use rand::Rng;
 use std::net::SocketAddr;
@@ -110,16 +110,16 @@
         let shared = &self.shared;
         let (class, clients) = (&shared.day.classes[shared.arrivals[request].class], &shared.day.clients);
         let first = shared.at(shared.arrivals[request].at);
-        let last = first + class.deadline;
-        let mut random = chance::stream(shared.seed, StreamId::Policy(2_000_000 + request));
+        let last = first + class.client_timeout;
+        let mut random = random::stream(shared.seed, StreamId::Policy(2_000_000 + request));
         let mut number = 0;
         let mut away = self.away.subscribe();
         let end = loop {
             // Whoever is away comes back, or the request's time is over.
             let back = timeout_at(shared.instant(last), away.wait_for(|away| !away)).await.is_ok();
             let now = shared.now();
-            let share = clients.patience + (1.0 - clients.patience) * random.gen::<f64>();
-            let time = ((class.deadline as f64 * share) as Micros).min(last.saturating_sub(now));
+            let share = clients.min_timeout_ratio + (1.0 - clients.min_timeout_ratio) * random.gen::<f64>();
+            let time = ((class.client_timeout as f64 * share) as Micros).min(last.saturating_sub(now));
             if !back || time < LEAST {
                 break TryEnd::Unreachable;
             }
@@ -131,10 +131,10 @@
                 TryEnd::Served(_) => break end,
                 TryEnd::Refused(told) => (true, told),
                 TryEnd::Unreachable => (true, 0),
-                _ => (class.idempotency == IdempotencySpec::Free, 0),
+                _ => (class.idempotency == IdempotencySpec::Idempotent, 0),
             };
-            let told = if clients.heed_retry_after { told.min(clients.retry_after_most) } else { 0 };
-            let at = shared.now() + chance::jitter(clients.wait, 0.5, &mut random).max(told);
+            let told = if clients.heed_retry_after { told.min(clients.max_retry_after) } else { 0 };
+            let at = shared.now() + random::jitter(clients.retry_delay, 0.5, &mut random).max(told);
             if !comes || number >= clients.retries || at >= last {
                 break end;
             }
@@ -221,8 +221,8 @@
         let class = &shared.day.classes[shared.arrivals[asked.request].class];
         let id = Shared::id(asked.request, asked.number);
         let (method, body) = match class.idempotency {
-            IdempotencySpec::Free => ("GET", ""),
-            IdempotencySpec::SingleShot => ("POST", "Content-Length: 1\r\n\r\n1"),
+            IdempotencySpec::Idempotent => ("GET", ""),
+            IdempotencySpec::NonIdempotent => ("POST", "Content-Length: 1\r\n\r\n1"),
         };
         let time = asked.deadline.saturating_sub(shared.now());
         let body = if body.is_empty() { "\r\n" } else { body };
--- a/crates/testbed/src/cluster/cold.rs
+++ b/crates/testbed/src/cluster/cold.rs
@@ -11,7 +11,9 @@
         (share + class.share, work + class.share * class.work as f64)
     });
     let server = &day.server;
-    let allowed = server.fall_multiple * server.cores * warmth * server.fall_time as f64 * share / work;
+    let allowed =
+        server.cold_overload_factor * server.cores * warmth * server.cold_overload_window as f64 * share
+            / work;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -287,7 +287,7 @@
                     return;
                 }
             }
-            if *self.mode.borrow() == Mode::Silent && self.shared.day.discovery.ask_every.is_some() {
+            if *self.mode.borrow() == Mode::Silent && self.shared.day.discovery.poll_interval.is_some() {
                 // A service that stands still swallows what it is asked; an agent answers once it goes on.
                 http::closed(&stream).await;
                 return;
--- a/crates/testbed/src/cluster/ending.rs
+++ b/crates/testbed/src/cluster/ending.rs
@@ -2,7 +2,7 @@
 
 use super::events::Fleet;
 use oakport_core::Micros;
-use oakport_simulator::scenario::{SignalSpec, FaultSpec, FaultKind};
+use oakport_simulator::scenario::{FaultKind, FaultSpec, SignalSpec};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
@@ -18,14 +18,14 @@
 impl Fleet {
     /// How long after SIGTERM the kill comes at the earliest.
     fn time_to_kill(&self) -> Duration {
-        let longest = self.site.shared.day.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self.site.shared.day.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
         Duration::from_micros(longest.min(MAX_DEADLINE_US) + KILL)
     }
 
     /// Proxies die at once, and start again one after the other until the end.
     pub(super) async fn kill(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
         let met = self.site.met_proxies(event);
-        let step = event.lasts / met.len().max(1) as Micros;
+        let step = event.duration / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (place, proxy) in met.into_iter().enumerate() {
             let fleet = Arc::clone(self);
@@ -41,7 +41,7 @@
 
     /// A process is met.
     pub(super) async fn meet(self: Arc<Self>, proxy: usize, event: FaultSpec, end: Micros) {
-        match event.what {
+        match event.kind {
             FaultKind::Stall => {
                 self.seats[proxy].lock().await.stall(true);
                 self.site.shared.until(end).await;
@@ -54,11 +54,11 @@
             }
             FaultKind::Restart => {
                 let pause = Duration::ZERO;
-                self.signal_series(proxy, &[SignalSpec::Term], pause, event.clients_stay).await;
+                self.signal_series(proxy, &[SignalSpec::Term], pause, event.clients_keep_connections).await;
             }
             FaultKind::Signals => {
-                let pause = Duration::from_micros(event.lasts / event.signals.len().max(1) as Micros);
-                self.signal_series(proxy, &event.signals, pause, event.clients_stay).await;
+                let pause = Duration::from_micros(event.duration / event.signals.len().max(1) as Micros);
+                self.signal_series(proxy, &event.signals, pause, event.clients_keep_connections).await;
             }
             _ => {
                 let mut seat = self.seats[proxy].lock().await;
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -10,7 +10,7 @@
 use super::servers::Machine;
 use super::site::{met, met_peers, Pair, Site};
 use oakport_core::{EndpointState, Micros};
-use oakport_simulator::scenario::{LinkSpec, FaultSpec, FaultKind};
+use oakport_simulator::scenario::{FaultKind, FaultSpec, LinkSpec};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,12 +41,17 @@
     /// Plays one event from its beginning to its end.
     pub async fn event(self: Arc<Self>, number: usize) {
         let event = self.site.shared.day.events[number].clone();
-        let (begin, end) = (self.site.shared.at(event.at), self.site.shared.at(event.at + event.lasts));
+        let (begin, end) = (self.site.shared.at(event.at), self.site.shared.at(event.at + event.duration));
         self.site.shared.until(begin).await;
-        match event.what {
+        match event.kind {
             // Arrivals were drawn with it.
             FaultKind::Surge => {}
-            FaultKind::Crash | FaultKind::Slow | FaultKind::Hang | FaultKind::Error | FaultKind::Reset | FaultKind::Silent => {
+            FaultKind::Crash
+            | FaultKind::Slow
+            | FaultKind::Hang
+            | FaultKind::Error
+            | FaultKind::Reset
+            | FaultKind::Silent => {
                 let met = self.site.met_servers(&event);
                 met.iter().for_each(|machine| self.strike(machine, &event));
                 self.site.shared.until(end).await;
@@ -54,7 +59,11 @@
             }
             FaultKind::Release => self.release(&event, begin).await,
             FaultKind::Kill => self.kill(&event, begin).await,
-            FaultKind::Herd | FaultKind::Restart | FaultKind::Upgrade | FaultKind::Stall | FaultKind::Signals => {
+            FaultKind::Herd
+            | FaultKind::Restart
+            | FaultKind::Upgrade
+            | FaultKind::Stall
+            | FaultKind::Signals => {
                 let mut all = JoinSet::new();
                 for proxy in self.site.met_proxies(&event) {
                     all.spawn(Arc::clone(&self).meet(proxy, event.clone(), end));
@@ -70,12 +79,12 @@
             }
             FaultKind::ExtraResponses | FaultKind::ClosesIdle => {
                 let met = self.site.met_servers(&event);
-                met.iter().for_each(|machine| set_quirk(machine, event.what, Some(event.after)));
+                met.iter().for_each(|machine| set_quirk(machine, event.kind, Some(event.after)));
                 self.site.shared.until(end).await;
-                met.iter().for_each(|machine| set_quirk(machine, event.what, None));
+                met.iter().for_each(|machine| set_quirk(machine, event.kind, None));
             }
             FaultKind::ListSilent | FaultKind::ListUnavailable => {
-                let mode = match event.what {
+                let mode = match event.kind {
                     FaultKind::ListSilent => Mode::Silent,
                     _ => Mode::Unavailable,
                 };
@@ -99,7 +108,7 @@
                 }
             }
             FaultKind::Cut | FaultKind::Link => {
-                let spec = match event.what {
+                let spec = match event.kind {
                     FaultKind::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
                     _ => event.link,
                 };
@@ -143,22 +152,22 @@
     }
 
     fn strike(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
-        match event.what {
+        match event.kind {
             FaultKind::Crash => {
                 machine.stop();
                 self.site.tell(machine, EndpointState::Removed);
             }
-            FaultKind::Slow => machine.fall_ill(|health| health.slow = event.factor),
-            FaultKind::Hang => machine.fall_ill(|health| health.hangs = true),
+            FaultKind::Slow => machine.fall_ill(|health| health.slowdown_factor = event.factor),
+            FaultKind::Hang => machine.fall_ill(|health| health.hung = true),
             FaultKind::Error => machine.fall_ill(|health| health.errors = true),
             FaultKind::Reset => machine.fall_ill(|health| health.resets = true),
-            _ => machine.fall_ill(|health| health.silent = true),
+            _ => machine.fall_ill(|health| health.unreachable = true),
         }
     }
 
     fn heal(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
-        if event.what == FaultKind::Crash || event.cold {
-            if event.what != FaultKind::Crash {
+        if event.kind == FaultKind::Crash || event.restart_cold {
+            if event.kind != FaultKind::Crash {
                 machine.stop();
             }
             machine.restart();
@@ -171,7 +180,7 @@
     /// Servers drain one after the other, and others start in their place.
     async fn release(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
         let met = self.site.met_servers(event);
-        let step = event.lasts / met.len().max(1) as Micros;
+        let step = event.duration / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (place, machine) in met.into_iter().enumerate() {
             let fleet = Arc::clone(self);
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -9,7 +9,7 @@
 use super::site::Site;
 use bytes::BytesMut;
 use nix::unistd::{sysconf, SysconfVar};
-use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::Scenario;
 use rand::Rng;
 use socket2::Socket;
@@ -237,7 +237,7 @@
     let mut seat = seated(&shared, &site, 0, &program).await?;
     let address = seat.address;
     let idle = Arc::new(Mutex::new(Vec::new()));
-    let mut chance = chance::stream(1, StreamId::Arrivals);
+    let mut chance = random::stream(1, StreamId::Arrivals);
     let (mut due, mut calls, mut before) = (Instant::now(), JoinSet::new(), None);
     let (length, unseen) = STEADY;
     let (all, first) = ((rate * (length + unseen)) as usize, (rate * unseen) as usize);
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -191,13 +191,13 @@
     let transfers = evidence.transfers();
     let (rules, stories) = (evidence.rules, evidence.stories);
     let mut expect = Vec::new();
-    for wanted in &shared.day.expects {
+    for wanted in &shared.day.expectations {
         let found = figures.get(&wanted.figure).copied();
         let held =
-            found.is_some_and(|f| wanted.least.is_none_or(|l| f >= l) && wanted.most.is_none_or(|m| f <= m));
+            found.is_some_and(|f| wanted.min.is_none_or(|l| f >= l) && wanted.max.is_none_or(|m| f <= m));
         let bound = |word: &str, bound: Option<f64>| bound.map_or(String::new(), |b| format!(" {word} {b}"));
         let found = found.map_or("no such figure".to_owned(), |found| format!("{found:.4}"));
-        let (least, most) = (bound("at least", wanted.least), bound("at most", wanted.most));
+        let (least, most) = (bound("at least", wanted.min), bound("at most", wanted.max));
         expect.push((format!("{}{least}{most}: {found}", wanted.figure), held));
     }
     Verdict { figures, rules, stories, expect, seconds, transfers }
@@ -387,7 +387,7 @@
                 continue;
             }
             let class = &self.shared.day.classes[self.shared.arrivals[attempt.request].class];
-            if class.idempotency == IdempotencySpec::SingleShot && attempt.may_have_run() {
+            if class.idempotency == IdempotencySpec::NonIdempotent && attempt.may_have_run() {
                 by_request.entry(attempt.request).or_default().push(attempt);
             }
         }
@@ -458,7 +458,7 @@
     fn cold(&mut self) {
         /// A fall is theirs of which more than this share came from them.
         const THEIRS: f64 = 2.0 / 3.0;
-        let (span, mut found) = (self.shared.day.server.fall_time, Vec::new());
+        let (span, mut found) = (self.shared.day.server.cold_overload_window, Vec::new());
         for ((server, started), all) in &self.chilled {
             let mut window = Window::default();
             for Chilled { at, attempt, bound } in all {
@@ -494,17 +494,17 @@
     fn figures(&self, servers: &[(usize, String)]) -> (BTreeMap<String, f64>, Vec<Second>) {
         let (day, arrivals) = (&self.shared.day, &self.shared.arrivals);
         let start = self.shared.at(0);
-        let count = day.length.div_ceil(1_000_000) as usize;
+        let count = day.duration.div_ceil(1_000_000) as usize;
         let mut seconds = vec![Second::default(); count];
         let place = |at: Micros| ((at / 1_000_000) as usize).min(count - 1);
         for arrival in arrivals {
             let (class, second) = (&day.classes[arrival.class], &mut seconds[place(arrival.at)]);
             second.asked += 1;
-            second.worth += class.worth;
+            second.worth += class.priority_weight;
             let zone = day.zones[self.shared.zone(arrival.proxy)].clone();
-            second.by_zone.entry(zone).or_default()[0] += class.worth;
-            second.by_proxy.entry(arrival.proxy).or_default()[0] += class.worth;
-            second.by_class.entry(class.name.clone()).or_default()[0] += class.worth;
+            second.by_zone.entry(zone).or_default()[0] += class.priority_weight;
+            second.by_proxy.entry(arrival.proxy).or_default()[0] += class.priority_weight;
+            second.by_class.entry(class.name.clone()).or_default()[0] += class.priority_weight;
         }
         let (mut all, mut each) = (histogram(), vec![histogram(); count]);
         let mut ends = [0u64; 4];
@@ -518,15 +518,15 @@
                     each[place(arrival.at)].saturating_record(took);
                     let release = servers.get(server).map_or("", |(_, release)| release);
                     *second.by_release.entry(release.to_owned()).or_default() += 1;
-                    if took > class.aim {
+                    if took > class.latency_objective {
                         ends[0] += 1;
                         continue;
                     }
-                    second.served += class.worth;
+                    second.served += class.priority_weight;
                     let zone = &day.zones[self.shared.zone(arrival.proxy)];
-                    second.by_zone.entry(zone.clone()).or_default()[1] += class.worth;
-                    second.by_proxy.entry(arrival.proxy).or_default()[1] += class.worth;
-                    second.by_class.entry(class.name.clone()).or_default()[1] += class.worth;
+                    second.by_zone.entry(zone.clone()).or_default()[1] += class.priority_weight;
+                    second.by_proxy.entry(arrival.proxy).or_default()[1] += class.priority_weight;
+                    second.by_class.entry(class.name.clone()).or_default()[1] += class.priority_weight;
                 }
                 TryEnd::Refused(_) => {
                     ends[1] += 1;
@@ -613,7 +613,7 @@
         put("transfers.unwritten", self.delivery.unwritten as f64);
         put("transfers.broken_off", self.delivery.excused as f64);
         put("rig.late_max_ms", self.late.by.max() as f64 / 1e3);
-        let end = start + day.length;
+        let end = start + day.duration;
         let membership = membership::figures(self.shared, &self.views, &self.signals, end);
         membership.iter().for_each(|(name, value)| put(name, *value));
         for (rule, broken) in &self.rules {
@@ -627,7 +627,7 @@
         let events = &self.shared.day.events;
         let second = |at: Micros| ((at / 1_000_000) as usize).min(seconds.len());
         let first = events.iter().map(|e| second(e.at)).min()?;
-        let last = events.iter().map(|e| second(e.at + e.lasts)).max()?;
+        let last = events.iter().map(|e| second(e.at + e.duration)).max()?;
         let usual = share(&seconds[..first]) * RECOVERED;
         seconds[last..].windows(3).position(|three| share(three) >= usual)
     }
--- a/crates/testbed/src/cluster/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -3,7 +3,7 @@
 use super::gate::{address, gone, Gate, Party};
 use super::http;
 use oakport_core::Micros;
-use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::LinkSpec;
 use rand::Rng;
 use socket2::SockRef;
@@ -34,7 +34,7 @@
 
 /// When the copies of a datagram come, as time after it was sent: settled by the seed and the datagram's number alone.
 pub fn copies(spec: &LinkSpec, seed: u64, number: u64) -> Vec<Micros> {
-    let mut random = chance::stream(seed ^ number.rotate_left(32), StreamId::Luck);
+    let mut random = random::stream(seed ^ number.rotate_left(32), StreamId::Noise);
     // All is drawn for each, so that a share that differs changes nothing else.
     let [drop, duplicate, reorder] = [(); 3].map(|()| random.gen::<f64>());
     if spec.stall || drop < spec.drop {
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -80,7 +80,7 @@
     }
     let operators: Vec<_> = peers.iter().map(|peer| peer.operator).collect();
     let mut peers = peers.into_iter();
-    let inherits = day.events.iter().any(|event| event.what == FaultKind::Upgrade);
+    let inherits = day.events.iter().any(|event| event.kind == FaultKind::Upgrade);
     let mut seats = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = play.logs.as_deref();
@@ -137,10 +137,11 @@
     let mut marks: Vec<(Micros, String)> = Vec::new();
     for event in &shared.day.events {
         let place = event.zone.as_ref().map_or(String::new(), |zone| format!(" {zone}"));
-        let place = if event.cut.is_empty() { place } else { format!(" {}", event.cut.join(" | ")) };
-        let what = format!("{:?}{place}", event.what).to_lowercase();
+        let place =
+            if event.link_groups.is_empty() { place } else { format!(" {}", event.link_groups.join(" | ")) };
+        let what = format!("{:?}{place}", event.kind).to_lowercase();
         marks.push((event.at, format!("{what} begins")));
-        marks.push((event.at + event.lasts, format!("{what} is over")));
+        marks.push((event.at + event.duration, format!("{what} is over")));
     }
     marks.sort();
     let mut marks = marks.iter().peekable();
@@ -150,6 +151,6 @@
         while let Some((at, text)) = marks.next_if(|(at, _)| *at <= now) {
             tell(Progress::Event(*at, text));
         }
-        tell(Progress::At(now.min(shared.day.length), shared.ended()));
+        tell(Progress::At(now.min(shared.day.duration), shared.ended()));
     }
 }
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -182,7 +182,8 @@
 
     /// What the process is told (DEPLOY, "What a client proxy is told").
     fn configuration(&self) -> Value {
-        let seed = oakport_simulator::chance::policy_seed(self.shared.seed ^ u64::from(self.starts), self.number);
+        let seed =
+            oakport_simulator::random::policy_seed(self.shared.seed ^ u64::from(self.starts), self.number);
         let mut file = json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": self.discovery,
             "seed": format!("{seed:016x}"),
@@ -377,33 +378,36 @@
     let day = &shared.day;
     let classes = day.classes.iter().map(|c| {
         json!({
-            "name": c.name, "objective_us": c.aim, "deadline_us": c.deadline, "worth": c.worth, "late_value": 0.0,
-            "idempotency": if c.idempotency == IdempotencySpec::Free { "free" } else { "single_shot" },
+            "name": c.name, "objective_us": c.latency_objective, "deadline_us": c.client_timeout,
+            "worth": c.priority_weight, "late_value": 0.0,
+            "idempotency": if c.idempotency == IdempotencySpec::Idempotent { "free" } else { "single_shot" },
         })
     });
     let (server, goal) = (&day.server, &day.goal);
     json!({
         "balancers": day.balancers, "tick_us": 1000,
-        "discovery": if day.discovery.ask_every.is_some() { "ask" } else { "push" },
+        "discovery": if day.discovery.poll_interval.is_some() { "ask" } else { "push" },
         "locality": day.zones[shared.zone(proxy)],
         "classes": classes.collect::<Vec<_>>(),
         "limits": {
             "cancel": true, "probes": false, "second_copies": true, "max_attempts": 3, "retry_after": true,
-            "max_retry_after_us": day.clients.retry_after_most, "max_open": 10_000,
-            "conn_idle_us": server.idle_close, "connect_timeout_us": day.network.connect_timeout,
+            "max_retry_after_us": day.clients.max_retry_after, "max_open": 10_000,
+            "conn_idle_us": server.idle_timeout, "connect_timeout_us": day.network.connect_timeout,
         },
         "invariants": {
-            "cold_from": server.cold_share, "cold_us": server.cold_time, "tip_after_us": server.fall_time,
-            "fall_multiple": server.fall_multiple, "drain_grace_us": day.discovery.drain_grace,
-            "ask_every_us": day.discovery.ask_every.unwrap_or(0),
+            "cold_from": server.initial_capacity_ratio, "cold_us": server.warm_up_duration,
+            "tip_after_us": server.cold_overload_window,
+            "fall_multiple": server.cold_overload_factor, "drain_grace_us": day.discovery.drain_grace,
+            "ask_every_us": day.discovery.poll_interval.unwrap_or(0),
         },
         "result_mix": {
-            "whole": goal.whole, "worst_class": goal.worst_class, "worst_tenant": 0.0,
+            "whole": goal.overall, "worst_class": goal.worst_class, "worst_tenant": 0.0,
             "worst_window": goal.worst_window,
         },
         "charges": {
-            "cross_zone": goal.cross_zone, "probe": 0.0, "handshake": goal.handshake, "waste": goal.waste,
-            "late_fail": goal.late_fail,
+            "cross_zone": goal.cross_zone, "probe": 0.0, "handshake": goal.handshake,
+            "waste": goal.wasted_work,
+            "late_fail": goal.late_failure,
         },
     })
 }
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 use oakport_core::{EndpointState, Micros, Outcome};
-use oakport_simulator::chance::{self, StreamId};
+use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::{Scenario, TransferSpec};
 use oakport_simulator::Arrival;
 use rand::Rng;
@@ -200,7 +200,7 @@
 impl Shared {
     /// For a play that begins now.
     pub fn new(day: Scenario, seed: u64) -> Self {
-        let arrivals = oakport_simulator::Arrivals::whole_day(&day, seed);
+        let arrivals = oakport_simulator::Arrivals::generate_all(&day, seed);
         Shared {
             arrivals,
             seed,
@@ -294,7 +294,7 @@
     }
 
     fn sizes(&self, request: usize) -> impl Rng {
-        chance::stream(self.seed, StreamId::Policy(FIRST_SIZE_STREAM + request))
+        random::stream(self.seed, StreamId::Policy(FIRST_SIZE_STREAM + request))
     }
 
     /// The number of the try that is written right behind this one.
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -7,8 +7,8 @@
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::{Micros, Outcome};
-use oakport_simulator::chance::{self, StreamId};
-use oakport_simulator::server::{Health, Server, Admission};
+use oakport_simulator::random::{self, StreamId};
+use oakport_simulator::server::{Admission, Health, Server};
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -86,7 +86,7 @@
             flood: Window::default(),
             waiting: HashMap::new(),
             open: 0,
-            luck: chance::stream(shared.seed, StreamId::Policy(1_000_000 + number)),
+            luck: random::stream(shared.seed, StreamId::Policy(1_000_000 + number)),
         };
         let machine = Arc::new(Machine {
             number,
@@ -140,7 +140,7 @@
         let mut inner = self.inner();
         inner.server.advance(self.shared.now());
         change(&mut inner.server.health);
-        let silent = inner.server.health.silent;
+        let silent = inner.server.health.unreachable;
         drop(inner);
         self.gate.silence(silent);
         self.changed.notify_one();
@@ -154,7 +154,7 @@
     /// How long it keeps an idle connection.
     fn idle_time(&self) -> Duration {
         let quirk = self.inner().quirks.closes_idle_after;
-        let usual = self.shared.day.server.idle_close;
+        let usual = self.shared.day.server.idle_timeout;
         Duration::from_micros(quirk.map_or(usual, |after| after.min(usual)))
     }
 
@@ -202,7 +202,7 @@
         loop {
             let next = {
                 let (mut inner, now) = (self.inner(), self.shared.now());
-                while let Some(attempt) = inner.server.ended(now) {
+                while let Some(attempt) = inner.server.pop_finished(now) {
                     // One that has gone away needs no answer.
                     let _ = inner.waiting.remove(&attempt).map(|ends| ends.send(()));
                 }
@@ -221,10 +221,10 @@
     /// One connection, until it ends.
     async fn connection(self: Arc<Self>, mut stream: TcpStream, life: u32) {
         let counted = Counted::new(&self);
-        if counted.of > self.shared.day.server.connections {
+        if counted.of > self.shared.day.server.max_connections {
             return http::reset(stream);
         }
-        self.inner().server.greet();
+        self.inner().server.add_handshake_work();
         // It only saves time.
         let _ = stream.set_nodelay(true);
         let mut phase = self.gate.watch();
@@ -303,7 +303,7 @@
 
     /// Bytes a second that it writes of the answer to a request, if that is large.
     fn give_rate(&self, request: usize) -> Option<usize> {
-        self.shared.transfer(request).map(|transfer| transfer.give_rate)
+        self.shared.transfer(request).map(|transfer| transfer.response_write_rate)
     }
 
     /// The connection of an attempt is reset by the server, which throws away what its client has not read yet.
@@ -316,7 +316,11 @@
         let (work, proxy) = (self.shared.arrivals[request].work, self.shared.arrivals[request].proxy);
         heard(self.gate.watch()).await;
         let network = &self.shared.day.network;
-        let way = if self.shared.zone(proxy) == self.zone { network.within } else { network.across };
+        let way = if self.shared.zone(proxy) == self.zone {
+            network.delay_within_zone
+        } else {
+            network.delay_across_zones
+        };
         self.pass(way).await;
         let attempt = attempt as usize;
         let ends = match self.take(attempt, work) {
@@ -352,13 +356,13 @@
 
     /// An attempt has come, whatever becomes of it. True if that pushes a cold server over.
     fn falls(&self, inner: &mut Inner, now: Micros, attempt: usize) -> bool {
-        let warmth = inner.server.warmth(now);
+        let warmth = inner.server.warm_up_ratio(now);
         if warmth >= 1.0 {
             return false;
         }
         let day = &self.shared.day;
         let bound = cold::bound(day, warmth);
-        let came = inner.flood.push(now, (), day.server.fall_time).len();
+        let came = inner.flood.push(now, (), day.server.cold_overload_window).len();
         let (server, started) = (self.number, inner.server.started);
         self.shared.saw(Seen::Cold { attempt: attempt as u64, server, started, at: now, bound });
         came as f64 > bound
@@ -388,7 +392,7 @@
         if resets && inner.luck.gen_bool(1.0 / 3.0) {
             return Err((Outcome::Reset, FAST));
         }
-        if inner.server.take(now, attempt, work) == Admission::Full {
+        if inner.server.admit(now, attempt, work) == Admission::Rejected {
             return Err((Outcome::Rejected, 0));
         }
         let (sender, ends) = oneshot::channel();
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -5,8 +5,8 @@
 use super::record::Shared;
 use super::servers::Machine;
 use oakport_core::EndpointState;
-use oakport_simulator::chance::{self, StreamId};
-use oakport_simulator::scenario::{Group, Scenario, FaultSpec, FaultKind};
+use oakport_simulator::random::{self, StreamId};
+use oakport_simulator::scenario::{FaultKind, FaultSpec, Group, Scenario};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -32,13 +32,13 @@
 
 /// Which pairs a cut meets, and which way: 0 from the proxy, 1 to it.
 pub fn met(day: &Scenario, event: &FaultSpec) -> Vec<(Pair, usize)> {
-    let groups: Vec<Group> = event.cut.iter().filter_map(|text| Group::read(text, day)).collect();
+    let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let zone = |number: usize| number % day.zones.len();
     let mut found = Vec::new();
     for (way, from, to) in [(0, one, other), (1, other, one)] {
-        for proxy in (0..day.balancers).filter(|&p| from.has_proxy(p, zone(p))) {
-            let servers = (0..day.servers).filter(|&s| to.has_server(s, zone(s)));
+        for proxy in (0..day.balancers).filter(|&p| from.contains_proxy(p, zone(p))) {
+            let servers = (0..day.servers).filter(|&s| to.contains_server(s, zone(s)));
             found.extend(servers.map(|server| ((proxy, Some(server)), way)));
             if *to == Group::Discovery {
                 found.push(((proxy, None), way));
@@ -50,11 +50,11 @@
 
 /// Which ways between two proxies an event meets.
 pub fn met_peers(day: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
-    let groups: Vec<Group> = event.cut.iter().filter_map(|text| Group::read(text, day)).collect();
+    let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let of = |group: &Group| {
         let group = *group;
-        (0..day.balancers).filter(move |&p| group.has_proxy(p, p % day.zones.len()))
+        (0..day.balancers).filter(move |&p| group.contains_proxy(p, p % day.zones.len()))
     };
     let mut found: Vec<(usize, usize)> = of(one).flat_map(|a| of(other).map(move |b| (a, b))).collect();
     if !event.one_way {
@@ -66,7 +66,7 @@
 
 /// All pairs that need a relay in this day.
 fn pairs(day: &Scenario) -> Vec<Pair> {
-    let events = day.events.iter().filter(|e| matches!(e.what, FaultKind::Cut | FaultKind::Link));
+    let events = day.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
     let mut pairs: Vec<Pair> = events.flat_map(|event| met(day, event)).map(|(pair, _)| pair).collect();
     pairs.sort();
     pairs.dedup();
@@ -91,10 +91,10 @@
             };
             relays.insert(pair, Relay::start(target)?);
         }
-        let luck = Mutex::new(chance::stream(shared.seed, StreamId::Faults));
+        let luck = Mutex::new(random::stream(shared.seed, StreamId::Faults));
         let site = Site { machines: Mutex::new(machines), relays, agents, luck, shared: Arc::clone(shared) };
         for (proxy, agent) in site.agents.iter().enumerate() {
-            if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.ask_every.is_some() {
+            if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.poll_interval.is_some() {
                 agent.far();
             }
         }
@@ -141,7 +141,7 @@
     pub fn tell(&self, machine: &Machine, state: EndpointState) {
         let delay = self.shared.day.discovery.delay;
         for proxy in 0..self.agents.len() {
-            let after = chance::jitter(delay, 0.5, &mut *self.luck());
+            let after = random::jitter(delay, 0.5, &mut *self.luck());
             let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, machine, state));
             let number = machine.number;
             tokio::spawn(async move {
@@ -160,7 +160,7 @@
         drop(machines);
         match zone {
             Some(zone) => met.retain(|machine| machine.zone == zone),
-            None => self.draw(&mut met, event.part),
+            None => self.draw(&mut met, event.share),
         }
         met
     }
@@ -172,7 +172,7 @@
         let mut met: Vec<usize> = (0..self.agents.len()).collect();
         match zone {
             Some(zone) => met.retain(|proxy| self.shared.zone(*proxy) == zone),
-            None => self.draw(&mut met, event.part),
+            None => self.draw(&mut met, event.share),
         }
         met
     }
--- a/crates/testbed/src/cluster/transfers.rs
+++ b/crates/testbed/src/cluster/transfers.rs
@@ -40,7 +40,7 @@
         let shared = &self.shared;
         let time = done.deadline.saturating_sub(done.sent);
         let text = self.transfer_text(spec, done, time);
-        let early = match write_slowly(&mut stream, &mut buffer, &text, spec.write_rate).await {
+        let early = match write_slowly(&mut stream, &mut buffer, &text, spec.request_write_rate).await {
             Written::Completely => {
                 let now = shared.now();
                 done.is_written = true;
@@ -91,8 +91,10 @@
         };
         let body = upload(&id, self.shared.request_bytes(done.request).unwrap_or(1));
         let own = match class.idempotency {
-            IdempotencySpec::Free => head("GET", &id) + "\r\n",
-            IdempotencySpec::SingleShot => format!("{}Content-Length: {}\r\n\r\n{body}", head("POST", &id), body.len()),
+            IdempotencySpec::Idempotent => head("GET", &id) + "\r\n",
+            IdempotencySpec::NonIdempotent => {
+                format!("{}Content-Length: {}\r\n\r\n{body}", head("POST", &id), body.len())
+            }
         };
         let ahead = Shared::id(done.request, Shared::ahead(done.number));
         own + &if spec.pipelined { head("GET", &ahead) + "\r\n" } else { String::new() }
@@ -106,7 +108,7 @@
         spec: &TransferSpec,
         done: &mut Try,
     ) -> Result<Message, TryEnd> {
-        let day_end = self.shared.at(self.shared.day.length);
+        let day_end = self.shared.at(self.shared.day.duration);
         loop {
             done.moved.read = buffer.len();
             done.moved.last = Some(self.shared.now());
@@ -119,7 +121,7 @@
             match timeout(MAX_HELD_BACK, stream.read_buf(&mut room)).await {
                 Ok(Ok(bytes)) if bytes > 0 => {
                     if self.shared.now() < day_end {
-                        sleep(pace(bytes, spec.read_rate)).await;
+                        sleep(pace(bytes, spec.response_read_rate)).await;
                     }
                 }
                 Ok(_) => return Err(TryEnd::Lost),
@@ -139,7 +141,7 @@
         let shared = &self.shared;
         let (sent, number) = (shared.now(), Shared::ahead(first.number));
         let class = &shared.day.classes[shared.arrivals[first.request].class];
-        let deadline = sent + class.deadline;
+        let deadline = sent + class.client_timeout;
         let ahead = Try {
             number,
             sent,
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -42,11 +42,11 @@
         let mut day = Scenario::parse(DAY).map_err(|odd| Stop::Bad(format!("the demo: {odd}")))?;
         if self.quick {
             let shorter = |span: &mut Micros| *span = *span * QUICK.0 / QUICK.1;
-            shorter(&mut day.length);
-            shorter(&mut day.server.cold_time);
+            shorter(&mut day.duration);
+            shorter(&mut day.server.warm_up_duration);
             day.events.iter_mut().for_each(|event| {
                 shorter(&mut event.at);
-                shorter(&mut event.lasts);
+                shorter(&mut event.duration);
             });
         }
         println!(
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -176,7 +176,7 @@
 pub fn played(play: &Play, most: Duration) -> Result<Verdict, Stop> {
     let shown = std::io::stderr().is_terminal();
     let bar =
-        if shown { indicatif::ProgressBar::new(play.day.length) } else { indicatif::ProgressBar::hidden() };
+        if shown { indicatif::ProgressBar::new(play.day.duration) } else { indicatif::ProgressBar::hidden() };
     if let Ok(style) = indicatif::ProgressStyle::with_template("{bar:40} {percent}% {msg}") {
         bar.set_style(style);
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -70,13 +70,13 @@
 pub fn events(day: &Scenario) -> Vec<(f64, f64, String)> {
     let seconds = |at: u64| at as f64 / 1e6;
     let event = |e: &oakport_simulator::scenario::FaultSpec| {
-        let place = match (&e.zone, e.cut.as_slice()) {
+        let place = match (&e.zone, e.link_groups.as_slice()) {
             (Some(zone), _) => format!(" in {zone}"),
             (None, []) => String::new(),
             (None, groups) => format!(" between {}", groups.join(" and ")),
         };
-        let what = format!("{:?}{place}", e.what).to_lowercase();
-        (seconds(e.at), seconds(e.at + e.lasts), what)
+        let what = format!("{:?}{place}", e.kind).to_lowercase();
+        (seconds(e.at), seconds(e.at + e.duration), what)
     };
     day.events.iter().map(event).collect()
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,7 +11,7 @@
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::{Action, EndpointInfo, Event, Micros, Settings};
-use oakport_simulator::{simulate_with, PolicyKind, Policy, Scenario, ServerState, Verdict, Window};
+use oakport_simulator::{simulate_with, Policy, PolicyKind, Scenario, ServerState, Verdict, Window};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -120,8 +120,8 @@
         let day = Scenario::parse(&format!("{DAY}{}", self.event()));
         let day = day.map_err(|odd| Stopped::Odd(odd.to_string()))?;
         // After a burst there is time for choked servers to be well again by themselves.
-        let length = if self == Day::Burst { 2 * day.length } else { day.length };
-        Ok(Scenario { balancers, servers, length, rate: RATE * servers as f64, ..day })
+        let length = if self == Day::Burst { 2 * day.duration } else { day.duration };
+        Ok(Scenario { balancers, servers, duration: length, rate: RATE * servers as f64, ..day })
     }
 }
 
@@ -236,7 +236,7 @@
     let meter = Rc::new(Meter::new(until));
     let make = |seed: u64, settings: &Settings| Metered::make(seed, settings, &meter);
     let scenario = day.scenario(balancers, servers)?;
-    let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.sight(), &make, seed);
+    let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.visibility(), &make, seed);
     if meter.late.get() {
         let why = format!("{day:?} with {servers} servers did not end in its time");
         return Err(Stopped::NotRun(why));
@@ -244,7 +244,7 @@
     Ok(Course {
         verdict,
         memory: meter.memory.take(),
-        seconds: scenario.length as f64 / 1e6,
+        seconds: scenario.duration as f64 / 1e6,
         events: meter.events.get(),
         spent: meter.spent.get(),
     })
@@ -253,8 +253,8 @@
 /// Share of the worth asked for that was served in time.
 fn served(windows: &[Window]) -> f64 {
     let sum = |part: fn(&Window) -> f64| windows.iter().map(part).sum::<f64>();
-    match sum(|w| w.worth) {
-        worth if worth > 0.0 => sum(|w| w.served) / worth,
+    match sum(|w| w.requested_weight) {
+        worth if worth > 0.0 => sum(|w| w.served_weight) / worth,
         _ => 1.0,
     }
 }
@@ -272,10 +272,10 @@
         tell("after_burst.served_share", served(rest));
         // Where it is never served as before, at least the rest of the day.
         let never = burst.seconds - (CALM + TROUBLE) as f64 * WINDOW;
-        tell("after_burst.recover_s", burst.verdict.recover.map_or(never, |took| took as f64 / 1e6));
+        tell("after_burst.recover_s", burst.verdict.recovery_time.map_or(never, |took| took as f64 / 1e6));
         tell("cold.served_share", served(&release.verdict.windows[CALM..]));
-        tell("cold.fallen", (burst.verdict.fallen + release.verdict.fallen) as f64);
-        tell("rules_broken", (burst.verdict.broken + release.verdict.broken) as f64);
+        tell("cold.fallen", (burst.verdict.cold_overloads + release.verdict.cold_overloads) as f64);
+        tell("rules_broken", (burst.verdict.violation_count + release.verdict.violation_count) as f64);
         let memory = burst.memory.iter().sum::<i64>() as f64 / point.size as f64;
         tell("memory_bytes", memory);
         tell("memory_bytes_most", burst.memory.iter().max().copied().unwrap_or(0) as f64);
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -51,14 +51,14 @@
 
 impl Day {
     fn g(&self, kind: PolicyKind) -> f64 {
-        self.verdicts.iter().find(|v| v.policy == kind.name()).map_or(f64::NAN, |v| v.g)
+        self.verdicts.iter().find(|v| v.policy == kind.name()).map_or(f64::NAN, |v| v.goal_value)
     }
 
     /// 0 for random choice, 1 for the ceiling. None: the two lie too near to tell.
     fn score(&self, verdict: &Verdict) -> Option<f64> {
         const LEAST: f64 = 0.02;
         let (floor, top) = (self.g(PolicyKind::Random), self.g(PolicyKind::Ceiling));
-        (top - floor >= LEAST).then(|| (verdict.g - floor) / (top - floor))
+        (top - floor >= LEAST).then(|| (verdict.goal_value - floor) / (top - floor))
     }
 }
 
@@ -101,8 +101,9 @@
             let text = format!("{:#}\n", json!({ "days": days }));
             std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        let broken =
-            |day: &Day| day.verdicts.iter().any(|v| v.policy == PolicyKind::Oakport.name() && v.broken > 0);
+        let broken = |day: &Day| {
+            day.verdicts.iter().any(|v| v.policy == PolicyKind::Oakport.name() && v.violation_count > 0)
+        };
         Ok(!days.iter().any(broken))
     }
 
@@ -110,7 +111,7 @@
         let file = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
         let mut scenario = Scenario::parse(&text).map_err(|odd| format!("{file}: {odd}"))?;
-        if let Some(what) = scenario.only_on_sockets() {
+        if let Some(what) = scenario.first_socket_only_fault() {
             return Err(format!(
                 "{file}: event {what:?} is not played in virtual time; use oakport-testbed fleet"
             ));
@@ -150,21 +151,25 @@
         for v in &day.verdicts {
             table.add_row([
                 v.policy.to_owned(),
-                format!("{:.4}", v.g),
+                format!("{:.4}", v.goal_value),
                 day.score(v).map_or("-".to_owned(), |s| format!("{s:.2}")),
-                percent(v.whole),
-                percent(v.worst_window),
-                percent(v.refused),
-                percent(v.failed),
-                percent(v.late),
-                percent(v.waste),
-                format!("{:.2}", v.crossing),
-                format!("{:.3}", v.handshakes),
-                millis(v.latency[0]),
-                millis(v.latency[1]),
-                millis(v.latency[2]),
-                v.recover.map_or("-".to_owned(), |us| format!("{} s", us / 1_000_000)),
-                if v.broken == 0 { "kept".to_owned() } else { format!("{} broken", v.broken) },
+                percent(v.served_share),
+                percent(v.worst_window_share),
+                percent(v.refused_share),
+                percent(v.failed_share),
+                percent(v.late_share),
+                percent(v.wasted_work_share),
+                format!("{:.2}", v.cross_zone_per_request),
+                format!("{:.3}", v.handshakes_per_request),
+                millis(v.latency_quantiles_us[0]),
+                millis(v.latency_quantiles_us[1]),
+                millis(v.latency_quantiles_us[2]),
+                v.recovery_time.map_or("-".to_owned(), |us| format!("{} s", us / 1_000_000)),
+                if v.violation_count == 0 {
+                    "kept".to_owned()
+                } else {
+                    format!("{} broken", v.violation_count)
+                },
             ]);
         }
         table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
@@ -193,11 +198,11 @@
 fn windows(verdict: &Verdict) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["from", "asked", "served", "refused", "failed", "late"]);
-    for (number, window) in verdict.windows.iter().enumerate().filter(|(_, w)| w.asked > 0) {
+    for (number, window) in verdict.windows.iter().enumerate().filter(|(_, w)| w.requests > 0) {
         table.add_row([
             format!("{} s", number * 5),
-            window.asked.to_string(),
-            format!("{:.1}%", 100.0 * window.served / window.worth.max(f64::MIN_POSITIVE)),
+            window.requests.to_string(),
+            format!("{:.1}%", 100.0 * window.served_weight / window.requested_weight.max(f64::MIN_POSITIVE)),
             window.refused.to_string(),
             window.failed.to_string(),
             window.late.to_string(),
@@ -222,8 +227,8 @@
             || days.iter().filter_map(|d| Some((d, d.verdicts.iter().find(|v| v.policy == kind.name())?)));
         let scores: Vec<f64> = own().filter_map(|(day, v)| day.score(v)).collect();
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
-        let g: Vec<f64> = own().map(|(_, v)| v.g).collect();
-        let broken = own().filter(|(_, v)| v.broken > 0).count();
+        let g: Vec<f64> = own().map(|(_, v)| v.goal_value).collect();
+        let broken = own().filter(|(_, v)| v.violation_count > 0).count();
         table.add_row([
             kind.name().to_owned(),
             format!("{:.4}", mean(&g)),
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -104,8 +104,8 @@
         let folder = self.logs.join(format!("seed-{seed}"));
         std::fs::create_dir_all(&folder).map_err(|e| Stop::Bad(format!("{}: {e}", folder.display())))?;
         write(&folder.join("plan.toml"), &text)?;
-        let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.what).to_lowercase()).collect();
-        let most = duration(day.length) + MAX_OVERTIME;
+        let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
+        let most = duration(day.duration) + MAX_OVERTIME;
         let (program, second) = (program.clone(), second.clone());
         let play = Play { day, seed, program, second, logs: Some(folder.clone()) };
         let began = Instant::now();
--- a/crates/testbed/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -11,7 +11,7 @@
     let course = course(balancers, 6, day, 1, Instant::now() + LONG).expect("it ends in its time");
     let verdict = &course.verdict;
     println!("{balancers} {day:?}: {} tries, {} events, {verdict:?}", verdict.tries, course.events);
-    assert_eq!((verdict.broken, verdict.fallen), (0, 0), "{:?}", verdict.violations);
+    assert_eq!((verdict.violation_count, verdict.cold_overloads), (0, 0), "{:?}", verdict.violations);
     assert_eq!(course.memory.len(), balancers);
     // Each try is an event, and a call that is served is another.
     assert!(course.events > verdict.tries + verdict.requests / 2, "{} events", course.events);
@@ -20,10 +20,10 @@
 
 fn both_days(balancers: usize) {
     let burst = played(balancers, Day::Burst);
-    assert!(burst.verdict.recover.is_some(), "it is served as before: {:?}", burst.verdict.windows);
+    assert!(burst.verdict.recovery_time.is_some(), "it is served as before: {:?}", burst.verdict.windows);
     assert!(burst.memory.iter().all(|held| *held > 0), "{:?}", burst.memory);
     let release = played(balancers, Day::Release);
-    assert_eq!(release.verdict.recover, None, "there was no burst");
+    assert_eq!(release.verdict.recovery_time, None, "there was no burst");
 }
 
 #[test]
