--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,4 +1,6 @@
-//! When clients first ask, for what, and through which client proxy: the same draws in virtual time and on sockets.
+//! Generates client requests: arrival time, class, work and client proxy.
+//!
+//! The simulator and the runs on sockets use the same random draws.
 
 use crate::random::{self, StreamId};
 use crate::scenario::{FaultKind, Scenario};
@@ -7,29 +9,29 @@
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 
-/// A request of a client, before anything has become of it.
+/// A client request as generated, before its first try is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it is first asked, in microseconds of the day.
+    /// Time of the first try, in microseconds from the start of the scenario.
     pub at: Micros,
-    /// Its class, by its place in the scenario.
+    /// Index of the request's class in the scenario.
     pub class: usize,
-    /// Its work, in microseconds of one core.
+    /// CPU time that the request needs, in microseconds of one core.
     pub work: f64,
-    /// The client proxy of the client, by its number from 0.
+    /// Index of the client proxy that receives the request.
     pub proxy: usize,
 }
 
-/// Draws arrivals one after the other.
+/// Random generator of arrivals.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     random: Pcg64,
-    /// Sums of the proxies' parts of the requests.
+    /// Running sums of the proxies' relative shares of the requests.
     cumulative_shares: Vec<f64>,
 }
 
 impl Arrivals {
-    /// For a day; how unequal the proxies' parts are is drawn from `fleet`.
+    /// Creates the generator for a scenario; the proxies' shares of the requests are drawn from `fleet`.
     pub fn new(scenario: &Scenario, seed: u64, fleet: &mut Pcg64) -> Self {
         let mut sum = 0.0;
         let shares = (0..scenario.balancers).map(|_| {
@@ -39,13 +41,13 @@
         Arrivals { cumulative_shares: shares.collect(), random: random::stream(seed, StreamId::Arrivals) }
     }
 
-    /// Time until the next arrival at so many a second, in microseconds.
+    /// Draws the time until the next arrival, in microseconds, at `rate` requests per second.
     pub fn interval(&mut self, rate: f64) -> Micros {
-        let gap: f64 = Exp1.sample(&mut self.random);
-        (gap * 1e6 / rate) as Micros
+        let interval: f64 = Exp1.sample(&mut self.random);
+        (interval * 1e6 / rate) as Micros
     }
 
-    /// The arrival at this moment.
+    /// Draws class, work and client proxy of the request that arrives at `at`.
     pub fn sample(&mut self, scenario: &Scenario, at: Micros) -> Arrival {
         let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
         let mut remaining_share = self.random.gen::<f64>() * total;
@@ -63,19 +65,19 @@
         Arrival { at, class, work, proxy }
     }
 
-    /// All arrivals of a day, in order.
+    /// Generates all arrivals of a scenario in order of time.
     pub fn generate_all(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-        let mut arrivals = Arrivals::new(scenario, seed, &mut random::stream(seed, StreamId::Fleet));
-        let (mut at, mut all) = (0, Vec::new());
+        let mut generator = Arrivals::new(scenario, seed, &mut random::stream(seed, StreamId::Fleet));
+        let (mut at, mut arrivals) = (0, Vec::new());
         loop {
             let surges = scenario.events.iter().filter(|e| e.kind == FaultKind::Surge);
-            let surge: f64 =
+            let surge_factor: f64 =
                 surges.filter(|e| (e.at..e.at + e.duration).contains(&at)).map(|e| e.factor).product();
-            at += arrivals.interval(scenario.rate * surge);
+            at += generator.interval(scenario.rate * surge_factor);
             if at >= scenario.duration {
-                return all;
+                return arrivals;
             }
-            all.push(arrivals.sample(scenario, at));
+            arrivals.push(generator.sample(scenario, at));
         }
     }
 }
--- a/crates/simulator/src/judge.rs
+++ b/crates/simulator/src/judge.rs
@@ -1,126 +1,127 @@
-//! What a day is worth, and whether the rules were kept (BRIEF, "How we count"; WIRE, "Invariants").
+//! Scores a simulated scenario and checks the rules that every policy must follow (BRIEF, "How we count"; WIRE,
+//! "Invariants").
 
 use crate::scenario::{FaultKind, IdempotencySpec, Scenario};
 use hdrhistogram::Histogram;
 use oakport_core::{CallId, EndpointId, Micros, Outcome};
 use serde::Serialize;
 
-/// Seconds of the worst stretch.
+/// Length of the window that the worst-window score looks at, in seconds.
 const WORST_WINDOW_S: usize = 10;
-/// Share of the earlier service that counts as recovered.
+/// Service counts as recovered at this ratio of the served share before the first surge.
 const RECOVERED_RATIO: f64 = 0.95;
-/// Violations that are kept with their story; all are counted.
+/// Number of violations that are stored with their details; all are counted.
 const MAX_STORED_VIOLATIONS: usize = 20;
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// When, in microseconds of the day.
+    /// Time of the violation, in microseconds from the start of the scenario.
     pub at: Micros,
-    /// The client proxy.
+    /// Index of the client proxy.
     pub proxy: usize,
-    /// The call, if one is meant.
+    /// The call concerned, if any.
     pub call: Option<u64>,
-    /// The server, if one is meant.
+    /// The server concerned, if any.
     pub server: Option<u32>,
-    /// Which rule, in words.
+    /// Description of the violation.
     pub rule: &'static str,
 }
 
-/// Five seconds of a day.
+/// Counts over a period: one second while the simulation runs, five seconds in a [`Verdict`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// Requests of clients, their first tries.
+    /// Client requests that arrived; retries are not counted.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Worth asked for.
+    /// Sum of the priority weights of these requests.
     #[serde(rename = "worth")]
     pub requested_weight: f64,
-    /// Worth served in time.
+    /// Sum of the priority weights of the requests served within their latency objective.
     #[serde(rename = "served")]
     pub served_weight: f64,
-    /// Requests whose last try was refused.
+    /// Requests whose last try was rejected.
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests served after their aim.
+    /// Requests served after their latency objective.
     pub late: u64,
 }
 
-/// A day with one policy.
+/// Result of a scenario with one policy.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// Worth served in time over worth asked, mixed and with the prices off.
+    /// Weighted mean of the overall, worst-window and worst-class served shares, less the charges (G).
     #[serde(rename = "g")]
     pub goal_value: f64,
-    /// The whole day's share, before prices.
+    /// Priority weight served in time over priority weight requested, over the whole scenario, before charges.
     #[serde(rename = "whole")]
     pub served_share: f64,
-    /// That of the worst ten seconds.
+    /// Served share of the worst ten seconds.
     #[serde(rename = "worst_window")]
     pub worst_window_share: f64,
-    /// That of each class.
+    /// Served share of each class, by class name.
     #[serde(rename = "classes")]
     pub class_shares: Vec<(String, f64)>,
-    /// Requests, tries and attempts.
+    /// Client requests.
     pub requests: u64,
-    /// Tries of clients, their retries included.
+    /// Tries of clients, including retries.
     pub tries: u64,
     /// Attempts sent to servers.
     pub attempts: u64,
-    /// Shares of the requests.
+    /// Share of the requests whose last try was rejected.
     #[serde(rename = "refused")]
     pub refused_share: f64,
-    /// Those that failed.
+    /// Share of the requests that failed.
     #[serde(rename = "failed")]
     pub failed_share: f64,
-    /// Those served after their aim.
+    /// Share of the requests that were served after their latency objective.
     #[serde(rename = "late")]
     pub late_share: f64,
-    /// Work that gave no answer over work asked for.
+    /// Work that led to no answer, over work requested.
     #[serde(rename = "waste")]
     pub wasted_work_share: f64,
-    /// Attempts that crossed zones, for each request.
+    /// Attempts to another zone per request.
     #[serde(rename = "crossing")]
     pub cross_zone_per_request: f64,
-    /// New connections for each request.
+    /// New connections per request.
     #[serde(rename = "handshakes")]
     pub handshakes_per_request: f64,
-    /// Times from a client's first try to its answer, in microseconds: p50, p99, p99.9.
+    /// Latency from a client's first try to its answer: p50, p99, p99.9.
     #[serde(rename = "latency")]
     pub latency_quantiles_us: [u64; 3],
-    /// Cold servers that were pushed over.
+    /// Number of servers overloaded during their warm-up.
     #[serde(rename = "fallen")]
     pub cold_overloads: u64,
-    /// All broken rules.
+    /// Number of violations.
     #[serde(rename = "broken")]
     pub violation_count: u64,
-    /// The first of them.
+    /// The first 20 violations.
     pub violations: Vec<Violation>,
-    /// The day in stretches of five seconds.
+    /// Counts in windows of five seconds.
     pub windows: Vec<Window>,
-    /// Time from the end of the last surge until three seconds together are served as well as before the first, less a
-    /// twentieth; `None`: no surge, or never. In microseconds.
+    /// Time in microseconds from the end of the last surge to the first three consecutive seconds whose served share
+    /// reaches 95% of that before the first surge; `None` without a surge, or if that never happens.
     #[serde(rename = "recover")]
     pub recovery_time: Option<Micros>,
-    /// Things that happened in the simulation.
+    /// Number of simulated events.
     pub events: u64,
 }
 
-/// How a client's request ended, over all its tries.
+/// Final outcome of a client request over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served, so long after it was first asked.
+    /// Served, with the time since the first try.
     Served(Micros),
-    /// The last try was refused.
+    /// The last try was rejected.
     Refused,
-    /// It failed, or was given up.
+    /// The last try failed, or the client gave up.
     Failed,
 }
 
-/// Counts as the day goes.
+/// Collects counts and violations while the simulation runs.
 pub struct Judge {
     latency_objectives: Vec<Micros>,
     priority_weights: Vec<f64>,
@@ -128,28 +129,28 @@
     seconds: Vec<Window>,
     weights_by_class: Vec<(f64, f64)>,
     latency: Histogram<u64>,
-    /// Worth that failed only after its aim.
+    /// Priority weight of the requests that ended unserved, or were served late, after their latency objective.
     late_failure_weight: f64,
-    /// Work asked for, and work that gave no answer, in microseconds.
+    /// Work requested, in microseconds of one core.
     pub requested_work: f64,
-    /// See `asked_work`.
+    /// Work that led to no answer, in microseconds of one core.
     pub wasted_work: f64,
-    /// Counted where they happen.
+    /// Tries of clients, including retries.
     pub tries: u64,
-    /// Attempts sent.
+    /// Attempts sent to servers.
     pub attempts: u64,
     /// Attempts to another zone.
     pub cross_zone_attempts: u64,
     /// New connections.
     pub handshakes: u64,
-    /// Cold servers pushed over.
+    /// Servers overloaded during their warm-up.
     pub cold_overloads: u64,
-    broken: u64,
+    violation_count: u64,
     violations: Vec<Violation>,
 }
 
 impl Judge {
-    /// For a day.
+    /// Creates a judge for a scenario.
     pub fn new(scenario: &Scenario) -> Self {
         let seconds = scenario.duration.div_ceil(1_000_000) as usize + 1;
         Judge {
@@ -167,12 +168,12 @@
             cross_zone_attempts: 0,
             handshakes: 0,
             cold_overloads: 0,
-            broken: 0,
+            violation_count: 0,
             violations: Vec::new(),
         }
     }
 
-    /// A rule was broken.
+    /// Counts a violation, and stores it if there is room.
     pub fn record_violation(
         &mut self,
         rule: &'static str,
@@ -181,42 +182,42 @@
         call: Option<CallId>,
         server: Option<EndpointId>,
     ) {
-        self.broken += 1;
+        self.violation_count += 1;
         if self.violations.len() < MAX_STORED_VIOLATIONS {
             let (call, server) = (call.map(|c| c.0), server.map(|s| s.0));
             self.violations.push(Violation { at, proxy, call, server, rule });
         }
     }
 
-    /// May a call of this class be sent again, or refused, after attempts with these outcomes?
+    /// Returns whether a call of this class may be retried or rejected after attempts with these outcomes.
     pub fn repeat_is_safe(&self, class: usize, outcomes: impl Iterator<Item = Option<Outcome>>) -> bool {
         self.idempotency[class] == IdempotencySpec::Idempotent
             || outcomes.into_iter().all(|o| o.is_some_and(Outcome::proves_not_started))
     }
 
-    /// A client first asks.
+    /// Counts a new client request.
     pub fn record_request(&mut self, class: usize, at: Micros, work: f64) {
-        let worth = self.priority_weights[class];
+        let weight = self.priority_weights[class];
         let last = self.seconds.len() - 1;
         let second = &mut self.seconds[(at / 1_000_000).min(last as Micros) as usize];
         second.requests += 1;
-        second.requested_weight += worth;
-        self.weights_by_class[class].0 += worth;
+        second.requested_weight += weight;
+        self.weights_by_class[class].0 += weight;
         self.requested_work += work;
     }
 
-    /// A client's request, first asked at `at`, has ended for good at `now`.
-    pub fn record_outcome(&mut self, class: usize, at: Micros, now: Micros, end: RequestOutcome) {
-        let worth = self.priority_weights[class];
+    /// Records the final outcome, at `now`, of a client request that arrived at `at`.
+    pub fn record_outcome(&mut self, class: usize, at: Micros, now: Micros, outcome: RequestOutcome) {
+        let weight = self.priority_weights[class];
         let last = self.seconds.len() - 1;
         let second = &mut self.seconds[(at / 1_000_000).min(last as Micros) as usize];
-        match end {
-            RequestOutcome::Served(took) => {
-                // The histogram takes all that a clock of this world tells.
-                self.latency.saturating_record(took.max(1));
-                if took <= self.latency_objectives[class] {
-                    second.served_weight += worth;
-                    self.weights_by_class[class].1 += worth;
+        match outcome {
+            RequestOutcome::Served(latency) => {
+                // Values above the histogram's range count as its maximum.
+                self.latency.saturating_record(latency.max(1));
+                if latency <= self.latency_objectives[class] {
+                    second.served_weight += weight;
+                    self.weights_by_class[class].1 += weight;
                     return;
                 }
                 second.late += 1;
@@ -225,51 +226,56 @@
             RequestOutcome::Failed => second.failed += 1,
         }
         if now.saturating_sub(at) > self.latency_objectives[class] {
-            self.late_failure_weight += worth;
+            self.late_failure_weight += weight;
         }
     }
 
-    /// The verdict.
+    /// Computes the verdict.
     pub fn into_verdict(self, policy: &'static str, scenario: &Scenario, events: u64) -> Verdict {
-        let sum = |seconds: &[Window], part: fn(&Window) -> f64| seconds.iter().map(part).sum::<f64>();
+        let sum = |seconds: &[Window], field: fn(&Window) -> f64| seconds.iter().map(field).sum::<f64>();
         let share = |seconds: &[Window]| {
-            let worth = sum(seconds, |w| w.requested_weight);
-            if worth > 0.0 {
-                sum(seconds, |w| w.served_weight) / worth
+            let requested = sum(seconds, |w| w.requested_weight);
+            if requested > 0.0 {
+                sum(seconds, |w| w.served_weight) / requested
             } else {
                 1.0
             }
         };
         let surges = || scenario.events.iter().filter(|e| e.kind == FaultKind::Surge);
         let second = |at: Micros| ((at / 1_000_000) as usize).min(self.seconds.len());
-        let recover = surges().map(|e| e.at + e.duration).max().and_then(|end| {
-            let begin = surges().map(|e| second(e.at)).min().unwrap_or(0);
-            let usual = share(&self.seconds[..begin]) * RECOVERED_RATIO;
-            let (from, asked) = (second(end), second(scenario.duration));
-            let late = self.seconds[from..asked].windows(3).position(|three| share(three) >= usual)?;
-            Some(late as Micros * 1_000_000)
+        let recovery_time = surges().map(|e| e.at + e.duration).max().and_then(|end| {
+            let first_surge = surges().map(|e| second(e.at)).min().unwrap_or(0);
+            let required_share = share(&self.seconds[..first_surge]) * RECOVERED_RATIO;
+            let (from, end) = (second(end), second(scenario.duration));
+            let recovered_after =
+                self.seconds[from..end].windows(3).position(|three| share(three) >= required_share)?;
+            Some(recovered_after as Micros * 1_000_000)
         });
-        let whole = share(&self.seconds);
-        // From the first second on, as far as a stretch is whole.
-        let stretches = self.seconds.windows(WORST_WINDOW_S.min(self.seconds.len()));
-        let worst_window = stretches.map(share).fold(1.0, f64::min);
-        let class_share = |&(asked, served): &(f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
-        let worst_class = self.weights_by_class.iter().map(class_share).fold(1.0, f64::min);
-        let count = |part: fn(&Window) -> u64| self.seconds.iter().map(part).sum::<u64>();
+        let served_share = share(&self.seconds);
+        // Windows start at every second; only complete windows count.
+        let windows = self.seconds.windows(WORST_WINDOW_S.min(self.seconds.len()));
+        let worst_window_share = windows.map(share).fold(1.0, f64::min);
+        let class_share =
+            |&(requested, served): &(f64, f64)| if requested > 0.0 { served / requested } else { 1.0 };
+        let worst_class_share = self.weights_by_class.iter().map(class_share).fold(1.0, f64::min);
+        let count = |field: fn(&Window) -> u64| self.seconds.iter().map(field).sum::<u64>();
         let requests = count(|w| w.requests);
-        let each = |count: f64| count / (requests.max(1) as f64);
+        let per_request = |count: f64| count / (requests.max(1) as f64);
         let goal = &scenario.goal;
-        let waste = self.wasted_work / self.requested_work.max(1.0);
-        let (crossing, handshakes) = (each(self.cross_zone_attempts as f64), each(self.handshakes as f64));
-        let late_fail =
+        let wasted_work_share = self.wasted_work / self.requested_work.max(1.0);
+        let (cross_zone_per_request, handshakes_per_request) =
+            (per_request(self.cross_zone_attempts as f64), per_request(self.handshakes as f64));
+        let late_failure_share =
             self.late_failure_weight / sum(&self.seconds, |w| w.requested_weight).max(f64::MIN_POSITIVE);
-        let mixed = goal.overall * whole + goal.worst_window * worst_window + goal.worst_class * worst_class;
-        let prices = goal.cross_zone * crossing
-            + goal.wasted_work * waste
-            + goal.late_failure * late_fail
-            + goal.handshake * handshakes;
-        let weights = goal.overall + goal.worst_window + goal.worst_class;
-        let fold = |seconds: &[Window]| {
+        let weighted_share = goal.overall * served_share
+            + goal.worst_window * worst_window_share
+            + goal.worst_class * worst_class_share;
+        let charges = goal.cross_zone * cross_zone_per_request
+            + goal.wasted_work * wasted_work_share
+            + goal.late_failure * late_failure_share
+            + goal.handshake * handshakes_per_request;
+        let weight_sum = goal.overall + goal.worst_window + goal.worst_class;
+        let merge = |seconds: &[Window]| {
             seconds.iter().fold(Window::default(), |a, b| Window {
                 requests: a.requests + b.requests,
                 requested_weight: a.requested_weight + b.requested_weight,
@@ -281,30 +287,30 @@
         };
         Verdict {
             policy,
-            goal_value: mixed / weights.max(f64::MIN_POSITIVE) - prices,
-            served_share: whole,
-            worst_window_share: worst_window,
+            goal_value: weighted_share / weight_sum.max(f64::MIN_POSITIVE) - charges,
+            served_share,
+            worst_window_share,
             class_shares: scenario
                 .classes
                 .iter()
                 .zip(&self.weights_by_class)
-                .map(|(c, part)| (c.name.clone(), class_share(part)))
+                .map(|(c, weights)| (c.name.clone(), class_share(weights)))
                 .collect(),
             requests,
             tries: self.tries,
             attempts: self.attempts,
-            refused_share: each(count(|w| w.refused) as f64),
-            failed_share: each(count(|w| w.failed) as f64),
-            late_share: each(count(|w| w.late) as f64),
-            wasted_work_share: waste,
-            cross_zone_per_request: crossing,
-            handshakes_per_request: handshakes,
+            refused_share: per_request(count(|w| w.refused) as f64),
+            failed_share: per_request(count(|w| w.failed) as f64),
+            late_share: per_request(count(|w| w.late) as f64),
+            wasted_work_share,
+            cross_zone_per_request,
+            handshakes_per_request,
             latency_quantiles_us: [0.5, 0.99, 0.999].map(|q| self.latency.value_at_quantile(q)),
             cold_overloads: self.cold_overloads,
-            violation_count: self.broken,
+            violation_count: self.violation_count,
             violations: self.violations,
-            windows: self.seconds.chunks(5).map(fold).collect(),
-            recovery_time: recover,
+            windows: self.seconds.chunks(5).map(merge).collect(),
+            recovery_time,
             events,
         }
     }
@@ -312,6 +318,7 @@
 
 fn histogram() -> Histogram<u64> {
     const MAX_LATENCY_US: u64 = 3_600_000_000;
-    // Three digits up to an hour: both are constants that the library takes.
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("constant bounds"))
+    // Three significant digits, up to one hour: constants within the limits of the library.
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
+        .unwrap_or_else(|_| unreachable!("constant histogram bounds are valid"))
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A fleet in virtual time: servers, network, discovery, clients and client proxies, from one seed.
+//! Simulates a fleet in virtual time: servers, network, discovery, clients and client proxies.
 //!
-//! [`Scenario`] is a day as it is written, [`play`] plays it with one policy and judges it. One seed gives one result,
-//! whatever the machine: `docs/simulator.md` says how, and what the model leaves out.
+//! [`simulate`] runs a [`Scenario`] with one policy and returns a [`Verdict`]. The result depends only on the scenario,
+//! the policy and the seed, not on the machine: `docs/simulator.md` describes how, and the limits of the model.
 
 mod arrivals;
 mod judge;
