--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,4 +1,4 @@
-//! Who decides: oakport's own module, and the plain policies that it is held against.
+//! Balancing policies: oakport's balancer and the baselines that it is compared with.
 
 use crate::random;
 use oakport_core::{
@@ -10,56 +10,57 @@
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, HashMap};
 
-/// What a server truly is at a moment: only the ceiling's policies see it.
+/// Actual state of a server, visible only to the ceiling policies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerState {
-    /// Work in hand, in microseconds of one core.
+    /// Work accepted and not yet done, in microseconds of one core.
     pub backlog: f64,
-    /// Cores' worth of work that it can do.
+    /// Current capacity, in cores.
     pub capacity: f64,
-    /// It can be reached, takes work and has room for one more connection.
+    /// The server is reachable, accepts work and accepts another connection.
     pub available: bool,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: ZoneId,
 }
 
-/// Decides for one client proxy.
+/// Balancing policy of one client proxy.
 pub trait Policy {
-    /// Takes one event and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>);
+    /// Processes an event and appends the resulting actions.
+    fn handle(&mut self, now: Micros, event: Event, states: &[ServerState], actions: &mut Vec<Action>);
 }
 
-/// How much of the truth a policy is shown.
+/// How much of the actual server state a policy sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Visibility {
-    /// Nothing: as in service.
+    /// None, as in production.
     None,
-    /// The state of a second ago at the oldest.
+    /// The state as of at most one second ago.
     Delayed,
-    /// The state as it is.
+    /// The current state.
     Current,
 }
 
-/// The policies by name.
+/// The policies that can be simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// The module that serves.
+    /// The balancer used in production.
     Oakport,
-    /// Any server.
+    /// Picks a server at random.
     Random,
-    /// One after the other.
+    /// Picks the servers in turn.
     RoundRobin,
-    /// The one with the fewest own calls in flight.
+    /// Picks the server with the fewest in-flight calls of this proxy.
     Least,
-    /// The less loaded of two random ones by own calls in flight; nothing is held back.
+    /// Picks the one of two random servers with fewer in-flight calls of this proxy; sends every call at once.
     TwoChoices,
-    /// The least loaded by the true state, at once: none can do that.
+    /// Picks the least loaded server by its current actual state: an upper bound that no real policy can reach.
     Ceiling,
-    /// The less loaded of two by own calls in flight, for what each could do a second ago.
+    /// Picks the one of two random servers with fewer in-flight calls of this proxy per capacity, as of at most one
+    /// second ago.
     CeilingLate,
 }
 
-/// All of them, in the order of reports.
+/// All policies, in the order of reports.
 pub const POLICY_KINDS: [PolicyKind; 7] = [
     PolicyKind::Oakport,
     PolicyKind::Random,
@@ -71,7 +72,7 @@
 ];
 
 impl PolicyKind {
-    /// As the command line has it.
+    /// Name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Oakport => "oakport",
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What it is shown.
+    /// Server state that the policy sees.
     pub fn visibility(self) -> Visibility {
         match self {
             PolicyKind::Ceiling => Visibility::Current,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// One for a client proxy.
+    /// Creates the policy for a client proxy.
     pub fn make(self, seed: u64, settings: &Settings) -> Box<dyn Policy> {
         match self {
             PolicyKind::Oakport => Box::new(OakportPolicy(Balancer::new(seed, settings.clone()))),
@@ -120,11 +121,11 @@
 struct Call {
     class: ClassId,
     deadline: Micros,
-    /// Each attempt's server, its outcome once it is in.
+    /// Server and outcome of each attempt; `None` while the attempt is under way.
     attempts: Vec<(EndpointId, Option<Outcome>)>,
 }
 
-/// A policy that picks and goes again where that is allowed, and does nothing else.
+/// A policy that only picks servers, and retries where that is allowed.
 struct BaselinePolicy {
     kind: PolicyKind,
     settings: Settings,
@@ -147,66 +148,68 @@
         }
     }
 
-    /// Where a call goes. None: nowhere.
-    fn pick(&mut self, call: CallId, truth: &[ServerState]) -> Option<EndpointId> {
-        /// Work for which the ceiling goes to another zone, in microseconds.
+    /// Picks the server for the next attempt; `None` if no server is suitable.
+    fn pick(&mut self, call: CallId, states: &[ServerState]) -> Option<EndpointId> {
+        /// Backlog, in microseconds of one core, that makes the ceiling policies prefer a server in another zone.
         const CROSS_ZONE_WORK_US: f64 = 15_000.0;
-        let tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
+        let already_tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
         let ready: Vec<KnownServer> = self.servers.values().copied().filter(|s| s.ready).collect();
-        let fresh: Vec<KnownServer> = ready.iter().copied().filter(|s| !tried(s.id)).collect();
-        let among = if fresh.is_empty() { ready } else { fresh };
-        let any = |random: &mut Pcg64| among.get(random.gen_range(0..among.len().max(1))).copied();
-        let found = match self.kind {
+        let untried: Vec<KnownServer> = ready.iter().copied().filter(|s| !already_tried(s.id)).collect();
+        let candidates = if untried.is_empty() { ready } else { untried };
+        let pick_random =
+            |random: &mut Pcg64| candidates.get(random.gen_range(0..candidates.len().max(1))).copied();
+        let picked = match self.kind {
             PolicyKind::RoundRobin => {
                 self.round_robin_index += 1;
-                among.get(self.round_robin_index % among.len().max(1)).copied()
+                candidates.get(self.round_robin_index % candidates.len().max(1)).copied()
             }
             PolicyKind::Least => {
-                let least = among.iter().map(|s| s.in_flight).min()?;
-                let least: Vec<&KnownServer> = among.iter().filter(|s| s.in_flight == least).collect();
-                Some(*least[self.random.gen_range(0..least.len())])
+                let fewest = candidates.iter().map(|s| s.in_flight).min()?;
+                let fewest: Vec<&KnownServer> = candidates.iter().filter(|s| s.in_flight == fewest).collect();
+                Some(*fewest[self.random.gen_range(0..fewest.len())])
             }
             PolicyKind::TwoChoices => {
-                let (one, two) = (any(&mut self.random)?, any(&mut self.random)?);
-                Some(if two.in_flight < one.in_flight { two } else { one })
+                let (first, second) = (pick_random(&mut self.random)?, pick_random(&mut self.random)?);
+                Some(if second.in_flight < first.in_flight { second } else { first })
             }
             PolicyKind::Ceiling | PolicyKind::CeilingLate => {
-                // By the time to an answer, and where that is alike, in the own zone.
+                // Estimated time to an answer, with a penalty for servers in other zones.
                 let load = |s: &KnownServer| {
-                    let server = truth.get(s.id.0 as usize).filter(|t| t.available && t.capacity > 0.0)?;
-                    let away = if server.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_WORK_US };
-                    // Of what is a second old only the lasting part is of use.
-                    let now = self.kind == PolicyKind::Ceiling;
-                    let load = if now {
+                    let server = states.get(s.id.0 as usize).filter(|t| t.available && t.capacity > 0.0)?;
+                    let zone_penalty =
+                        if server.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_WORK_US };
+                    // A backlog of up to a second ago is of no use; only zone and capacity are.
+                    let is_current = self.kind == PolicyKind::Ceiling;
+                    let load = if is_current {
                         server.backlog
                     } else {
                         (f64::from(s.in_flight) + 1.0) * CROSS_ZONE_WORK_US
                     };
-                    Some((load + away) / server.capacity)
+                    Some((load + zone_penalty) / server.capacity)
                 };
                 let mut loads: Vec<(f64, &KnownServer)> =
-                    among.iter().filter_map(|s| Some((load(s)?, s))).collect();
+                    candidates.iter().filter_map(|s| Some((load(s)?, s))).collect();
                 if self.kind == PolicyKind::CeilingLate {
-                    // All proxies see the same state: the best of all would be everybody's. Of two it is not.
+                    // All proxies see the same state and would pick the same server; two random candidates avoid that.
                     loads.shuffle(&mut self.random);
                     loads.truncate(2);
                 }
-                // What would be late everywhere is refused: its place is worth more to others.
-                let aim = self
+                // A call that would be late on every server is rejected, as its slot serves other calls better.
+                let objective = self
                     .settings
                     .classes
                     .get(self.calls[&call].class.0)
                     .map_or(f64::MAX, |c| c.latency_objective as f64);
                 let best = loads.into_iter().reduce(|a, b| if b.0 < a.0 { b } else { a });
-                best.filter(|(load, _)| *load < aim).map(|(_, s)| *s)
+                best.filter(|(load, _)| *load < objective).map(|(_, s)| *s)
             }
-            _ => any(&mut self.random),
+            _ => pick_random(&mut self.random),
         };
-        found.map(|s| s.id)
+        picked.map(|s| s.id)
     }
 
-    fn send(&mut self, now: Micros, id: CallId, truth: &[ServerState], actions: &mut Vec<Action>) {
-        let Some(server) = self.pick(id, truth) else { return self.reject_or_fail(id, actions) };
+    fn send(&mut self, now: Micros, id: CallId, states: &[ServerState], actions: &mut Vec<Action>) {
+        let Some(server) = self.pick(id, states) else { return self.reject_or_fail(id, actions) };
         if let Some(known) = self.servers.get_mut(&server) {
             known.in_flight += 1;
         }
@@ -218,9 +221,9 @@
     fn reject_or_fail(&mut self, id: CallId, actions: &mut Vec<Action>) {
         const RETRY_AFTER_US: Micros = 200_000;
         let Some(call) = self.calls.remove(&id) else { return };
-        let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
+        let may_have_run = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
         actions.push(match self.idempotency(call.class) {
-            Idempotency::NonIdempotent if ran => Action::Fail { call: id },
+            Idempotency::NonIdempotent if may_have_run => Action::Fail { call: id },
             _ => Action::Reject { call: id, retry_after: RETRY_AFTER_US },
         });
     }
@@ -231,7 +234,7 @@
 }
 
 impl Policy for BaselinePolicy {
-    fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, states: &[ServerState], actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, endpoints: entries } => {
                 if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
@@ -246,7 +249,7 @@
             Event::Request { call, class, remaining_time: time_left, .. } => {
                 let deadline = now + time_left;
                 self.calls.insert(call, Call { class, deadline, attempts: Vec::new() });
-                self.send(now, call, truth, actions);
+                self.send(now, call, states, actions);
             }
             Event::AttemptEnded { call: id, attempt, outcome, call_closed: closed, .. } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
@@ -260,11 +263,15 @@
                     return;
                 }
                 let class = call.class;
-                let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
-                let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
+                let may_have_run =
+                    call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
+                let attempts_left = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
                 let in_time = call.deadline > now;
-                if more && in_time && (!ran || self.idempotency(class) == Idempotency::Idempotent) {
-                    self.send(now, id, truth, actions);
+                if attempts_left
+                    && in_time
+                    && (!may_have_run || self.idempotency(class) == Idempotency::Idempotent)
+                {
+                    self.send(now, id, states, actions);
                 } else {
                     self.reject_or_fail(id, actions);
                 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,72 +1,72 @@
-//! A day as it is written: TOML, times with their units, and a time line of what goes wrong.
+//! Scenario files: TOML with durations as text, such as "400ms", and a timeline of faults.
 
 use crate::random::WorkDistribution;
 use oakport_core::Micros;
 use serde::{Deserialize, Deserializer};
 
-/// A day of a fleet.
+/// A scenario: a fleet, its clients and the faults that it meets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the day is for, for people.
+    /// What the scenario is for, for readers.
     pub purpose: String,
-    /// How long requests come.
+    /// Duration of the period in which requests arrive.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "length")]
     pub duration: Micros,
-    /// Client proxies.
+    /// Number of client proxies.
     pub balancers: usize,
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// Requests a second over all client proxies, retries not counted.
+    /// Requests per second over all client proxies, retries not counted.
     pub rate: f64,
-    /// How unequal the client proxies' parts of them are: 0 alike, 1 the largest has several times the mean.
+    /// Skew of the client proxies' shares of the requests: 0 equal; at 1 the largest has several times the mean.
     #[serde(default)]
     #[serde(rename = "uneven")]
     pub proxy_skew: f64,
-    /// Zones over which servers and client proxies are spread.
+    /// Zones over which servers and client proxies are distributed.
     #[serde(default = "default_zones")]
     pub zones: Vec<String>,
-    /// Client proxies know of each other; on sockets only.
+    /// Client proxies exchange membership; on sockets only.
     #[serde(default)]
     pub peers: bool,
-    /// What a server can do.
+    /// Capacity and limits of a server.
     #[serde(default)]
     pub server: ServerSpec,
-    /// The way between them.
+    /// Delays between client proxies and servers.
     #[serde(default)]
     pub network: NetworkSpec,
-    /// How the list comes.
+    /// Delivery of endpoint lists.
     #[serde(default)]
     pub discovery: DiscoverySpec,
-    /// What clients do.
+    /// Retries and timeouts of clients.
     #[serde(default)]
     pub clients: ClientSpec,
-    /// Classes of requests.
+    /// Request classes.
     #[serde(rename = "class")]
     pub classes: Vec<ClassSpec>,
-    /// What the day is judged by.
+    /// Weights and charges of the score.
     #[serde(default)]
     pub goal: GoalSpec,
-    /// What goes wrong, and when.
+    /// Faults, and when they occur.
     #[serde(default, rename = "event")]
     pub events: Vec<FaultSpec>,
-    /// What the day's figures must be on sockets.
+    /// Bounds of the figures measured on sockets.
     #[serde(default, rename = "expect")]
     pub expectations: Vec<Expectation>,
 }
 
-/// What a figure of the day must be.
+/// Bounds of a measured figure.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
-    /// Its dotted name.
+    /// Dotted name of the figure.
     pub figure: String,
-    /// No less than this.
+    /// Lower bound, inclusive.
     #[serde(default)]
     #[serde(rename = "least")]
     pub min: Option<f64>,
-    /// No more than this.
+    /// Upper bound, inclusive.
     #[serde(default)]
     #[serde(rename = "most")]
     pub max: Option<f64>,
@@ -76,70 +76,70 @@
     vec!["a".to_owned()]
 }
 
-/// What a server can do.
+/// Capacity and limits of a server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServerSpec {
-    /// Cores, shared by the requests in its slots.
+    /// Cores, shared by the requests being processed.
     pub cores: f64,
-    /// Requests in work at a time.
+    /// Requests processed concurrently.
     pub slots: usize,
-    /// Requests that may wait for a slot; beyond them it turns away.
+    /// Requests that may wait for a slot; further ones are rejected.
     #[serde(rename = "room")]
     pub queue_capacity: usize,
-    /// Share of its capacity that a fresh server has.
+    /// Capacity of a server that has just started, as a ratio of its full capacity.
     #[serde(rename = "cold_share")]
     pub initial_capacity_ratio: f64,
-    /// And is warm after this.
+    /// Time from the start of a server until it has its full capacity.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "cold_time")]
     pub warm_up_duration: Micros,
-    /// Sent more than this multiple of what it can then do ...
+    /// A cold server fails when it is sent more than this multiple of its capacity ...
     #[serde(rename = "fall_multiple")]
     pub cold_overload_factor: f64,
-    /// ... over this span, a cold server falls over.
+    /// ... over this time.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "fall_time")]
     pub cold_overload_window: Micros,
-    /// Connections that it holds at the most.
+    /// Maximum number of open connections.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// It closes a connection that has been idle for this long.
+    /// A connection that has been idle for this long is closed.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "idle_close")]
     pub idle_timeout: Micros,
-    /// Work that a new connection costs it.
+    /// Work that a new connection costs the server, in microseconds of one core.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "handshake")]
     pub handshake_work: Micros,
-    /// How it suffers under a crowd, if at all.
+    /// Slowdown under congestion; none if absent.
     #[serde(rename = "choke")]
     pub congestion: Option<CongestionSpec>,
 }
 
-/// A server that has had too many waiting for too long is slower, until it has had little to do for a while (BRIEF,
-/// "Servers").
+/// Congestion: a server whose queue has been too long for some time slows down until its load has been low for some
+/// time (BRIEF, "Servers").
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CongestionSpec {
-    /// More requests than this wait for each core ...
+    /// A server becomes congested when more requests than this per core wait ...
     #[serde(rename = "at")]
     pub min_waiting_per_core: f64,
-    /// ... for this span: then it chokes.
+    /// ... for this time.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "over")]
     pub onset_time: Micros,
-    /// How many times slower it is then.
+    /// Factor by which a congested server is slower.
     #[serde(rename = "slower")]
     pub slowdown_factor: f64,
-    /// Fewer requests than this are in hand for each core ...
+    /// Congestion ends when fewer requests than this per core are waiting or being processed ...
     #[serde(rename = "below")]
     pub recovery_load_per_core: f64,
-    /// ... for this span: then it is well again.
+    /// ... for this time.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "rest")]
     pub recovery_time: Micros,
-    /// It is well again after this in any case.
+    /// Congestion ends after this time in any case.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "most")]
     pub max_duration: Micros,
@@ -163,21 +163,21 @@
     }
 }
 
-/// The way between client proxies and servers.
+/// Network between client proxies and servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NetworkSpec {
-    /// One way within a zone.
+    /// One-way delay within a zone.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "within")]
     pub delay_within_zone: Micros,
-    /// One way between zones.
+    /// One-way delay between zones.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "across")]
     pub delay_across_zones: Micros,
-    /// Share by which each delay differs, up or down.
+    /// Maximum deviation of each delay in either direction, as a ratio of the delay.
     pub jitter: f64,
-    /// A connection that is not up by then has failed.
+    /// A connection that is not established within this time has failed.
     #[serde(deserialize_with = "duration")]
     pub connect_timeout: Micros,
 }
@@ -193,17 +193,18 @@
     }
 }
 
-/// How the list of servers comes.
+/// Delivery of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoverySpec {
-    /// News reach each client proxy so long after they are true, give or take half of it.
+    /// Delay of a list update to each client proxy, varied by up to half in either direction.
     #[serde(deserialize_with = "duration")]
     pub delay: Micros,
-    /// Latest that requests may go to a server after word that it drains or is gone.
+    /// Time for which attempts may still be sent to a server after it is listed as draining or removed.
     #[serde(deserialize_with = "duration")]
     pub drain_grace: Micros,
-    /// One service of limited room is asked by all, each so often where nothing fails; else lists are pushed.
+    /// Interval at which each client proxy polls one discovery service of limited capacity, while no poll fails;
+    /// lists are pushed if absent.
     #[serde(default, deserialize_with = "optional_duration")]
     #[serde(rename = "ask_every")]
     pub poll_interval: Option<Micros>,
@@ -215,23 +216,23 @@
     }
 }
 
-/// What clients do.
+/// Retries and timeouts of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSpec {
-    /// Further tries after the first.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// How long they wait before, give or take half of it.
+    /// Delay before a retry, varied by up to half in either direction.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "wait")]
     pub retry_delay: Micros,
-    /// Whether they wait at least as long as they are told.
+    /// Whether clients honour Retry-After.
     pub heed_retry_after: bool,
-    /// The longest advice that they heed.
+    /// Longer Retry-After values are cut to this.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "retry_after_most")]
     pub max_retry_after: Micros,
-    /// Least share of the deadline after which a try is given up.
+    /// Minimum ratio of the client timeout after which a try is abandoned.
     #[serde(rename = "patience")]
     pub min_timeout_ratio: f64,
 }
@@ -248,101 +249,102 @@
     }
 }
 
-/// Whether a request may run again.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IdempotencySpec {
-    /// It may.
+    /// Repeating the request is harmless.
     #[serde(rename = "free")]
     Idempotent,
-    /// Never.
+    /// The request must run at most once.
     #[default]
     #[serde(rename = "single_shot")]
     NonIdempotent,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its share of the requests, against the other classes'.
+    /// Relative share of the requests.
     pub share: f64,
-    /// Mean work on one core.
+    /// Mean work, in microseconds of one core.
     #[serde(deserialize_with = "duration")]
     pub work: Micros,
-    /// How work is spread about the mean.
+    /// Distribution of the work around the mean.
     #[serde(default)]
     #[serde(rename = "spread")]
     pub work_distribution: WorkDistribution,
-    /// An answer by then earns its worth.
+    /// Latency objective: answers within this time earn the priority weight.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// How long a client waits over all its tries.
+    /// Time for which a client waits, over all its tries.
     #[serde(deserialize_with = "duration")]
     #[serde(rename = "deadline")]
     pub client_timeout: Micros,
-    /// What an answer in time is worth.
+    /// Priority weight of an answer in time.
     #[serde(default = "default_priority_weight")]
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Whether it may run again.
+    /// Whether requests of the class may be repeated.
     #[serde(default)]
     pub idempotency: IdempotencySpec,
-    /// Large bodies that a client sends and reads slowly; on sockets only. Else bodies are small.
+    /// Large bodies that clients send and read slowly; on sockets only. Bodies are small if absent.
     #[serde(default)]
     pub transfer: Option<TransferSpec>,
 }
 
-/// Large bodies of a class, and the pace of its clients.
+/// Large bodies of a class, and their transfer rates.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TransferSpec {
-    /// The least and the most bytes of a request's body; each request draws its own. None where it may run again.
+    /// Minimum and maximum size of a request body; drawn for each request. Idempotent requests have no body.
     #[serde(default)]
     pub request_bytes: [usize; 2],
-    /// The least and the most bytes of a response's body.
+    /// Minimum and maximum size of a response body.
     pub response_bytes: [usize; 2],
-    /// Bytes a second that a server writes of its response.
+    /// Bytes per second at which a server writes a response.
     #[serde(rename = "give_rate")]
     pub response_write_rate: usize,
-    /// Bytes a second that a client writes of its request.
+    /// Bytes per second at which a client writes a request.
     #[serde(rename = "write_rate")]
     pub request_write_rate: usize,
-    /// Bytes a second that a client reads of its response.
+    /// Bytes per second at which a client reads a response.
     #[serde(rename = "read_rate")]
     pub response_read_rate: usize,
-    /// A client writes its next request right behind each request, before it has read the response.
+    /// Clients pipeline: the next request is written before the response to the previous one is read.
     #[serde(default)]
     pub pipelined: bool,
 }
 
 impl TransferSpec {
-    /// Smaller responses are judged by their last byte, others by their first (a body of a small message holds no more).
+    /// Latency is measured to the last byte of smaller responses and to the first byte of others (the body of a small
+    /// message is never this large).
     pub const MIN_RESPONSE_BYTES: usize = 65_537;
 
-    /// What makes no sense although it can be read, for this class of requests.
+    /// Returns the first invalid value, for a class with this idempotency.
     fn validation_error(&self, idempotency: IdempotencySpec) -> Option<&'static str> {
-        let ordered = |[least, most]: [usize; 2]| least <= most;
+        let ordered = |[min, max]: [usize; 2]| min <= max;
         match () {
             () if !ordered(self.request_bytes) || !ordered(self.response_bytes) => {
-                Some("of bytes give the least first, then the most")
+                Some("request_bytes and response_bytes must be [minimum, maximum]")
             }
             () if self.response_bytes[0] < Self::MIN_RESPONSE_BYTES => {
-                Some("response_bytes must be above 65,536")
+                Some("response_bytes must be at least 65,537")
             }
             () if [self.response_write_rate, self.request_write_rate, self.response_read_rate]
                 .contains(&0) =>
             {
-                Some("rates must be above 0")
+                Some("give_rate, write_rate and read_rate must be above 0")
             }
             () if idempotency == IdempotencySpec::Idempotent && self.request_bytes[1] > 0 => {
-                Some("request_bytes needs idempotency = \"single_shot\", as other requests have no body")
+                Some("request_bytes requires idempotency = \"single_shot\"; other requests have no body")
             }
             () if idempotency != IdempotencySpec::Idempotent && self.pipelined => {
-                Some("pipelined needs idempotency = \"free\": what may not run again is not written ahead")
+                Some("pipelined requires idempotency = \"free\": requests that must run at most once are not pipelined")
             }
             () => None,
         }
@@ -353,31 +355,31 @@
     1.0
 }
 
-/// What the day is judged by: weights of the parts of G, and prices.
+/// Weights and charges of the score G.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GoalSpec {
-    /// The whole day.
+    /// Weight of the served share of the whole scenario.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The worst 10 s.
+    /// Weight of the served share of the worst 10 s.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the served share of the worst-served class.
     pub worst_class: f64,
-    /// Price of each request crossing zones once.
+    /// Charge for one attempt to another zone per request.
     pub cross_zone: f64,
-    /// Price of as much work wasted as was asked for.
+    /// Charge for wasting as much work as was requested.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
-    /// Price of all failing only after its aim.
+    /// Charge if all requests end unserved or late after their latency objective.
     #[serde(rename = "late_fail")]
     pub late_failure: f64,
-    /// Price of a new connection for each request.
+    /// Charge for one new connection per request.
     pub handshake: f64,
 }
 
 impl Default for GoalSpec {
-    /// BRIEF's weights and deductions; its share for the worst tenant goes to the whole.
+    /// Weights and charges of BRIEF; the weight of the worst tenant is added to `overall`.
     fn default() -> Self {
         GoalSpec {
             overall: 0.55,
@@ -391,87 +393,87 @@
     }
 }
 
-/// Something that goes wrong for a while.
+/// A fault of limited duration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// When it begins.
+    /// Start, from the start of the scenario.
     #[serde(deserialize_with = "duration")]
     pub at: Micros,
-    /// How long it lasts.
+    /// Duration of the fault; with some kinds, the period over which it is spread.
     #[serde(rename = "for", deserialize_with = "duration")]
     pub duration: Micros,
-    /// What.
+    /// Kind of fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// Share of the servers that it meets; of a zone, all.
+    /// Share of the servers or client proxies affected, if `zone` is absent; else all in the zone are.
     #[serde(default = "default_share")]
     #[serde(rename = "part")]
     pub share: f64,
-    /// The zone that it meets, by its name; else servers of all zones.
+    /// Name of the affected zone; all zones if absent.
     #[serde(default)]
     pub zone: Option<String>,
-    /// How many times slower, or how many times the rate.
+    /// Factor by which servers are slower, or by which the request rate rises.
     #[serde(default = "default_factor")]
     pub factor: f64,
-    /// Servers that it met start again, cold, when it is over.
+    /// Affected servers restart cold when the fault ends.
     #[serde(default)]
     #[serde(rename = "cold")]
     pub restart_cold: bool,
-    /// For a cut or a bad link: the two groups between which it lies, each as "zone:derby", "proxies:derby",
+    /// For a cut or an impaired link: the two groups that it separates, each as "zone:derby", "proxies:derby",
     /// "servers:derby", "proxies", "servers", "proxy:3", "server:5" or "discovery".
     #[serde(default)]
     #[serde(rename = "cut")]
     pub link_groups: Vec<String>,
-    /// Only what the first group sends to the second is met.
+    /// Only traffic from the first group to the second is affected.
     #[serde(default)]
     pub one_way: bool,
-    /// What a link does.
+    /// Impairments of the link.
     #[serde(default)]
     pub link: LinkSpec,
-    /// An extra response follows so long after the first, or an idle connection is closed so long after a response.
+    /// Delay of an extra response after the first, or idle time after which a connection is closed.
     #[serde(default, deserialize_with = "duration")]
     pub after: Micros,
-    /// The signals of a series, evenly over the time.
+    /// Signals to send, spread evenly over the duration.
     #[serde(default)]
     pub signals: Vec<SignalSpec>,
-    /// Clients of a process that was told to end use their open connections until it is killed.
+    /// Clients of a process that was told to end keep using their open connections until it is killed.
     #[serde(default)]
     #[serde(rename = "clients_stay")]
     pub clients_keep_connections: bool,
-    /// The connections of a crowd to each client proxy.
+    /// Number of extra connections to each client proxy, for a crowd.
     #[serde(default)]
     pub connections: usize,
 }
 
-/// A signal of a series.
+/// A signal sent to a client proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SignalSpec {
     /// SIGHUP.
     Hup,
-    /// SIGHUP while the configuration file is cut in half; it is whole again before the next signal.
+    /// SIGHUP while the configuration file is truncated to half; the file is restored before the next signal.
     HupInvalid,
     /// SIGTERM.
     Term,
 }
 
-/// What a bad link does to what passes over it.
+/// Impairments of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkSpec {
-    /// All comes so much later.
+    /// Additional delay of all traffic.
     #[serde(deserialize_with = "duration")]
     pub delay: Micros,
     /// Share of the datagrams that are lost.
     pub drop: f64,
-    /// Share of the datagrams that come twice.
+    /// Share of the datagrams that are duplicated.
     pub duplicate: f64,
-    /// Share of the datagrams that the next one overtakes.
+    /// Share of the datagrams that are overtaken by the next one.
     pub reorder: f64,
-    /// Nothing passes, and nobody is told.
+    /// Traffic stalls without an error to either side.
     pub stall: bool,
-    /// Connections that are open are reset.
+    /// Open connections are reset.
     pub reset: bool,
     /// New connections are refused.
     pub refuse: bool,
@@ -485,49 +487,49 @@
     3.0
 }
 
-/// Kinds of trouble (BENCH, "Troubles", and the days of the full fleet).
+/// Kinds of fault (BENCH, "Troubles", and the scenarios of the full fleet).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Processes die and come back cold.
+    /// Server processes die and restart cold.
     Crash,
-    /// They run `factor` times slower.
+    /// Servers run `factor` times slower.
     Slow,
-    /// They take work and answer nothing.
+    /// Servers accept work and never answer.
     Hang,
-    /// They answer every second request with an error, fast.
+    /// Servers answer half of the requests, at random, with an immediate error.
     Error,
-    /// They reset every third connection under its request.
+    /// Servers reset the connections of a third of the requests, at random.
     Reset,
-    /// They are cut off: what is sent there is lost in silence.
+    /// Servers are unreachable: traffic to and from them is lost without an error.
     Silent,
-    /// They drain and are replaced by cold ones, evenly over the time.
+    /// Servers drain and are replaced by cold ones, spread evenly over the duration.
     Release,
-    /// `factor` times the requests.
+    /// The request rate rises by `factor`.
     Surge,
-    /// A share of the client proxies die at once and start again from nothing.
+    /// A share of the client proxies die at the same time and restart at once, without their balancing state.
     Herd,
-    /// A share of the client proxies die at once, and start again one after the other over the time.
+    /// A share of the client proxies die at the same time and restart one after the other over the duration.
     Kill,
-    /// A share of the client proxies are stopped where they stand, and go on after it.
+    /// A share of the client proxies are suspended for the duration.
     Stall,
-    /// A share of the client proxies are told to end, as for a planned restart, and start again.
+    /// A share of the client proxies are told to end, as for a planned restart, and restart.
     Restart,
-    /// A share of the client proxies are relieved by another process on the same listener.
+    /// A share of the client proxies hand over to a successor process on the same listener.
     Upgrade,
-    /// Discovery says nothing to a share of the client proxies.
+    /// Discovery does not respond to a share of the client proxies.
     ListSilent,
     /// Discovery answers 503 to a share of the client proxies.
     ListUnavailable,
-    /// The open watches of a share of the client proxies fall silent; new ones are answered.
+    /// Open watches of a share of the client proxies get no more updates; new watches work.
     WatchesSilent,
-    /// A share of the client proxies are told that the servers of a zone, or a tenth of all, are gone, though they serve.
+    /// A share of the client proxies get a list without the servers of a zone, or a tenth of all, though these serve.
     ListDiffers,
-    /// Nothing passes between two groups.
+    /// All traffic between two groups is lost.
     Cut,
-    /// What passes between two groups suffers.
+    /// Traffic between two groups is impaired.
     Link,
-    /// A share of the client proxies get a series of signals; one that was told to end starts again.
+    /// A share of the client proxies get a series of signals; a process that was told to end restarts.
     Signals,
     /// Idle and slow clients open connections to a share of the client proxies.
     Crowd,
@@ -538,7 +540,7 @@
 }
 
 impl FaultKind {
-    /// It is played on sockets only.
+    /// Returns whether the fault can only be played on sockets.
     pub fn requires_sockets(self) -> bool {
         use FaultKind::*;
         matches!(
@@ -560,7 +562,7 @@
     }
 }
 
-/// Why a scenario cannot be played.
+/// Reason why a scenario is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScenarioError(pub String);
 
@@ -573,26 +575,26 @@
 impl std::error::Error for ScenarioError {}
 
 impl Scenario {
-    /// Reads a day.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// What is wrong, with its place in the text, or which figure makes no sense.
+    /// The syntax error with its location in the text, or the first invalid value.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError(e.to_string()))?;
         match scenario.validation_error(text) {
-            Some(odd) => Err(ScenarioError(odd)),
+            Some(message) => Err(ScenarioError(message)),
             None => Ok(scenario),
         }
     }
 
-    /// The first event that virtual time does not play yet, if there is one.
+    /// The first fault that the simulator does not support, if any.
     pub fn first_socket_only_fault(&self) -> Option<FaultKind> {
         self.events.iter().map(|e| e.kind).find(|what| what.requires_sockets())
     }
 
-    /// What makes no sense although it can be read.
+    /// Returns a message on the first invalid value.
     fn validation_error(&self, text: &str) -> Option<String> {
-        let share = |value: f64| (0.0..=1.0).contains(&value);
+        let is_ratio = |value: f64| (0.0..=1.0).contains(&value);
         let positive = |value: f64| value.is_finite() && value > 0.0;
         let scenario_checks = [
             (self.balancers > 0, "balancers: at least 1 is needed"),
@@ -601,55 +603,59 @@
             (self.duration >= 1_000_000, "length: at least 1s is needed"),
             (!self.zones.is_empty(), "zones: at least one is needed; leave the key out for one zone"),
             (!self.classes.is_empty(), "class: at least one [[class]] is needed"),
-            (share(self.proxy_skew), "uneven: must be from 0 to 1"),
+            (is_ratio(self.proxy_skew), "uneven: must be from 0 to 1"),
             (positive(self.server.cores), "server.cores: must be above 0"),
             (self.server.slots > 0, "server.slots: at least 1 is needed"),
             (
                 self.server.congestion.as_ref().is_none_or(|c| positive(c.slowdown_factor)),
                 "server.choke.slower: must be above 0",
             ),
-            (share(self.server.initial_capacity_ratio), "server.cold_share: must be from 0 to 1"),
-            (share(self.network.jitter), "network.jitter: must be from 0 to 1"),
-            (share(self.clients.min_timeout_ratio), "clients.patience: must be from 0 to 1"),
+            (is_ratio(self.server.initial_capacity_ratio), "server.cold_share: must be from 0 to 1"),
+            (is_ratio(self.network.jitter), "network.jitter: must be from 0 to 1"),
+            (is_ratio(self.clients.min_timeout_ratio), "clients.patience: must be from 0 to 1"),
         ];
-        let odd = scenario_checks.into_iter().find(|(fine, _)| !fine).map(|(_, odd)| odd.to_owned());
+        let message =
+            scenario_checks.into_iter().find(|(valid, _)| !valid).map(|(_, message)| message.to_owned());
         let class = || {
-            let fine = |c: &&ClassSpec| {
+            let valid = |c: &&ClassSpec| {
                 c.client_timeout > 0 && positive(c.share) && c.work > 0 && c.priority_weight >= 0.0
             };
-            let bad = self.classes.iter().find(|c| !fine(c))?;
-            Some(format!("class {}: share, work and deadline must be above 0, worth not below", bad.name))
+            let invalid = self.classes.iter().find(|c| !valid(c))?;
+            Some(format!(
+                "class {}: share, work and deadline must be above 0, worth at least 0",
+                invalid.name
+            ))
         };
         let transfer = || {
-            let odd = |c: &ClassSpec| {
+            let message = |c: &ClassSpec| {
                 c.transfer.as_ref().and_then(|transfer| transfer.validation_error(c.idempotency))
             };
-            let (class, odd) = self.classes.iter().find_map(|c| Some((c, odd(c)?)))?;
-            Some(format!("class {}: transfer: {odd}", class.name))
+            let (class, message) = self.classes.iter().find_map(|c| Some((c, message(c)?)))?;
+            Some(format!("class {}: transfer: {message}", class.name))
         };
         let event = || {
-            let fine = |t: &FaultSpec| {
-                let known = t.zone.as_ref().is_none_or(|z| self.zones.contains(z));
-                known && share(t.share) && positive(t.factor)
+            let valid = |fault: &FaultSpec| {
+                let zone_exists = fault.zone.as_ref().is_none_or(|z| self.zones.contains(z));
+                zone_exists && is_ratio(fault.share) && positive(fault.factor)
             };
-            let number = self.events.iter().position(|t| !fine(t))?;
+            let index = self.events.iter().position(|fault| !valid(fault))?;
             Some(format!(
                 "line {}: event {:?}: its zone must be one of {}, part from 0 to 1, factor above 0",
-                line_of(text, "[[event]]", number),
-                self.events[number].kind,
+                line_of(text, "[[event]]", index),
+                self.events[index].kind,
                 self.zones.join(", ")
             ))
         };
         let link = || {
-            let odd = |t: &FaultSpec| {
-                match t.kind {
-                FaultKind::Cut | FaultKind::Link if t.link_groups.len() != 2 => {
+            let message = |fault: &FaultSpec| {
+                match fault.kind {
+                FaultKind::Cut | FaultKind::Link if fault.link_groups.len() != 2 => {
                     Some("cut must name two groups, such as [\"zone:derby\", \"servers\"]".to_owned())
                 }
-                _ => t.link_groups.iter().find(|group| Group::parse(group, self).is_none()).map(|group| {
+                _ => fault.link_groups.iter().find(|group| Group::parse(group, self).is_none()).map(|group| {
                     let zones = self.zones.join(", ");
                     format!(
-                        "{group} is no group; write zone:, proxies: or servers: with one of {zones}, or proxies, \
+                        "{group} is no group; use zone:, proxies: or servers: with one of {zones}, or proxies, \
                          servers, proxy:0 to proxy:{}, server:0 to server:{}, discovery",
                         self.balancers - 1,
                         self.servers - 1
@@ -657,31 +663,30 @@
                 }),
             }
             };
-            let found = self.events.iter().enumerate().find_map(|(n, t)| Some((n, odd(t)?)));
-            found.map(|(n, odd)| format!("line {}: event: {odd}", line_of(text, "[[event]]", n)))
+            let found = self.events.iter().enumerate().find_map(|(n, fault)| Some((n, message(fault)?)));
+            found.map(|(n, message)| format!("line {}: event: {message}", line_of(text, "[[event]]", n)))
         };
         let expect = || {
-            let number = self.expectations.iter().position(|e| e.min.is_none() && e.max.is_none())?;
-            let line = line_of(text, "[[expect]]", number);
-            Some(format!(
-                "line {line}: expect {}: give least, most or both",
-                self.expectations[number].figure
-            ))
+            let index = self.expectations.iter().position(|e| e.min.is_none() && e.max.is_none())?;
+            let line = line_of(text, "[[expect]]", index);
+            Some(format!("line {line}: expect {}: give least, most or both", self.expectations[index].figure))
         };
         let signals = || {
-            let number =
-                self.events.iter().position(|t| t.kind == FaultKind::Signals && t.signals.is_empty())?;
-            let line = line_of(text, "[[event]]", number);
+            let index = self
+                .events
+                .iter()
+                .position(|fault| fault.kind == FaultKind::Signals && fault.signals.is_empty())?;
+            let line = line_of(text, "[[event]]", index);
             Some(format!("line {line}: event: signals must name at least one of hup, hup_invalid, term"))
         };
-        odd.or_else(class).or_else(transfer).or_else(event).or_else(link).or_else(signals).or_else(expect)
+        message.or_else(class).or_else(transfer).or_else(event).or_else(link).or_else(signals).or_else(expect)
     }
 }
 
-/// Parties between which a link lies.
+/// Processes on one side of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// Proxies and servers of a zone, by its place in the scenario's list.
+    /// Proxies and servers of a zone, by its index in the scenario.
     Zone(usize),
     /// Proxies, of a zone or all.
     Proxies(Option<usize>),
@@ -691,12 +696,12 @@
     Proxy(usize),
     /// One server.
     Server(usize),
-    /// All that tells the list.
+    /// The discovery service.
     Discovery,
 }
 
 impl Group {
-    /// The group that a text names in this scenario.
+    /// Parses the name of a group; `None` if the scenario has no such group.
     pub fn parse(text: &str, scenario: &Scenario) -> Option<Group> {
         let (kind, name) = text.split_once(':').map_or((text, None), |(kind, name)| (kind, Some(name)));
         let zone = || scenario.zones.iter().position(|zone| Some(zone.as_str()) == name);
@@ -714,7 +719,7 @@
         }
     }
 
-    /// Does a proxy of this number and zone belong to it?
+    /// Returns whether the group contains the proxy of this index and zone.
     pub fn contains_proxy(self, number: usize, zone: usize) -> bool {
         match self {
             Group::Zone(z) | Group::Proxies(Some(z)) => z == zone,
@@ -724,7 +729,7 @@
         }
     }
 
-    /// Does a server of this number and zone belong to it?
+    /// Returns whether the group contains the server of this index and zone.
     pub fn contains_server(self, number: usize, zone: usize) -> bool {
         match self {
             Group::Zone(z) | Group::Servers(Some(z)) => z == zone,
@@ -735,18 +740,18 @@
     }
 }
 
-/// The line at which the table of this number begins, from 1; 0 if it is not written as a table of its own.
+/// Line, from 1, of the header of the table with this index; 0 if it has no header line, such as an inline table.
 fn line_of(text: &str, header: &str, number: usize) -> usize {
     let lines = text.lines().enumerate().filter(|(_, line)| line.trim() == header);
     lines.map(|(line, _)| line + 1).nth(number).unwrap_or(0)
 }
 
-/// A time that is given.
+/// Deserializes a duration that is present.
 fn optional_duration<'de, D: Deserializer<'de>>(reader: D) -> Result<Option<Micros>, D::Error> {
     duration(reader).map(Some)
 }
 
-/// A time such as "400ms", or a whole number of microseconds.
+/// Deserializes a duration: text such as "400ms", or a whole number of microseconds.
 fn duration<'de, D: Deserializer<'de>>(reader: D) -> Result<Micros, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -757,11 +762,11 @@
     match DurationText::deserialize(reader) {
         Ok(DurationText::Number(number)) => Ok(number),
         Ok(DurationText::Text(text)) => match humantime::parse_duration(&text) {
-            Ok(span) => Ok(span.as_micros() as Micros),
-            Err(odd) => {
-                Err(serde::de::Error::custom(format!("\"{text}\" is no time: {odd}; write \"400ms\"")))
-            }
+            Ok(duration) => Ok(duration.as_micros() as Micros),
+            Err(error) => Err(serde::de::Error::custom(format!(
+                "invalid duration \"{text}\": {error}; write \"400ms\""
+            ))),
         },
-        Err(_) => Err(serde::de::Error::custom("expected a time such as \"400ms\"")),
+        Err(_) => Err(serde::de::Error::custom("expected a duration such as \"400ms\"")),
     }
 }
