--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,80 +1,83 @@
-//! When clients first ask, for what, and through which client proxy: the same draws in virtual time and on sockets.
+//! Generates client requests: arrival time, class, work and client proxy.
+//!
+//! The simulator and the runs on sockets use the same random draws.
 
-use crate::chance::{self, Part};
-use crate::scenario::{Scenario, What};
+use crate::random::{self, StreamId};
+use crate::scenario::{FaultKind, Scenario};
 use oakport_core::Micros;
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 
-/// A request of a client, before anything has become of it.
+/// A client request as generated, before its first try is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it is first asked, in microseconds of the day.
+    /// Time of the first try, in microseconds from the start of the scenario.
     pub at: Micros,
-    /// Its class, by its place in the scenario.
+    /// Index of the request's class in the scenario.
     pub class: usize,
-    /// Its work, in microseconds of one core.
+    /// CPU time that the request needs, in microseconds of one core.
     pub work: f64,
-    /// The client proxy of the client, by its number from 0.
+    /// Index of the client proxy that receives the request.
     pub proxy: usize,
 }
 
-/// Draws arrivals one after the other.
+/// Random generator of arrivals.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     random: Pcg64,
-    /// Sums of the proxies' parts of the requests.
-    shares: Vec<f64>,
+    /// Running sums of the proxies' relative shares of the requests.
+    cumulative_shares: Vec<f64>,
 }
 
 impl Arrivals {
-    /// For a day; how unequal the proxies' parts are is drawn from `fleet`.
+    /// Creates the generator for a scenario; the proxies' shares of the requests are drawn from `fleet`.
     pub fn new(scenario: &Scenario, seed: u64, fleet: &mut Pcg64) -> Self {
         let mut sum = 0.0;
         let shares = (0..scenario.balancers).map(|_| {
-            sum += (scenario.uneven * 2.0 * (fleet.gen::<f64>() * 2.0 - 1.0)).exp();
+            sum += (scenario.proxy_skew * 2.0 * (fleet.gen::<f64>() * 2.0 - 1.0)).exp();
             sum
         });
-        Arrivals { shares: shares.collect(), random: chance::stream(seed, Part::Arrivals) }
+        Arrivals { cumulative_shares: shares.collect(), random: random::stream(seed, StreamId::Arrivals) }
     }
 
-    /// Time until the next arrival at so many a second, in microseconds.
-    pub fn gap(&mut self, rate: f64) -> Micros {
-        let gap: f64 = Exp1.sample(&mut self.random);
-        (gap * 1e6 / rate) as Micros
+    /// Draws the time until the next arrival, in microseconds, at `rate` requests per second.
+    pub fn interval(&mut self, rate: f64) -> Micros {
+        let interval: f64 = Exp1.sample(&mut self.random);
+        (interval * 1e6 / rate) as Micros
     }
 
-    /// The arrival at this moment.
-    pub fn draw(&mut self, scenario: &Scenario, at: Micros) -> Arrival {
+    /// Draws class, work and client proxy of the request that arrives at `at`.
+    pub fn sample(&mut self, scenario: &Scenario, at: Micros) -> Arrival {
         let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
-        let mut mark = self.random.gen::<f64>() * total;
+        let mut remaining_share = self.random.gen::<f64>() * total;
         let last = scenario.classes.len() - 1;
-        let found = scenario.classes.iter().position(|c| {
-            mark -= c.share;
-            mark < 0.0
+        let class_index = scenario.classes.iter().position(|c| {
+            remaining_share -= c.share;
+            remaining_share < 0.0
         });
-        let class = found.unwrap_or(last);
+        let class = class_index.unwrap_or(last);
         let spec = &scenario.classes[class];
-        let work = spec.spread.draw(spec.work as f64, &mut self.random).max(1.0);
-        let mark = self.random.gen::<f64>() * self.shares.last().copied().unwrap_or(1.0);
-        let proxy = self.shares.partition_point(|sum| *sum <= mark).min(self.shares.len() - 1);
+        let work = spec.work_distribution.sample(spec.work as f64, &mut self.random).max(1.0);
+        let point = self.random.gen::<f64>() * self.cumulative_shares.last().copied().unwrap_or(1.0);
+        let proxy =
+            self.cumulative_shares.partition_point(|sum| *sum <= point).min(self.cumulative_shares.len() - 1);
         Arrival { at, class, work, proxy }
     }
 
-    /// All arrivals of a day, in order.
-    pub fn whole_day(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-        let mut arrivals = Arrivals::new(scenario, seed, &mut chance::stream(seed, Part::Fleet));
-        let (mut at, mut all) = (0, Vec::new());
+    /// Generates all arrivals of a scenario in order of time.
+    pub fn generate_all(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+        let mut generator = Arrivals::new(scenario, seed, &mut random::stream(seed, StreamId::Fleet));
+        let (mut at, mut arrivals) = (0, Vec::new());
         loop {
-            let surges = scenario.events.iter().filter(|e| e.what == What::Surge);
-            let surge: f64 =
-                surges.filter(|e| (e.at..e.at + e.lasts).contains(&at)).map(|e| e.factor).product();
-            at += arrivals.gap(scenario.rate * surge);
-            if at >= scenario.length {
-                return all;
+            let surges = scenario.events.iter().filter(|e| e.kind == FaultKind::Surge);
+            let surge_factor: f64 =
+                surges.filter(|e| (e.at..e.at + e.duration).contains(&at)).map(|e| e.factor).product();
+            at += generator.interval(scenario.rate * surge_factor);
+            if at >= scenario.duration {
+                return arrivals;
             }
-            all.push(arrivals.draw(scenario, at));
+            arrivals.push(generator.sample(scenario, at));
         }
     }
 }
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,6 +1,6 @@
-//! Who decides: oakport's own module, and the plain policies that it is held against.
+//! Balancing policies: oakport's balancer and the baselines that it is compared with.
 
-use crate::chance;
+use crate::random;
 use oakport_core::{
     Action, Balancer, CallId, ClassId, EndpointId, EndpointState, Event, Idempotency, ListUpdateKind, Micros,
     Outcome, Settings, ZoneId,
@@ -10,108 +10,109 @@
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, HashMap};
 
-/// What a server truly is at a moment: only the ceiling's policies see it.
+/// Actual state of a server, visible only to the ceiling policies.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Truth {
-    /// Work in hand, in microseconds of one core.
+pub struct ServerState {
+    /// Work accepted and not yet done, in microseconds of one core.
     pub backlog: f64,
-    /// Cores' worth of work that it can do.
+    /// Current capacity, in cores.
     pub capacity: f64,
-    /// It can be reached, takes work and has room for one more connection.
-    pub serves: bool,
-    /// Its zone.
+    /// The server is reachable, accepts work and accepts another connection.
+    pub available: bool,
+    /// Zone of the server.
     pub zone: ZoneId,
 }
 
-/// Decides for one client proxy.
+/// Balancing policy of one client proxy.
 pub trait Policy {
-    /// Takes one event and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>);
+    /// Processes an event and appends the resulting actions.
+    fn handle(&mut self, now: Micros, event: Event, states: &[ServerState], actions: &mut Vec<Action>);
 }
 
-/// How much of the truth a policy is shown.
+/// How much of the actual server state a policy sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
-    /// Nothing: as in service.
+pub enum Visibility {
+    /// None, as in production.
     None,
-    /// The state of a second ago at the oldest.
-    Late,
-    /// The state as it is.
-    Now,
+    /// The state as of at most one second ago.
+    Delayed,
+    /// The current state.
+    Current,
 }
 
-/// The policies by name.
+/// The policies that can be simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// The module that serves.
+pub enum PolicyKind {
+    /// The balancer used in production.
     Oakport,
-    /// Any server.
+    /// Picks a server at random.
     Random,
-    /// One after the other.
+    /// Picks the servers in turn.
     RoundRobin,
-    /// The one with the fewest own calls in flight.
+    /// Picks the server with the fewest in-flight calls of this proxy.
     Least,
-    /// The less loaded of two random ones by own calls in flight; nothing is held back.
+    /// Picks the one of two random servers with fewer in-flight calls of this proxy; sends every call at once.
     TwoChoices,
-    /// The least loaded by the true state, at once: none can do that.
+    /// Picks the least loaded server by its current actual state: an upper bound that no real policy can reach.
     Ceiling,
-    /// The less loaded of two by own calls in flight, for what each could do a second ago.
+    /// Picks the one of two random servers with fewer in-flight calls of this proxy per capacity, as of at most one
+    /// second ago.
     CeilingLate,
 }
 
-/// All of them, in the order of reports.
-pub const KINDS: [Kind; 7] = [
-    Kind::Oakport,
-    Kind::Random,
-    Kind::RoundRobin,
-    Kind::Least,
-    Kind::TwoChoices,
-    Kind::CeilingLate,
-    Kind::Ceiling,
+/// All policies, in the order of reports.
+pub const POLICY_KINDS: [PolicyKind; 7] = [
+    PolicyKind::Oakport,
+    PolicyKind::Random,
+    PolicyKind::RoundRobin,
+    PolicyKind::Least,
+    PolicyKind::TwoChoices,
+    PolicyKind::CeilingLate,
+    PolicyKind::Ceiling,
 ];
 
-impl Kind {
-    /// As the command line has it.
+impl PolicyKind {
+    /// Name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Oakport => "oakport",
-            Kind::Random => "random",
-            Kind::RoundRobin => "round-robin",
-            Kind::Least => "least",
-            Kind::TwoChoices => "two-choices",
-            Kind::Ceiling => "ceiling",
-            Kind::CeilingLate => "ceiling-late",
+            PolicyKind::Oakport => "oakport",
+            PolicyKind::Random => "random",
+            PolicyKind::RoundRobin => "round-robin",
+            PolicyKind::Least => "least",
+            PolicyKind::TwoChoices => "two-choices",
+            PolicyKind::Ceiling => "ceiling",
+            PolicyKind::CeilingLate => "ceiling-late",
         }
     }
 
-    /// What it is shown.
-    pub fn sight(self) -> Sight {
+    /// Server state that the policy sees.
+    pub fn visibility(self) -> Visibility {
         match self {
-            Kind::Ceiling => Sight::Now,
-            Kind::CeilingLate => Sight::Late,
-            _ => Sight::None,
+            PolicyKind::Ceiling => Visibility::Current,
+            PolicyKind::CeilingLate => Visibility::Delayed,
+            _ => Visibility::None,
         }
     }
 
-    /// One for a client proxy.
+    /// Creates the policy for a client proxy.
     pub fn make(self, seed: u64, settings: &Settings) -> Box<dyn Policy> {
         match self {
-            Kind::Oakport => Box::new(Module(Balancer::new(seed, settings.clone()))),
-            kind => Box::new(Plain::new(kind, seed, settings.clone())),
+            PolicyKind::Oakport => Box::new(OakportPolicy(Balancer::new(seed, settings.clone()))),
+            kind => Box::new(BaselinePolicy::new(kind, seed, settings.clone())),
         }
     }
 }
 
-struct Module(Balancer);
+struct OakportPolicy(Balancer);
 
-impl Policy for Module {
-    fn handle(&mut self, now: Micros, event: Event, _: &[Truth], actions: &mut Vec<Action>) {
+impl Policy for OakportPolicy {
+    fn handle(&mut self, now: Micros, event: Event, _: &[ServerState], actions: &mut Vec<Action>) {
         self.0.handle(now, event, actions);
     }
 }
 
 #[derive(Clone, Copy)]
-struct Known {
+struct KnownServer {
     id: EndpointId,
     in_flight: u32,
     ready: bool,
@@ -120,82 +121,95 @@
 struct Call {
     class: ClassId,
     deadline: Micros,
-    /// Each attempt's server, its outcome once it is in.
+    /// Server and outcome of each attempt; `None` while the attempt is under way.
     attempts: Vec<(EndpointId, Option<Outcome>)>,
 }
 
-/// A policy that picks and goes again where that is allowed, and does nothing else.
-struct Plain {
-    kind: Kind,
+/// A policy that only picks servers, and retries where that is allowed.
+struct BaselinePolicy {
+    kind: PolicyKind,
     settings: Settings,
     random: Pcg64,
-    servers: BTreeMap<EndpointId, Known>,
+    servers: BTreeMap<EndpointId, KnownServer>,
     calls: HashMap<CallId, Call>,
-    next: usize,
+    round_robin_index: usize,
 }
 
-impl Plain {
-    fn new(kind: Kind, seed: u64, settings: Settings) -> Self {
+impl BaselinePolicy {
+    fn new(kind: PolicyKind, seed: u64, settings: Settings) -> Self {
         let (servers, calls) = (BTreeMap::new(), HashMap::new());
-        Plain { kind, settings, random: chance::policy(seed), servers, calls, next: 0 }
+        BaselinePolicy {
+            kind,
+            settings,
+            random: random::policy_rng(seed),
+            servers,
+            calls,
+            round_robin_index: 0,
+        }
     }
 
-    /// Where a call goes. None: nowhere.
-    fn pick(&mut self, call: CallId, truth: &[Truth]) -> Option<EndpointId> {
-        /// Work for which the ceiling goes to another zone, in microseconds.
-        const AWAY: f64 = 15_000.0;
-        let tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
-        let ready: Vec<Known> = self.servers.values().copied().filter(|s| s.ready).collect();
-        let fresh: Vec<Known> = ready.iter().copied().filter(|s| !tried(s.id)).collect();
-        let among = if fresh.is_empty() { ready } else { fresh };
-        let any = |random: &mut Pcg64| among.get(random.gen_range(0..among.len().max(1))).copied();
-        let found = match self.kind {
-            Kind::RoundRobin => {
-                self.next += 1;
-                among.get(self.next % among.len().max(1)).copied()
+    /// Picks the server for the next attempt; `None` if no server is suitable.
+    fn pick(&mut self, call: CallId, states: &[ServerState]) -> Option<EndpointId> {
+        /// Backlog, in microseconds of one core, that makes the ceiling policies prefer a server in another zone.
+        const CROSS_ZONE_WORK_US: f64 = 15_000.0;
+        let already_tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
+        let ready: Vec<KnownServer> = self.servers.values().copied().filter(|s| s.ready).collect();
+        let untried: Vec<KnownServer> = ready.iter().copied().filter(|s| !already_tried(s.id)).collect();
+        let candidates = if untried.is_empty() { ready } else { untried };
+        let pick_random =
+            |random: &mut Pcg64| candidates.get(random.gen_range(0..candidates.len().max(1))).copied();
+        let picked = match self.kind {
+            PolicyKind::RoundRobin => {
+                self.round_robin_index += 1;
+                candidates.get(self.round_robin_index % candidates.len().max(1)).copied()
             }
-            Kind::Least => {
-                let least = among.iter().map(|s| s.in_flight).min()?;
-                let least: Vec<&Known> = among.iter().filter(|s| s.in_flight == least).collect();
-                Some(*least[self.random.gen_range(0..least.len())])
+            PolicyKind::Least => {
+                let fewest = candidates.iter().map(|s| s.in_flight).min()?;
+                let fewest: Vec<&KnownServer> = candidates.iter().filter(|s| s.in_flight == fewest).collect();
+                Some(*fewest[self.random.gen_range(0..fewest.len())])
             }
-            Kind::TwoChoices => {
-                let (one, two) = (any(&mut self.random)?, any(&mut self.random)?);
-                Some(if two.in_flight < one.in_flight { two } else { one })
+            PolicyKind::TwoChoices => {
+                let (first, second) = (pick_random(&mut self.random)?, pick_random(&mut self.random)?);
+                Some(if second.in_flight < first.in_flight { second } else { first })
             }
-            Kind::Ceiling | Kind::CeilingLate => {
-                // By the time to an answer, and where that is alike, in the own zone.
-                let load = |s: &Known| {
-                    let server = truth.get(s.id.0 as usize).filter(|t| t.serves && t.capacity > 0.0)?;
-                    let away = if server.zone == self.settings.zone { 0.0 } else { AWAY };
-                    // Of what is a second old only the lasting part is of use.
-                    let now = self.kind == Kind::Ceiling;
-                    let load = if now { server.backlog } else { (f64::from(s.in_flight) + 1.0) * AWAY };
-                    Some((load + away) / server.capacity)
+            PolicyKind::Ceiling | PolicyKind::CeilingLate => {
+                // Estimated time to an answer, with a penalty for servers in other zones.
+                let load = |s: &KnownServer| {
+                    let server = states.get(s.id.0 as usize).filter(|t| t.available && t.capacity > 0.0)?;
+                    let zone_penalty =
+                        if server.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_WORK_US };
+                    // A backlog of up to a second ago is of no use; only zone and capacity are.
+                    let is_current = self.kind == PolicyKind::Ceiling;
+                    let load = if is_current {
+                        server.backlog
+                    } else {
+                        (f64::from(s.in_flight) + 1.0) * CROSS_ZONE_WORK_US
+                    };
+                    Some((load + zone_penalty) / server.capacity)
                 };
-                let mut loads: Vec<(f64, &Known)> =
-                    among.iter().filter_map(|s| Some((load(s)?, s))).collect();
-                if self.kind == Kind::CeilingLate {
-                    // All proxies see the same state: the best of all would be everybody's. Of two it is not.
+                let mut loads: Vec<(f64, &KnownServer)> =
+                    candidates.iter().filter_map(|s| Some((load(s)?, s))).collect();
+                if self.kind == PolicyKind::CeilingLate {
+                    // All proxies see the same state and would pick the same server; two random candidates avoid that.
                     loads.shuffle(&mut self.random);
                     loads.truncate(2);
                 }
-                // What would be late everywhere is refused: its place is worth more to others.
-                let aim = self
+                // A call that would be late on every server is rejected, as its slot serves other calls better.
+                let objective = self
                     .settings
                     .classes
                     .get(self.calls[&call].class.0)
                     .map_or(f64::MAX, |c| c.latency_objective as f64);
                 let best = loads.into_iter().reduce(|a, b| if b.0 < a.0 { b } else { a });
-                best.filter(|(load, _)| *load < aim).map(|(_, s)| *s)
+                best.filter(|(load, _)| *load < objective).map(|(_, s)| *s)
             }
-            _ => any(&mut self.random),
+            _ => pick_random(&mut self.random),
         };
-        found.map(|s| s.id)
+        picked.map(|s| s.id)
     }
 
-    fn send(&mut self, now: Micros, id: CallId, truth: &[Truth], actions: &mut Vec<Action>) {
-        let Some(server) = self.pick(id, truth) else { return self.give_up(id, actions) };
+    fn send(&mut self, now: Micros, id: CallId, states: &[ServerState], actions: &mut Vec<Action>) {
+        let Some(server) = self.pick(id, states) else { return self.reject_or_fail(id, actions) };
         if let Some(known) = self.servers.get_mut(&server) {
             known.in_flight += 1;
         }
@@ -204,30 +218,30 @@
         actions.push(Action::Send { call: id, endpoint: server, timeout_at: None, send_before: None });
     }
 
-    fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
-        const COME_BACK: Micros = 200_000;
+    fn reject_or_fail(&mut self, id: CallId, actions: &mut Vec<Action>) {
+        const RETRY_AFTER_US: Micros = 200_000;
         let Some(call) = self.calls.remove(&id) else { return };
-        let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
-        actions.push(match self.repeat(call.class) {
-            Idempotency::NonIdempotent if ran => Action::Fail { call: id },
-            _ => Action::Reject { call: id, retry_after: COME_BACK },
+        let may_have_run = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
+        actions.push(match self.idempotency(call.class) {
+            Idempotency::NonIdempotent if may_have_run => Action::Fail { call: id },
+            _ => Action::Reject { call: id, retry_after: RETRY_AFTER_US },
         });
     }
 
-    fn repeat(&self, class: ClassId) -> Idempotency {
+    fn idempotency(&self, class: ClassId) -> Idempotency {
         self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 }
 
-impl Policy for Plain {
-    fn handle(&mut self, now: Micros, event: Event, truth: &[Truth], actions: &mut Vec<Action>) {
+impl Policy for BaselinePolicy {
+    fn handle(&mut self, now: Micros, event: Event, states: &[ServerState], actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, endpoints: entries } => {
                 if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                     self.servers.values_mut().for_each(|s| s.ready = false);
                 }
                 for entry in entries {
-                    let known = Known { id: entry.id, in_flight: 0, ready: false };
+                    let known = KnownServer { id: entry.id, in_flight: 0, ready: false };
                     self.servers.entry(entry.id).or_insert(known).ready = entry.state == EndpointState::Ready;
                 }
                 self.servers.retain(|_, s| s.ready || s.in_flight > 0);
@@ -235,7 +249,7 @@
             Event::Request { call, class, remaining_time: time_left, .. } => {
                 let deadline = now + time_left;
                 self.calls.insert(call, Call { class, deadline, attempts: Vec::new() });
-                self.send(now, call, truth, actions);
+                self.send(now, call, states, actions);
             }
             Event::AttemptEnded { call: id, attempt, outcome, call_closed: closed, .. } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
@@ -249,13 +263,17 @@
                     return;
                 }
                 let class = call.class;
-                let ran = call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
-                let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
+                let may_have_run =
+                    call.attempts.iter().any(|(_, o)| o.is_none_or(|o| !o.proves_not_started()));
+                let attempts_left = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
                 let in_time = call.deadline > now;
-                if more && in_time && (!ran || self.repeat(class) == Idempotency::Idempotent) {
-                    self.send(now, id, truth, actions);
+                if attempts_left
+                    && in_time
+                    && (!may_have_run || self.idempotency(class) == Idempotency::Idempotent)
+                {
+                    self.send(now, id, states, actions);
                 } else {
-                    self.give_up(id, actions);
+                    self.reject_or_fail(id, actions);
                 }
             }
             Event::ClientDisconnected { call } => {
--- a/crates/simulator/src/server.rs
+++ b/crates/simulator/src/server.rs
@@ -1,45 +1,45 @@
-//! A server: cores shared by the requests in its slots, a waiting room, a cold start, and what may be wrong with it.
+//! Server model: cores shared by the active requests, a queue, connections, warm-up, congestion and faults.
 
 use crate::scenario::ServerSpec;
 use oakport_core::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet, VecDeque};
 
-/// What is wrong with a server.
+/// Faults that a server suffers from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Health {
-    /// Times slower than it should be.
-    pub slow: f64,
-    /// It takes work and answers nothing.
-    pub hangs: bool,
-    /// Every second answer is an error.
+    /// Factor by which the server is slower than normal.
+    pub slowdown_factor: f64,
+    /// The server accepts work and never answers.
+    pub hung: bool,
+    /// Half of the answers, at random, are errors.
     pub errors: bool,
-    /// Every third connection is reset under its request.
+    /// The connections of a third of the requests, at random, are reset.
     pub resets: bool,
-    /// What is sent there, and what it says, is lost.
-    pub silent: bool,
+    /// Traffic to and from the server is lost.
+    pub unreachable: bool,
 }
 
 impl Default for Health {
     fn default() -> Self {
-        Health { slow: 1.0, hangs: false, errors: false, resets: false, silent: false }
+        Health { slowdown_factor: 1.0, hung: false, errors: false, resets: false, unreachable: false }
     }
 }
 
-/// What a server does with a request that arrives.
+/// Result of offering a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It is in work, or waits for a slot.
-    Yes,
-    /// No place: it never runs.
-    Full,
+pub enum Admission {
+    /// The request is active or waits for a slot.
+    Accepted,
+    /// All slots and the queue are full: the request never runs.
+    Rejected,
 }
 
-/// Work that shares the cores: all of it progresses alike.
+/// An active request. Active requests share the cores and progress at the same rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Job {
-    /// The figure of work done at which it ends.
-    ends: f64,
+    /// Value of [`Server::progress`] at which the request ends.
+    end_progress: f64,
     attempt: usize,
 }
 
@@ -53,57 +53,57 @@
 
 impl Ord for Job {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.ends.total_cmp(&other.ends).then(self.attempt.cmp(&other.attempt))
+        self.end_progress.total_cmp(&other.end_progress).then(self.attempt.cmp(&other.attempt))
     }
 }
 
-/// Where a server stands that chokes under a crowd.
+/// Congestion state of a server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Choke {
-    /// Since when too many have waited, or too few have been in hand.
-    since: Option<Micros>,
-    /// Since when it has been slower.
-    slower: Option<Micros>,
+struct CongestionState {
+    /// Time since which the condition for entering or leaving congestion has held.
+    condition_since: Option<Micros>,
+    /// Time since which the server has been congested.
+    congested_since: Option<Micros>,
 }
 
 /// One server process.
 #[derive(Debug)]
 pub struct Server {
     spec: ServerSpec,
-    /// Its zone, by its place in the scenario's list.
+    /// Index of the server's zone in the scenario.
     pub zone: usize,
-    /// What is wrong with it.
+    /// Current faults.
     pub health: Health,
-    /// The process runs.
+    /// The process is running.
     pub up: bool,
-    /// It takes nothing new.
+    /// The server is draining and rejects new requests.
     pub draining: bool,
-    /// When it started; 0: long ago.
+    /// Start time; 0 means long ago, so that the server is warm.
     pub started: Micros,
     work: BinaryHeap<Reverse<Job>>,
-    /// Attempts that were taken out of the slots without ending.
+    /// Cancelled attempts whose jobs are still in `work`.
     dropped: HashSet<usize>,
-    in_work: usize,
+    active: usize,
     waiting: VecDeque<(usize, f64)>,
-    /// Work done so far for each request that was in work all the time.
-    done: f64,
-    at: Micros,
-    /// Counts changes, so that an end that was foreseen before one is passed over.
+    /// Cumulative work done, in microseconds of one core, for a request that is active all the time.
+    progress: f64,
+    updated_at: Micros,
+    /// Incremented on each change, so that ends scheduled before it are ignored.
     pub version: u64,
-    /// Work of handshakes still owed, which slows all.
-    owed: f64,
-    /// Open connections by client proxy: those in use and idle ones, by when they became idle.
-    links: BTreeMap<usize, (usize, VecDeque<Micros>)>,
-    links_open: usize,
-    /// Work that arrived while it was cold, of late.
-    flood: VecDeque<(Micros, f64)>,
-    choke: Choke,
-    /// It was sent too much while it was cold, and stays down.
-    pub fallen: bool,
+    /// Handshake work still to be done; it delays all requests.
+    pending_handshake_work: f64,
+    /// Open connections by client proxy: the number in use, and the times since which the others have been idle.
+    connections: BTreeMap<usize, (usize, VecDeque<Micros>)>,
+    open_connections: usize,
+    /// Times and work of recent requests that arrived during the warm-up.
+    cold_arrivals: VecDeque<(Micros, f64)>,
+    congestion: CongestionState,
+    /// The server was overloaded during its warm-up and stays down until it restarts.
+    pub cold_overloaded: bool,
 }
 
 impl Server {
-    /// A process that started at `started`.
+    /// Creates a server whose process started at `started`.
     pub fn new(spec: &ServerSpec, zone: usize, started: Micros) -> Self {
         Server {
             spec: spec.clone(),
@@ -114,119 +114,126 @@
             started,
             work: BinaryHeap::new(),
             dropped: HashSet::new(),
-            in_work: 0,
+            active: 0,
             waiting: VecDeque::new(),
-            done: 0.0,
-            at: started,
+            progress: 0.0,
+            updated_at: started,
             version: 0,
-            owed: 0.0,
-            links: BTreeMap::new(),
-            links_open: 0,
-            flood: VecDeque::new(),
-            choke: Choke::default(),
-            fallen: false,
+            pending_handshake_work: 0.0,
+            connections: BTreeMap::new(),
+            open_connections: 0,
+            cold_arrivals: VecDeque::new(),
+            congestion: CongestionState::default(),
+            cold_overloaded: false,
         }
     }
 
-    /// Share of its capacity that it has by its warmth.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    /// Ratio of the full capacity that is available at this stage of the warm-up.
+    pub fn warm_up_ratio(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= self.spec.cold_time {
+        if self.started == 0 || age >= self.spec.warm_up_duration {
             return 1.0;
         }
-        let rise = age as f64 / self.spec.cold_time as f64;
-        self.spec.cold_share + (1.0 - self.spec.cold_share) * rise
+        let rise = age as f64 / self.spec.warm_up_duration as f64;
+        self.spec.initial_capacity_ratio + (1.0 - self.spec.initial_capacity_ratio) * rise
     }
 
-    /// Cores' worth of work that it can do now.
+    /// Current capacity, in cores.
     pub fn capacity(&self, now: Micros) -> f64 {
-        let choked =
-            self.spec.choke.as_ref().filter(|_| self.choke.slower.is_some()).map_or(1.0, |c| c.slower);
-        self.spec.cores * self.warmth(now) / self.health.slow / choked
+        let slowdown = self
+            .spec
+            .congestion
+            .as_ref()
+            .filter(|_| self.congestion.congested_since.is_some())
+            .map_or(1.0, |c| c.slowdown_factor);
+        self.spec.cores * self.warm_up_ratio(now) / self.health.slowdown_factor / slowdown
     }
 
-    /// Work in hand, in microseconds of one core.
+    /// Work accepted and not yet done, in microseconds of one core.
     pub fn backlog(&self) -> f64 {
         let open = self.work.iter().filter(|Reverse(job)| !self.dropped.contains(&job.attempt));
-        let in_work: f64 = open.map(|Reverse(job)| (job.ends - self.done).max(0.0)).sum();
+        let in_work: f64 = open.map(|Reverse(job)| (job.end_progress - self.progress).max(0.0)).sum();
         in_work + self.waiting.iter().map(|(_, work)| work).sum::<f64>()
     }
 
-    /// Would it take one more connection?
-    pub fn holds_more(&self) -> bool {
-        self.links_open < self.spec.connections
+    /// Returns whether the server would accept another connection.
+    pub fn accepts_connection(&self) -> bool {
+        self.open_connections < self.spec.max_connections
     }
 
-    /// Can it be reached, and does it take work?
-    pub fn serves(&self) -> bool {
-        self.up && !self.fallen && !self.health.silent
+    /// Returns whether the server is reachable and running.
+    pub fn is_available(&self) -> bool {
+        self.up && !self.cold_overloaded && !self.health.unreachable
     }
 
-    /// Work for each request that is done in a microsecond.
-    fn pace(&self, now: Micros) -> f64 {
-        if self.in_work == 0 || self.health.hangs {
+    /// Work done per active request and microsecond.
+    fn progress_rate(&self, now: Micros) -> f64 {
+        if self.active == 0 || self.health.hung {
             return 0.0;
         }
         let capacity = self.capacity(now);
-        (capacity / self.in_work as f64).min(capacity / self.spec.cores)
+        (capacity / self.active as f64).min(capacity / self.spec.cores)
     }
 
-    /// Brings the work done up to now.
+    /// Updates the work done up to `now`.
     pub fn advance(&mut self, now: Micros) {
-        let mut span = now.saturating_sub(self.at) as f64;
-        // A cold server's pace is taken at the middle of the span.
-        let pace = self.pace(self.at + (now - self.at) / 2);
-        if self.owed > 0.0 && !self.health.hangs {
+        let mut elapsed = now.saturating_sub(self.updated_at) as f64;
+        // During the warm-up the rate at the middle of the interval is used.
+        let rate = self.progress_rate(self.updated_at + (now - self.updated_at) / 2);
+        if self.pending_handshake_work > 0.0 && !self.health.hung {
             let capacity = self.capacity(now).max(f64::MIN_POSITIVE);
-            let spent = (self.owed / capacity).min(span);
-            self.owed -= spent * capacity;
-            span -= spent;
+            let spent = (self.pending_handshake_work / capacity).min(elapsed);
+            self.pending_handshake_work -= spent * capacity;
+            elapsed -= spent;
         }
-        self.done += pace * span;
-        self.at = now;
-        self.breathe(now);
-    }
-
-    /// Chokes, or is well again, once what leads there has lasted. Looked at whenever something happens here.
-    fn breathe(&mut self, now: Micros) {
-        let Some(spec) = &self.spec.choke else { return };
-        let (waiting, in_hand) = (self.waiting.len() as f64, (self.in_work + self.waiting.len()) as f64);
-        let (turns, lasts) = match self.choke.slower {
-            None => (waiting > spec.at * self.spec.cores, spec.over),
-            Some(_) => (in_hand < spec.below * self.spec.cores, spec.rest),
+        self.progress += rate * elapsed;
+        self.updated_at = now;
+        self.update_congestion(now);
+    }
+
+    /// Enters or leaves congestion once its condition has held for the configured time. Evaluated on each event here.
+    fn update_congestion(&mut self, now: Micros) {
+        let Some(spec) = &self.spec.congestion else { return };
+        let (waiting, accepted) = (self.waiting.len() as f64, (self.active + self.waiting.len()) as f64);
+        let (condition_holds, required_time) = match self.congestion.congested_since {
+            None => (waiting > spec.min_waiting_per_core * self.spec.cores, spec.onset_time),
+            Some(_) => (accepted < spec.recovery_load_per_core * self.spec.cores, spec.recovery_time),
         };
-        let since = *self.choke.since.get_or_insert(now);
-        let over = self.choke.slower.is_some_and(|slower| now >= slower + spec.most);
-        if !turns && !over {
-            self.choke.since = None;
-        } else if over || now >= since + lasts {
-            let slower = if self.choke.slower.is_none() { Some(now) } else { None };
-            self.choke = Choke { since: None, slower };
+        let since = *self.congestion.condition_since.get_or_insert(now);
+        let expired = self
+            .congestion
+            .congested_since
+            .is_some_and(|congested_since| now >= congested_since + spec.max_duration);
+        if !condition_holds && !expired {
+            self.congestion.condition_since = None;
+        } else if expired || now >= since + required_time {
+            let congested_since = if self.congestion.congested_since.is_none() { Some(now) } else { None };
+            self.congestion = CongestionState { condition_since: None, congested_since };
             self.version += 1;
         }
     }
 
-    /// A request with so much work arrives.
-    pub fn take(&mut self, now: Micros, attempt: usize, work: f64) -> Taken {
+    /// Offers a request with this work to the server.
+    pub fn admit(&mut self, now: Micros, attempt: usize, work: f64) -> Admission {
         self.advance(now);
-        if self.in_work < self.spec.slots {
+        if self.active < self.spec.slots {
             self.start(attempt, work);
-        } else if self.waiting.len() < self.spec.room {
+        } else if self.waiting.len() < self.spec.queue_capacity {
             self.waiting.push_back((attempt, work));
         } else {
-            return Taken::Full;
+            return Admission::Rejected;
         }
-        Taken::Yes
+        Admission::Accepted
     }
 
     fn start(&mut self, attempt: usize, work: f64) {
-        self.work.push(Reverse(Job { ends: self.done + work, attempt }));
-        self.in_work += 1;
+        self.work.push(Reverse(Job { end_progress: self.progress + work, attempt }));
+        self.active += 1;
         self.version += 1;
     }
 
-    /// Passes over what was dropped.
-    fn tidy(&mut self) {
+    /// Removes cancelled jobs from the head of the heap.
+    fn discard_dropped(&mut self) {
         while let Some(Reverse(job)) = self.work.peek() {
             if !self.dropped.remove(&job.attempt) {
                 break;
@@ -235,46 +242,51 @@
         }
     }
 
-    /// When the next request ends, if nothing changes; the moment is looked at again if it is cold.
+    /// Time at which the next request ends if nothing changes; during the warm-up a time at which to check again.
     pub fn next_end(&mut self, now: Micros) -> Option<Micros> {
-        /// The longest for which a cold server's pace is taken to stay.
-        const COLD_STEP: f64 = 200_000.0;
-        self.tidy();
+        /// Longest interval over which the rate of a cold server is assumed constant.
+        const MAX_COLD_STEP_US: f64 = 200_000.0;
+        self.discard_dropped();
         let Reverse(job) = self.work.peek()?;
-        let pace = self.pace(now);
-        if pace <= 0.0 {
+        let rate = self.progress_rate(now);
+        if rate <= 0.0 {
             return None;
         }
-        let owed = self.owed / self.capacity(now).max(f64::MIN_POSITIVE);
-        let mut span = ((job.ends - self.done) / pace).max(0.0) + owed;
-        if self.warmth(now) < 1.0 {
-            span = span.min(COLD_STEP);
+        let handshake_time = self.pending_handshake_work / self.capacity(now).max(f64::MIN_POSITIVE);
+        let mut remaining = ((job.end_progress - self.progress) / rate).max(0.0) + handshake_time;
+        if self.warm_up_ratio(now) < 1.0 {
+            remaining = remaining.min(MAX_COLD_STEP_US);
         }
-        Some(now + span.ceil().max(1.0) as Micros)
+        Some(now + remaining.ceil().max(1.0) as Micros)
     }
 
-    /// Takes out a request that has ended by now, and starts one that waits.
-    pub fn ended(&mut self, now: Micros) -> Option<usize> {
-        /// Work that is too little to wait for: rounding, in microseconds.
-        const ROUNDING: f64 = 0.5;
+    /// Removes a request that has ended by now, and starts a waiting one.
+    pub fn pop_finished(&mut self, now: Micros) -> Option<usize> {
+        /// Remaining work below this is a rounding error.
+        const MAX_ROUNDING_ERROR_US: f64 = 0.5;
         self.advance(now);
-        self.tidy();
-        let attempt = self.work.peek().filter(|Reverse(job)| job.ends <= self.done + ROUNDING)?.0.attempt;
+        self.discard_dropped();
+        let attempt = self
+            .work
+            .peek()
+            .filter(|Reverse(job)| job.end_progress <= self.progress + MAX_ROUNDING_ERROR_US)?
+            .0
+            .attempt;
         self.work.pop();
-        self.left();
+        self.free_slot();
         Some(attempt)
     }
 
-    /// One request less is in work.
-    fn left(&mut self) {
-        self.in_work -= 1;
+    /// Frees a slot and starts the next waiting request.
+    fn free_slot(&mut self) {
+        self.active -= 1;
         self.version += 1;
         if let Some((attempt, work)) = self.waiting.pop_front() {
             self.start(attempt, work);
         }
     }
 
-    /// Takes out a request that nobody wants any more; tells how much work was still to do, if it was in hand.
+    /// Cancels a request; returns its remaining work if it was active or waiting.
     pub fn drop_work(&mut self, now: Micros, attempt: usize) -> Option<f64> {
         self.advance(now);
         if let Some(place) = self.waiting.iter().position(|(waiting, _)| *waiting == attempt) {
@@ -284,91 +296,96 @@
         if !self.dropped.insert(attempt) {
             return None;
         }
-        self.left();
-        Some((job.ends - self.done).max(0.0))
+        self.free_slot();
+        Some((job.end_progress - self.progress).max(0.0))
     }
 
-    /// The process ends; what was in hand is lost.
+    /// Ends the process; returns the attempts that are lost.
     pub fn stop(&mut self, now: Micros) -> Vec<usize> {
         self.advance(now);
         let dropped = std::mem::take(&mut self.dropped);
         let in_work = std::mem::take(&mut self.work).into_sorted_vec().into_iter().rev();
         let lost = in_work.map(|Reverse(job)| job.attempt).filter(|attempt| !dropped.contains(attempt));
         let lost = lost.chain(self.waiting.drain(..).map(|(attempt, _)| attempt)).collect();
-        self.in_work = 0;
+        self.active = 0;
         self.version += 1;
         self.up = false;
-        self.owed = 0.0;
-        self.links.clear();
-        self.links_open = 0;
+        self.pending_handshake_work = 0.0;
+        self.connections.clear();
+        self.open_connections = 0;
         lost
     }
 
-    /// The process starts, cold.
+    /// Starts the process, cold.
     pub fn restart(&mut self, now: Micros) {
-        (self.up, self.draining, self.fallen, self.started) = (true, false, false, now);
-        (self.at, self.health) = (now, Health::default());
-        self.flood.clear();
-        self.choke = Choke::default();
+        (self.up, self.draining, self.cold_overloaded, self.started) = (true, false, false, now);
+        (self.updated_at, self.health) = (now, Health::default());
+        self.cold_arrivals.clear();
+        self.congestion = CongestionState::default();
     }
 
-    /// Work arrives, wherever it goes from here. True if that pushes a cold server over.
-    pub fn flooded(&mut self, now: Micros, work: f64) -> bool {
-        if self.warmth(now) >= 1.0 || self.fallen {
+    /// Records work that arrives during the warm-up, whether it is accepted or not. Returns true if it overloads the
+    /// server.
+    pub fn record_cold_arrival(&mut self, now: Micros, work: f64) -> bool {
+        if self.warm_up_ratio(now) >= 1.0 || self.cold_overloaded {
             return false;
         }
-        self.flood.push_back((now, work));
-        let since = now.saturating_sub(self.spec.fall_time);
-        while self.flood.front().is_some_and(|(at, _)| *at < since) {
-            self.flood.pop_front();
+        self.cold_arrivals.push_back((now, work));
+        let since = now.saturating_sub(self.spec.cold_overload_window);
+        while self.cold_arrivals.front().is_some_and(|(at, _)| *at < since) {
+            self.cold_arrivals.pop_front();
         }
-        let sent: f64 = self.flood.iter().map(|(_, work)| work).sum();
-        let can = self.spec.cores * self.warmth(now) * self.spec.fall_time as f64;
-        // Room for chance: one long request alone is no flood.
-        self.fallen = sent > self.spec.fall_multiple * can && self.flood.len() > self.spec.slots;
-        self.fallen
-    }
-
-    /// A connection of a client proxy: true if one that rests was there. None: the server holds no more.
-    pub fn link(&mut self, now: Micros, proxy: usize) -> Option<bool> {
-        let idle_close = self.spec.idle_close;
-        let (used, idle) = self.links.entry(proxy).or_default();
-        let before = idle.len();
-        idle.retain(|since| since + idle_close > now);
-        self.links_open -= before - idle.len();
+        let sent: f64 = self.cold_arrivals.iter().map(|(_, work)| work).sum();
+        let capacity = self.spec.cores * self.warm_up_ratio(now) * self.spec.cold_overload_window as f64;
+        // More than `slots` requests must arrive, so that a single long request is no overload.
+        self.cold_overloaded =
+            sent > self.spec.cold_overload_factor * capacity && self.cold_arrivals.len() > self.spec.slots;
+        self.cold_overloaded
+    }
+
+    /// Acquires a connection for a client proxy: true if an idle one is reused, false if it is new, `None` if the
+    /// server is at its limit.
+    pub fn acquire_connection(&mut self, now: Micros, proxy: usize) -> Option<bool> {
+        let idle_timeout = self.spec.idle_timeout;
+        let (used, idle) = self.connections.entry(proxy).or_default();
+        let idle_before = idle.len();
+        idle.retain(|since| since + idle_timeout > now);
+        self.open_connections -= idle_before - idle.len();
         *used += 1;
         if idle.pop_back().is_some() {
             return Some(true);
         }
-        if self.links_open >= self.spec.connections {
+        if self.open_connections >= self.spec.max_connections {
             *used -= 1;
             return None;
         }
-        self.links_open += 1;
-        self.greet();
+        self.open_connections += 1;
+        self.add_handshake_work();
         Some(false)
     }
 
-    /// A connection comes up whose number is kept elsewhere: the work of its handshake is owed.
-    pub fn greet(&mut self) {
-        self.owed += self.spec.handshake as f64;
+    /// Adds the work of a handshake, for a new connection that the caller counts.
+    pub fn add_handshake_work(&mut self) {
+        self.pending_handshake_work += self.spec.handshake_work as f64;
     }
 
-    /// A client proxy has died, and its connections with it.
-    pub fn forget(&mut self, proxy: usize) {
-        if let Some((used, idle)) = self.links.remove(&proxy) {
-            self.links_open -= used + idle.len();
+    /// Drops all connections of a client proxy that has died.
+    pub fn drop_connections(&mut self, proxy: usize) {
+        if let Some((used, idle)) = self.connections.remove(&proxy) {
+            self.open_connections -= used + idle.len();
         }
     }
 
-    /// A connection is not used any more; it rests, or is closed.
-    pub fn unlink(&mut self, now: Micros, proxy: usize, keep: bool) {
-        let Some((used, idle)) = self.links.get_mut(&proxy).filter(|(used, _)| *used > 0) else { return };
+    /// Releases a connection: it becomes idle if `keep` is set, else it is closed.
+    pub fn release_connection(&mut self, now: Micros, proxy: usize, keep: bool) {
+        let Some((used, idle)) = self.connections.get_mut(&proxy).filter(|(used, _)| *used > 0) else {
+            return;
+        };
         *used -= 1;
         if keep {
             idle.push_back(now);
         } else {
-            self.links_open -= 1;
+            self.open_connections -= 1;
         }
     }
 }
@@ -376,13 +393,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::scenario::ChokeSpec;
+    use crate::scenario::CongestionSpec;
 
     fn run(server: &mut Server, mut now: Micros) -> Vec<(usize, Micros)> {
         let mut ends = Vec::new();
         while let Some(at) = server.next_end(now) {
             now = at;
-            while let Some(attempt) = server.ended(now) {
+            while let Some(attempt) = server.pop_finished(now) {
                 ends.push((attempt, now));
             }
         }
@@ -390,90 +407,126 @@
     }
 
     #[test]
-    fn requests_share_the_cores_and_wait_for_slots() {
-        let spec = ServerSpec { cores: 2.0, slots: 4, room: 1, ..ServerSpec::default() };
+    fn active_requests_share_the_cores_and_others_wait_for_slots() {
+        let spec = ServerSpec { cores: 2.0, slots: 4, queue_capacity: 1, ..ServerSpec::default() };
         let mut server = Server::new(&spec, 0, 0);
-        let taken: Vec<Taken> = (0..6).map(|attempt| server.take(0, attempt, 10_000.0)).collect();
-        assert_eq!(taken, [Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Full]);
-        // Four share two cores: 20 ms. The fifth then has a core to itself.
+        let taken: Vec<Admission> = (0..6).map(|attempt| server.admit(0, attempt, 10_000.0)).collect();
+        assert_eq!(
+            taken,
+            [
+                Admission::Accepted,
+                Admission::Accepted,
+                Admission::Accepted,
+                Admission::Accepted,
+                Admission::Accepted,
+                Admission::Rejected
+            ]
+        );
+        // Four requests share two cores for 20 ms; the fifth then has a core to itself.
         assert_eq!(run(&mut server, 0), [(0, 20_000), (1, 20_000), (2, 20_000), (3, 20_000), (4, 30_000)]);
     }
 
     #[test]
-    fn what_is_dropped_leaves_its_core_to_the_others() {
+    fn a_cancelled_request_frees_its_core_for_the_others() {
         let spec = ServerSpec { cores: 1.0, slots: 4, ..ServerSpec::default() };
         let mut server = Server::new(&spec, 0, 0);
-        (0..2).for_each(|attempt| assert_eq!(server.take(0, attempt, 10_000.0), Taken::Yes));
-        assert_eq!(server.drop_work(10_000, 0), Some(5_000.0), "half of it is done");
+        (0..2).for_each(|attempt| assert_eq!(server.admit(0, attempt, 10_000.0), Admission::Accepted));
+        assert_eq!(server.drop_work(10_000, 0), Some(5_000.0), "half of the work is done");
         assert_eq!((server.drop_work(10_000, 0), server.backlog()), (None, 5_000.0));
         assert_eq!(run(&mut server, 10_000), [(1, 15_000)]);
     }
 
     #[test]
-    fn slow_cold_and_hanging_servers_take_their_time() {
-        let spec = ServerSpec { cores: 1.0, cold_share: 0.5, cold_time: 1_000_000, ..ServerSpec::default() };
+    fn slow_and_cold_servers_take_longer_and_hung_servers_never_finish() {
+        let spec = ServerSpec {
+            cores: 1.0,
+            initial_capacity_ratio: 0.5,
+            warm_up_duration: 1_000_000,
+            ..ServerSpec::default()
+        };
         let end = |started, health| {
             let mut server = Server::new(&spec, 0, started);
             server.health = health;
-            server.take(started.max(1), 0, 10_000.0);
+            server.admit(started.max(1), 0, 10_000.0);
             run(&mut server, started.max(1)).first().map(|(_, at)| at - started.max(1))
         };
         assert_eq!(end(0, Health::default()), Some(10_000));
-        assert_eq!(end(0, Health { slow: 3.0, ..Health::default() }), Some(30_000));
-        assert_eq!(end(0, Health { hangs: true, ..Health::default() }), None);
+        assert_eq!(end(0, Health { slowdown_factor: 3.0, ..Health::default() }), Some(30_000));
+        assert_eq!(end(0, Health { hung: true, ..Health::default() }), None);
         let cold = end(5_000_000, Health::default()).expect("an end");
-        assert!((19_000..21_000).contains(&cold), "half the pace at first: {cold}");
+        assert!((19_000..21_000).contains(&cold), "half the rate at first: {cold}");
     }
 
     #[test]
-    fn a_crowded_server_chokes_and_is_well_again_after_rest_or_in_the_end() {
-        let (over, rest, most) = (100_000, 50_000, 400_000);
-        let choke = ChokeSpec { at: 2.0, over, slower: 4.0, below: 1.0, rest, most };
-        let spec = ServerSpec { cores: 1.0, slots: 1, choke: Some(choke), ..ServerSpec::default() };
-        // What waits, when it leaves, and when the server is asked; its pace then.
+    fn a_congested_server_recovers_after_low_load_or_after_the_maximum_duration() {
+        let (onset_time, recovery_time, max_duration) = (100_000, 50_000, 400_000);
+        let congestion = CongestionSpec {
+            min_waiting_per_core: 2.0,
+            onset_time,
+            slowdown_factor: 4.0,
+            recovery_load_per_core: 1.0,
+            recovery_time,
+            max_duration,
+        };
+        let spec = ServerSpec { cores: 1.0, slots: 1, congestion: Some(congestion), ..ServerSpec::default() };
+        // Waiting requests, the time at which all are cancelled, the time of the check, and the expected capacity.
         let cases = [(2, None, 200_000, 1.0), (4, Some(50_000), 200_000, 1.0), (4, None, 200_000, 0.25)];
-        let more =
+        let later_cases =
             [(4, Some(200_000), 240_000, 0.25), (4, Some(200_000), 260_000, 1.0), (4, None, 510_000, 1.0)];
-        for (waiting, leaves, asked, pace) in cases.into_iter().chain(more) {
+        for (waiting, cancelled_at, checked_at, capacity) in cases.into_iter().chain(later_cases) {
             let mut server = Server::new(&spec, 0, 0);
-            let taken = (0..=waiting).filter(|&n| server.take(1, n, 9e9) == Taken::Yes).count();
-            assert_eq!(taken, waiting + 1);
-            for at in (1..=asked).step_by(1_000) {
+            let accepted = (0..=waiting).filter(|&n| server.admit(1, n, 9e9) == Admission::Accepted).count();
+            assert_eq!(accepted, waiting + 1);
+            for at in (1..=checked_at).step_by(1_000) {
                 server.advance(at);
-                if leaves.is_some_and(|l| at > l) {
+                if cancelled_at.is_some_and(|cancelled_at| at > cancelled_at) {
                     (0..=waiting).for_each(|n| {
                         server.drop_work(at, n);
                     });
                 }
             }
-            server.advance(asked);
-            assert_eq!(server.capacity(asked), pace, "{waiting} waiting until {leaves:?}, at {asked}");
+            server.advance(checked_at);
+            assert_eq!(
+                server.capacity(checked_at),
+                capacity,
+                "{waiting} waiting until {cancelled_at:?}, at {checked_at}"
+            );
         }
     }
 
     #[test]
-    fn connections_are_kept_counted_and_closed_when_idle() {
-        let spec = ServerSpec { connections: 2, idle_close: 1_000, ..ServerSpec::default() };
+    fn connections_are_reused_limited_and_closed_when_idle() {
+        let spec = ServerSpec { max_connections: 2, idle_timeout: 1_000, ..ServerSpec::default() };
         let mut server = Server::new(&spec, 0, 0);
         assert_eq!(
-            (server.link(0, 7), server.link(0, 8), server.link(0, 7)),
+            (
+                server.acquire_connection(0, 7),
+                server.acquire_connection(0, 8),
+                server.acquire_connection(0, 7)
+            ),
             (Some(false), Some(false), None)
         );
-        server.unlink(10, 7, true);
-        assert_eq!(server.link(500, 7), Some(true), "it rested for less");
-        server.unlink(600, 7, true);
-        assert_eq!(server.link(1_700, 7), Some(false), "closed meanwhile, and opened anew");
-        server.unlink(1_800, 8, false);
-        assert_eq!(server.link(1_900, 9), Some(false));
+        server.release_connection(10, 7, true);
+        assert_eq!(server.acquire_connection(500, 7), Some(true), "idle for less than the timeout");
+        server.release_connection(600, 7, true);
+        assert_eq!(
+            server.acquire_connection(1_700, 7),
+            Some(false),
+            "closed after the idle timeout, so a new one is opened"
+        );
+        server.release_connection(1_800, 8, false);
+        assert_eq!(server.acquire_connection(1_900, 9), Some(false));
     }
 
     #[test]
-    fn a_cold_server_falls_over_when_it_is_sent_too_much_and_a_warm_one_does_not() {
-        let spec = ServerSpec { cores: 1.0, slots: 2, fall_time: 1_000_000, ..ServerSpec::default() };
-        for (started, falls) in [(0, false), (9_000_000, true)] {
+    fn too_much_work_overloads_a_cold_server_but_not_a_warm_one() {
+        let spec =
+            ServerSpec { cores: 1.0, slots: 2, cold_overload_window: 1_000_000, ..ServerSpec::default() };
+        for (started, overloaded) in [(0, false), (9_000_000, true)] {
             let mut server = Server::new(&spec, 0, started);
-            let fell = (0..40).filter(|i| server.flooded(9_000_000 + i * 1_000, 50_000.0)).count();
-            assert_eq!((fell, server.fallen), (usize::from(falls), falls));
+            let overload_count =
+                (0..40).filter(|i| server.record_cold_arrival(9_000_000 + i * 1_000, 50_000.0)).count();
+            assert_eq!((overload_count, server.cold_overloaded), (usize::from(overloaded), overloaded));
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,18 +1,18 @@
-//! The day as it goes: who sends what to whom, when it arrives, and what that brings.
+//! Event loop of the simulation, and the state of its clients, client proxies, network and servers.
 
 mod clients;
+mod faults;
 mod fleet;
 mod proxies;
 mod site;
-mod troubles;
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::chance::{self, jitter, Part};
-use crate::judge::{End, Judge, Verdict};
-use crate::policy::{Kind, Policy, Sight, Truth};
-use crate::queue::Queue;
-use crate::scenario::{Again, Scenario, Trouble, What};
-use crate::server::{Server, Taken};
+use crate::judge::{Judge, RequestOutcome, Verdict};
+use crate::policy::{Policy, PolicyKind, ServerState, Visibility};
+use crate::queue::EventQueue;
+use crate::random::{self, jitter, StreamId};
+use crate::scenario::{FaultKind, FaultSpec, IdempotencySpec, Scenario};
+use crate::server::{Admission, Server};
 use oakport_core::{
     Action, CallId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, ListUpdateKind, LoadReport,
     Micros, Outcome, Settings, ZoneId,
@@ -22,51 +22,51 @@
 use rand_pcg::Pcg64;
 use std::collections::VecDeque;
 
-/// Start of the day on its clock: servers that started before it are warm.
-const START: Micros = 1_000_000_000;
-/// Attempts for a request at the most.
-pub const ATTEMPTS: u32 = 3;
-/// Time after a deadline in which an answer still counts as given (WIRE, `answer_slack_us`).
-const SLACK: Micros = 20_000;
-/// How long a drained process has for what it holds.
-const DRAIN: Micros = 2_000_000;
-/// A fast error, or a reset, comes after this.
-const FAST: Micros = 1_000;
-/// After the last request the day runs on for so long at the most.
-const TAIL: Micros = 30_000_000;
-/// How old the truth is that the late ceiling sees.
-const LATE: Micros = 1_000_000;
+/// Virtual time at the start of the scenario; above 0, as servers with the start time 0 count as warm.
+const START_US: Micros = 1_000_000_000;
+/// Maximum number of attempts per call.
+pub const MAX_ATTEMPTS: u32 = 3;
+/// Time after a call's deadline within which its answer is still accepted (WIRE, `answer_slack_us`).
+const ANSWER_SLACK_US: Micros = 20_000;
+/// Time that a draining process has to finish its requests.
+const DRAIN_TIMEOUT_US: Micros = 2_000_000;
+/// Time after which a faulty server answers with an error or a reset.
+const ERROR_DELAY_US: Micros = 1_000;
+/// Maximum time for which the simulation continues after the last arrival.
+const MAX_TAIL_US: Micros = 30_000_000;
+/// Refresh interval of the server state that the `ceiling-late` policy sees.
+const STATE_REFRESH_US: Micros = 1_000_000;
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     Arrival,
     Retry { request: usize },
-    AtServer { attempt: usize },
+    RequestArrives { attempt: usize },
     ServerEnd { server: usize, version: u64 },
-    AtProxy { attempt: usize, outcome: Outcome },
+    OutcomeArrives { attempt: usize, outcome: Outcome },
     Timeout { attempt: usize },
-    DropAt { attempt: usize },
-    Backstop { call: usize },
-    Wake { proxy: usize, life: u32 },
-    News { proxy: usize, server: usize, state: EndpointState, started: Micros },
-    Begin { trouble: usize },
-    Finish { trouble: usize, server: usize },
+    CancelArrives { attempt: usize },
+    AnswerDeadline { call: usize },
+    PolicyTimer { proxy: usize, incarnation: u32 },
+    ListUpdate { proxy: usize, server: usize, state: EndpointState, started: Micros },
+    FaultBegins { fault: usize },
+    FaultEnds { fault: usize, server: usize },
     Drain { server: usize },
     Replace { server: usize },
-    Look,
+    RefreshServerStates,
 }
 
-/// A client's request, over all its tries.
+/// A client request, over all its tries.
 struct Request {
     class: usize,
     proxy: usize,
-    asked: Micros,
+    arrived_at: Micros,
     work: f64,
     tries: u32,
     ended: bool,
 }
 
-/// One try of a client: what a proxy knows as a call.
+/// One try of a client, which the proxy handles as a call.
 struct Call {
     request: usize,
     proxy: usize,
@@ -75,159 +75,175 @@
     attempts: Vec<usize>,
 }
 
-/// An attempt at a server.
+/// An attempt to serve a call at a server.
 struct Attempt {
     call: usize,
     number: u32,
     server: usize,
-    sent: Micros,
-    until: Micros,
-    reached: bool,
+    sent_at: Micros,
+    timeout_at: Micros,
+    reached_server: bool,
     outcome: Option<Outcome>,
-    linked: bool,
+    has_connection: bool,
 }
 
 /// A client proxy.
 struct Proxy {
     policy: Box<dyn Policy>,
     zone: usize,
-    /// Counts its processes.
-    life: u32,
-    /// What it has been told of each server, and since when.
-    told: Vec<Option<(EndpointState, Micros, Micros)>>,
-    events: VecDeque<Event>,
+    /// Number of the current process of this proxy, from 0.
+    incarnation: u32,
+    /// Last listed state of each server, the start time of its process, and the time at which the server left the ready
+    /// state, or of the last update while it is ready.
+    known_servers: Vec<Option<(EndpointState, Micros, Micros)>>,
+    pending_events: VecDeque<Event>,
 }
 
-/// A fleet in the middle of a day.
-struct World<'a> {
+/// State of a running simulation.
+struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    make: &'a Make<'a>,
-    sight: Sight,
-    queue: Queue<Happening>,
+    make_policy: &'a MakePolicy<'a>,
+    visibility: Visibility,
+    queue: EventQueue<SimEvent>,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
     requests: Vec<Request>,
     calls: Vec<Call>,
     attempts: Vec<Attempt>,
-    truth: Vec<Truth>,
-    surge: f64,
+    server_states: Vec<ServerState>,
+    surge_factor: f64,
     arrivals: Arrivals,
-    luck: Pcg64,
-    clients: Pcg64,
-    fleet: Pcg64,
-    faults: Pcg64,
+    noise_rng: Pcg64,
+    client_rng: Pcg64,
+    fleet_rng: Pcg64,
+    fault_rng: Pcg64,
     judge: Judge,
     actions: Vec<Action>,
-    /// Actions are being carried out.
-    acting: bool,
+    /// Actions of a policy are being applied.
+    applying_actions: bool,
 }
 
-/// Makes the policy of a client proxy from a seed and what it is told of the site.
-pub type Make<'a> = dyn Fn(u64, &Settings) -> Box<dyn Policy> + 'a;
+/// Creates the policy of a client proxy from a seed and its settings.
+pub type MakePolicy<'a> = dyn Fn(u64, &Settings) -> Box<dyn Policy> + 'a;
 
-/// Plays a day with one policy.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Verdict {
-    play_with(scenario, kind.name(), kind.sight(), &|seed, settings| kind.make(seed, settings), seed)
+/// Simulates a scenario with one of the built-in policies.
+pub fn simulate(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Verdict {
+    simulate_with(scenario, kind.name(), kind.visibility(), &|seed, settings| kind.make(seed, settings), seed)
 }
 
-/// Plays a day with a policy that is not one of the kinds, under this name.
-pub fn play_with(
+/// Simulates a scenario with a custom policy, reported under this name.
+pub fn simulate_with(
     scenario: &Scenario,
     name: &'static str,
-    sight: Sight,
-    make: &Make<'_>,
+    visibility: Visibility,
+    make_policy: &MakePolicy<'_>,
     seed: u64,
 ) -> Verdict {
-    let mut world = World::new(scenario, sight, make, seed);
-    let end = START + scenario.length + TAIL;
-    while let Some(what) = world.queue.next() {
-        if world.queue.now() > end {
+    let mut simulation = Simulation::new(scenario, visibility, make_policy, seed);
+    let end = START_US + scenario.duration + MAX_TAIL_US;
+    while let Some(event) = simulation.queue.pop() {
+        if simulation.queue.now() > end {
             break;
         }
-        world.happens(what);
+        simulation.handle(event);
     }
-    let events = world.queue.count();
-    world.give_up_rest();
-    world.judge.verdict(name, scenario, events)
+    let events = simulation.queue.scheduled_count();
+    simulation.fail_open_requests();
+    simulation.judge.into_verdict(name, scenario, events)
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, sight: Sight, make: &'a Make<'a>, seed: u64) -> Self {
-        let mut fleet = chance::stream(seed, Part::Fleet);
+impl<'a> Simulation<'a> {
+    fn new(
+        scenario: &'a Scenario,
+        visibility: Visibility,
+        make_policy: &'a MakePolicy<'a>,
+        seed: u64,
+    ) -> Self {
+        let mut fleet_rng = random::stream(seed, StreamId::Fleet);
         let zones = scenario.zones.len();
         let servers = (0..scenario.servers).map(|n| Server::new(&scenario.server, n % zones, 0)).collect();
-        let arrivals = Arrivals::new(scenario, seed, &mut fleet);
-        let mut world = World {
+        let arrivals = Arrivals::new(scenario, seed, &mut fleet_rng);
+        let mut simulation = Simulation {
             scenario,
             seed,
-            make,
-            sight,
-            queue: Queue::new(START),
+            make_policy,
+            visibility,
+            queue: EventQueue::new(START_US),
             servers,
             proxies: Vec::new(),
             requests: Vec::new(),
             calls: Vec::new(),
             attempts: Vec::new(),
-            truth: Vec::new(),
-            surge: 1.0,
+            server_states: Vec::new(),
+            surge_factor: 1.0,
             arrivals,
-            luck: chance::stream(seed, Part::Luck),
-            clients: chance::stream(seed, Part::Clients),
-            fleet,
-            faults: chance::stream(seed, Part::Faults),
+            noise_rng: random::stream(seed, StreamId::Noise),
+            client_rng: random::stream(seed, StreamId::Clients),
+            fleet_rng,
+            fault_rng: random::stream(seed, StreamId::Faults),
             judge: Judge::new(scenario),
             actions: Vec::new(),
-            acting: false,
+            applying_actions: false,
         };
-        world.look();
-        for number in 0..scenario.balancers {
-            let zone = number % zones;
-            let policy = make(chance::seed_of(seed, number), &site::settings(scenario, zone));
-            let told = vec![Some((EndpointState::Ready, 0, START)); scenario.servers];
-            world.proxies.push(Proxy { policy, zone, life: 0, told, events: VecDeque::new() });
-            world.start(number, ListUpdateKind::Snapshot);
+        simulation.refresh_server_states();
+        for proxy in 0..scenario.balancers {
+            let zone = proxy % zones;
+            let policy = make_policy(random::policy_seed(seed, proxy), &site::settings(scenario, zone));
+            let known_servers = vec![Some((EndpointState::Ready, 0, START_US)); scenario.servers];
+            simulation.proxies.push(Proxy {
+                policy,
+                zone,
+                incarnation: 0,
+                known_servers,
+                pending_events: VecDeque::new(),
+            });
+            simulation.start_policy(proxy, ListUpdateKind::Snapshot);
         }
-        for (trouble, spec) in scenario.events.iter().enumerate() {
-            world.queue.at(START + spec.at, Happening::Begin { trouble });
+        for (fault, spec) in scenario.events.iter().enumerate() {
+            simulation.queue.schedule_at(START_US + spec.at, SimEvent::FaultBegins { fault });
         }
-        if sight == Sight::Late {
-            world.queue.after(LATE, Happening::Look);
+        if visibility == Visibility::Delayed {
+            simulation.queue.schedule_after(STATE_REFRESH_US, SimEvent::RefreshServerStates);
         }
-        world.next_arrival();
-        world
+        simulation.schedule_arrival();
+        simulation
     }
 
     fn now(&self) -> Micros {
         self.queue.now()
     }
 
-    fn happens(&mut self, what: Happening) {
-        match what {
-            Happening::Arrival => self.arrival(),
-            Happening::Retry { request } => self.try_again(request),
-            Happening::AtServer { attempt } => self.at_server(attempt),
-            Happening::ServerEnd { server, version } => self.server_end(server, version),
-            Happening::AtProxy { attempt, outcome } => self.at_proxy(attempt, outcome),
-            Happening::Timeout { attempt } => self.timeout(attempt),
-            Happening::DropAt { attempt } => self.drop_at(attempt),
-            Happening::Backstop { call } => self.backstop(call),
-            Happening::Wake { proxy, life } if self.proxies[proxy].life == life => {
-                self.event(proxy, Event::Timer);
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival => self.handle_arrival(),
+            SimEvent::Retry { request } => self.start_try(request),
+            SimEvent::RequestArrives { attempt } => self.request_arrives(attempt),
+            SimEvent::ServerEnd { server, version } => self.server_end(server, version),
+            SimEvent::OutcomeArrives { attempt, outcome } => self.outcome_arrives(attempt, outcome),
+            SimEvent::Timeout { attempt } => self.timeout(attempt),
+            SimEvent::CancelArrives { attempt } => self.cancel_arrives(attempt),
+            SimEvent::AnswerDeadline { call } => self.check_answered(call),
+            SimEvent::PolicyTimer { proxy, incarnation }
+                if self.proxies[proxy].incarnation == incarnation =>
+            {
+                self.deliver_event(proxy, Event::Timer);
             }
-            Happening::Wake { .. } => {}
-            Happening::News { proxy, server, state, started } => self.news(proxy, server, state, started),
-            Happening::Begin { trouble } => self.begin(trouble),
-            Happening::Finish { trouble, server } => self.finish(trouble, server),
-            Happening::Drain { server } => {
+            SimEvent::PolicyTimer { .. } => {}
+            SimEvent::ListUpdate { proxy, server, state, started } => {
+                self.list_update_arrives(proxy, server, state, started)
+            }
+            SimEvent::FaultBegins { fault } => self.begin_fault(fault),
+            SimEvent::FaultEnds { fault, server } => self.end_fault(fault, server),
+            SimEvent::Drain { server } => {
                 self.servers[server].draining = true;
-                self.tell(server, EndpointState::Draining);
-                self.queue.after(DRAIN, Happening::Replace { server });
+                self.publish(server, EndpointState::Draining);
+                self.queue.schedule_after(DRAIN_TIMEOUT_US, SimEvent::Replace { server });
             }
-            Happening::Replace { server } => self.replace(server),
-            Happening::Look => {
-                self.look();
-                self.queue.after(LATE, Happening::Look);
+            SimEvent::Replace { server } => self.replace(server),
+            SimEvent::RefreshServerStates => {
+                self.refresh_server_states();
+                self.queue.schedule_after(STATE_REFRESH_US, SimEvent::RefreshServerStates);
             }
         }
     }
