--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -236,7 +236,7 @@
 
 #[test]
 fn an_update_applies_by_its_notification_deadline_after_truncated_answers() {
-    check_update_after_failed_polls(Agent::set_truncated, Duration::from_secs(10));
+    check_update_after_failed_polls(Agent::set_truncating, Duration::from_secs(10));
 }
 
 /// After SIGHUP the old agent sends nothing more; the new one has an update, and is silent at first.
--- a/crates/cli/tests/peers/agent.rs
+++ b/crates/cli/tests/peers/agent.rs
@@ -1,5 +1,5 @@
-//! Discovery's agent on a client proxy's machine, from the protocol page: it answers what it has, holds watches, and fails
-//! in the ways that are told of agents. And a host that notes when each request came, and of whom.
+//! A stub of the discovery agent on a client proxy's machine. It answers polls, holds watches open and simulates
+//! the faults that the protocol page describes. Also a host that records the time and the id of each request.
 
 use super::{answer, read, Host, Reply};
 use std::collections::BTreeMap;
@@ -10,36 +10,37 @@
 use std::time::{Duration, Instant};
 
 #[derive(Default)]
-struct Has {
+struct State {
     index: u64,
-    /// The version in which each entry last changed, and its text.
+    /// By endpoint name: the version in which the entry last changed, and its JSON text.
     entries: BTreeMap<String, (u64, String)>,
-    /// Calls are swallowed: neither now nor later does an answer come.
-    down: bool,
-    /// Calls are answered 503.
-    full: bool,
-    /// Answers break off in their middle.
-    halves: bool,
-    /// Counts the times that all open calls were swallowed or reset.
-    hushed: u64,
-    reset: u64,
-    /// Open watches: when each was made, its wait, and the version that it knows.
-    open: Vec<(Instant, Duration, u64)>,
-    calls: usize,
-    /// Every answer comes so much late: as a client that is late would look from outside.
-    late: Duration,
+    /// Polls are read and never answered, even after the agent has become responsive again.
+    is_unresponsive: bool,
+    /// Polls are answered 503.
+    is_at_capacity: bool,
+    /// Each answer is cut in half and its connection closed.
+    is_truncating: bool,
+    /// Number of times that all open polls were left unanswered.
+    silence_count: u64,
+    /// Number of times that all connections were closed.
+    reset_count: u64,
+    /// Open watches: when each was opened, its wait, and the version that its client knows.
+    open_watches: Vec<(Instant, Duration, u64)>,
+    call_count: usize,
+    /// Delay of every answer. To an observer this looks like a proxy that applies its updates late.
+    delay: Duration,
 }
 
 #[derive(Clone)]
 pub struct Agent {
     pub address: SocketAddr,
-    has: Arc<(Mutex<Has>, Condvar)>,
+    state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Agent {
     pub fn start(entries: &[(String, String)]) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let agent = Agent { address: listener.local_addr().expect("its address"), has: Arc::default() };
+        let agent = Agent { address: listener.local_addr().expect("its address"), state: Arc::default() };
         agent.change(entries);
         let serving = agent.clone();
         thread::spawn(move || {
@@ -51,95 +52,97 @@
         agent
     }
 
-    fn has(&self) -> MutexGuard<'_, Has> {
-        self.has.0.lock().expect("no panic holds it")
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.0.lock().expect("lock not poisoned")
     }
 
-    fn with<T>(&self, change: impl FnOnce(&mut Has) -> T) -> T {
-        let done = change(&mut self.has());
-        self.has.1.notify_all();
+    fn update<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+        let done = change(&mut self.lock());
+        self.state.1.notify_all();
         done
     }
 
-    /// It gets these entries now.
+    /// Adds or replaces these entries in a new version of the list.
     pub fn change(&self, entries: &[(String, String)]) {
-        self.with(|has| {
-            has.index += 1;
-            let index = has.index;
-            has.entries.extend(entries.iter().map(|(name, text)| (name.clone(), (index, text.clone()))));
+        self.update(|state| {
+            state.index += 1;
+            let index = state.index;
+            state.entries.extend(entries.iter().map(|(name, text)| (name.clone(), (index, text.clone()))));
         });
     }
 
-    pub fn set_unresponsive(&self, down: bool) {
-        self.with(|has| has.down = down);
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.update(|state| state.is_unresponsive = is_unresponsive);
     }
 
-    pub fn set_at_capacity(&self, full: bool) {
-        self.with(|has| has.full = full);
+    pub fn set_at_capacity(&self, is_at_capacity: bool) {
+        self.update(|state| state.is_at_capacity = is_at_capacity);
     }
 
-    pub fn set_truncated(&self, halves: bool) {
-        self.with(|has| has.halves = halves);
+    pub fn set_truncating(&self, is_truncating: bool) {
+        self.update(|state| state.is_truncating = is_truncating);
     }
 
-    pub fn set_delay(&self, late: Duration) {
-        self.with(|has| has.late = late);
+    pub fn set_delay(&self, delay: Duration) {
+        self.update(|state| state.delay = delay);
     }
 
-    /// All open watches fall silent. When what they miss counts as told, by the protocol's clock.
+    /// Leaves all open watches unanswered. Returns the latest time at which the protocol counts an update that they
+    /// miss as notified.
     pub fn silence_watches(&self) -> Instant {
         let now = Instant::now();
-        let open = self.with(|has| {
-            has.hushed += 1;
-            std::mem::take(&mut has.open)
+        let watches = self.update(|state| {
+            state.silence_count += 1;
+            std::mem::take(&mut state.open_watches)
         });
-        let after = |(at, wait, _)| at + wait + Duration::from_secs(2);
-        open.into_iter().map(after).fold(now + Duration::from_secs(6), Instant::max)
+        let deadline = |(opened_at, wait, _)| opened_at + wait + Duration::from_secs(2);
+        watches.into_iter().map(deadline).fold(now + Duration::from_secs(6), Instant::max)
     }
 
-    /// All connections end.
+    /// Closes all connections: those with an open poll at once, others at their next poll.
     pub fn reset_connections(&self) {
-        self.with(|has| has.reset += 1);
+        self.update(|state| state.reset_count += 1);
     }
 
     pub fn calls(&self) -> usize {
-        self.has().calls
+        self.lock().call_count
     }
 
-    /// Waits until a watch is open that knows the newest version.
+    /// Waits until a watch for changes after the newest version is open.
     pub fn await_watch(&self) {
         self.await_watches(1);
     }
 
-    /// Waits until so many such watches are open.
-    pub fn await_watches(&self, many: usize) {
-        let mut has = self.has();
-        while has.open.iter().filter(|(_, _, index)| *index == has.index).count() < many {
-            has = self.has.1.wait_timeout(has, super::LONG).expect("no panic holds it").0;
+    /// Waits until `count` such watches are open.
+    pub fn await_watches(&self, count: usize) {
+        let mut state = self.lock();
+        while state.open_watches.iter().filter(|(_, _, index)| *index == state.index).count() < count {
+            state = self.state.1.wait_timeout(state, super::LONG).expect("lock not poisoned").0;
         }
     }
 
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
-        let reset = self.has().reset;
+        let reset_count = self.lock().reset_count;
         while let Some(message) = read(&mut stream) {
             let query = |name: &str| {
                 let line = message.head.lines().next().unwrap_or_default();
                 let (_, rest) = line.split_once(&format!("{name}="))?;
                 rest.split(['&', ' ']).next()?.parse::<u64>().ok()
             };
-            let Some(text) = self.await_news(query("index"), query("wait").unwrap_or(0), reset) else {
+            let Some(text) = self.await_answer(query("index"), query("wait").unwrap_or(0), reset_count)
+            else {
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
                 return;
             };
             if text.is_empty() {
-                // Swallowed: it stays open until the other side ends it.
+                // The poll stays unanswered; the connection stays open until the client closes it.
                 while read(&mut stream).is_some() {}
                 return;
             }
-            let status = if self.has().full { "503 Service Unavailable" } else { "200 OK" };
+            let status = if self.lock().is_at_capacity { "503 Service Unavailable" } else { "200 OK" };
             let text = answer(status, "", &text);
-            if self.has().halves {
+            if self.lock().is_truncating {
                 let _ = stream.get_mut().write_all(&text.as_bytes()[..text.len() / 2]);
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
                 return;
@@ -148,65 +151,67 @@
         }
     }
 
-    /// What a call gets: None, if its connection is reset; nothing, if it is swallowed.
-    fn await_news(&self, index: Option<u64>, wait: u64, reset: u64) -> Option<String> {
-        let (asked, wait) = (Instant::now(), Duration::from_millis(wait));
-        let mut has = self.has();
-        has.calls += 1;
-        let hushed = has.hushed;
-        let watch = index == Some(has.index) && !has.down && wait > Duration::from_millis(100);
-        if watch {
-            let knows = has.index;
-            has.open.push((asked, wait, knows));
-            self.has.1.notify_all();
+    /// Waits for the body of a poll's answer. None if the connection is to be closed; empty if the poll is to stay
+    /// unanswered.
+    fn await_answer(&self, index: Option<u64>, wait: u64, reset_count: u64) -> Option<String> {
+        let (polled_at, wait) = (Instant::now(), Duration::from_millis(wait));
+        let mut state = self.lock();
+        state.call_count += 1;
+        let silence_count = state.silence_count;
+        let is_watch =
+            index == Some(state.index) && !state.is_unresponsive && wait > Duration::from_millis(100);
+        if is_watch {
+            let known_version = state.index;
+            state.open_watches.push((polled_at, wait, known_version));
+            self.state.1.notify_all();
         }
         loop {
-            if has.reset != reset {
+            if state.reset_count != reset_count {
                 return None;
             }
-            if has.down || has.hushed != hushed {
+            if state.is_unresponsive || state.silence_count != silence_count {
                 return Some(String::new());
             }
-            let left = wait.saturating_sub(asked.elapsed());
-            if index != Some(has.index) || left.is_zero() {
+            let remaining = wait.saturating_sub(polled_at.elapsed());
+            if index != Some(state.index) || remaining.is_zero() {
                 break;
             }
-            has = self.has.1.wait_timeout(has, left).expect("no panic holds it").0;
+            state = self.state.1.wait_timeout(state, remaining).expect("lock not poisoned").0;
         }
-        if watch {
-            has.open.retain(|w| (w.0, w.1) != (asked, wait));
+        if is_watch {
+            state.open_watches.retain(|w| (w.0, w.1) != (polled_at, wait));
         }
-        let (version, late) = (has.index, has.late);
-        let news = has.entries.values().filter(|(at, _)| index.is_none_or(|index| *at > index));
+        let (version, delay) = (state.index, state.delay);
+        let changed = state.entries.values().filter(|(at, _)| index.is_none_or(|index| *at > index));
         let text =
-            super::list(version, index.is_none(), &news.map(|(_, text)| text.clone()).collect::<Vec<_>>());
-        drop(has);
-        thread::sleep(late);
+            super::list(version, index.is_none(), &changed.map(|(_, text)| text.clone()).collect::<Vec<_>>());
+        drop(state);
+        thread::sleep(delay);
         Some(text)
     }
 }
 
-/// A host that notes when each request came, and its id.
+/// A host that records the arrival time and the id of each request.
 pub struct RecordingHost {
     pub host: Host,
-    came: Arc<Mutex<Vec<(Instant, String)>>>,
+    arrivals: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
 impl RecordingHost {
     pub fn start() -> RecordingHost {
-        let came = Arc::<Mutex<Vec<(Instant, String)>>>::default();
-        let notes = Arc::clone(&came);
+        let arrivals = Arc::<Mutex<Vec<(Instant, String)>>>::default();
+        let recorded = Arc::clone(&arrivals);
         let host = Host::with_handler(move |_, message| {
             let id = message.header("x-request-id").unwrap_or_default().to_owned();
-            notes.lock().expect("no panic holds it").push((Instant::now(), id));
+            recorded.lock().expect("lock not poisoned").push((Instant::now(), id));
             Reply::Write(answer("200 OK", "", "ok"))
         });
-        RecordingHost { host, came }
+        RecordingHost { host, arrivals }
     }
 
-    /// When requests with this id came.
+    /// Arrival times of the requests with this id.
     pub fn arrivals_of(&self, id: &str) -> Vec<Instant> {
-        let came = self.came.lock().expect("no panic holds it");
-        came.iter().filter(|(_, of)| of == id).map(|(at, _)| *at).collect()
+        let arrivals = self.arrivals.lock().expect("lock not poisoned");
+        arrivals.iter().filter(|(_, request_id)| request_id == id).map(|(at, _)| *at).collect()
     }
 }
--- a/crates/cli/tests/peers/bodies.rs
+++ b/crates/cli/tests/peers/bodies.rs
@@ -1,4 +1,4 @@
-//! Endpoints and messages for bodies that are larger than what a process holds, with either framing of HTTP/1.1.
+//! Stub endpoints and messages with large bodies, framed by `Content-Length` or by chunked encoding.
 
 use super::{entry, Discovery, Proxy};
 use std::io::{BufRead, BufReader, Write};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// An endpoint whose connections are served by `serve`, which gets each request's head and the stream after it.
+/// Starts an endpoint that calls `serve` for each request, with its head and the stream positioned after it.
 pub fn endpoint(serve: impl Fn(&str, &mut BufReader<TcpStream>) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -25,7 +25,7 @@
     address
 }
 
-/// The lines of a message's head; None at the end of the connection.
+/// Reads the head of a message. None at the end of the connection.
 pub fn head(stream: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -41,7 +41,7 @@
     fields.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
 }
 
-/// The complete body that follows a head. None if it is truncated.
+/// Reads the complete body that follows `head`. None if it is truncated.
 pub fn body(head: &str, stream: &mut impl BufRead) -> Option<Vec<u8>> {
     if header_value(head, "transfer-encoding").is_none() {
         let mut body =
@@ -76,21 +76,22 @@
     (0..size).map(|n| (n / 7 % 251) as u8).collect()
 }
 
-/// The end of a chunked body.
+/// The last chunk, of length zero, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 pub fn chunk(content: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", content.len()).as_bytes(), content, b"\r\n"].concat()
 }
 
-/// A complete chunked body, in chunks of this size.
+/// Encodes a complete body in chunks of `size` bytes.
 pub fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let mut text = body.chunks(size).map(chunk).collect::<Vec<_>>().concat();
     text.extend(LAST_CHUNK);
     text
 }
 
+/// Writes the bytes; false if the connection has failed.
 pub fn send_bytes(stream: &mut BufReader<TcpStream>, bytes: &[u8]) -> bool {
     stream.get_mut().write_all(bytes).is_ok()
 }
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Small stub peers on loopback sockets: hosts, discovery and a client, and the program between them.
+//! Stub peers on loopback sockets (endpoints, discovery, clients) and the `oakport` process under test.
 #![allow(dead_code)]
 
 pub mod agent;
@@ -16,12 +16,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest wait for anything that must come: far beyond what it takes.
+/// Time limit for events that must happen, much longer than they take.
 pub const LONG: Duration = Duration::from_secs(20);
-/// Wait in which something that must not come would have come.
+/// Observation period after which an event that must not happen counts as absent.
 pub const SHORT: Duration = Duration::from_millis(300);
 
-/// An HTTP message: its first line and headers, and its body.
+/// An HTTP message. The head is the start line and the headers.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads one message; None at the end of the connection.
+/// Reads one message with a `Content-Length` body. None at the end of the connection.
 pub fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut head = String::new();
     loop {
@@ -59,14 +59,14 @@
     Some(message)
 }
 
-/// What a stub host does with a request.
+/// How a stub host responds to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Writes this and goes on.
+    /// Writes this text and reads the next request.
     Write(String),
-    /// Writes this and closes the connection.
+    /// Writes this text and closes the connection.
     WriteAndClose(String),
-    /// Says nothing, and reports when the other side closes.
+    /// Writes nothing and keeps the connection open until the proxy closes it.
     Silence,
 }
 
@@ -74,31 +74,30 @@
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What a stub host saw.
+/// An event at a stub host, with the number of its connection.
 #[derive(Debug)]
 pub enum HostEvent {
     Opened(usize),
-    /// On which connection, and what.
     Request(usize, Message),
     Closed(usize),
 }
 
 pub struct Host {
     pub address: SocketAddr,
-    pub seen: Receiver<HostEvent>,
+    pub events: Receiver<HostEvent>,
 }
 
 impl Host {
-    /// A host that answers its requests by `script`, given their number from 0.
+    /// A host that replies to each request with `script(n)`, where `n` counts its requests from 0.
     pub fn start(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Host {
         Host::with_handler(move |number, _| script(number))
     }
 
-    /// One whose script also sees the requests.
+    /// A host whose script is also passed the request.
     pub fn with_handler(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let (sender, seen) = channel();
+        let (sender, events) = channel();
         let (script, count) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
@@ -106,36 +105,37 @@
                 thread::spawn(move || serve(number, stream, &*script, &count, &sender));
             }
         });
-        Host { address, seen }
+        Host { address, events }
     }
 
     pub fn serving(body: &'static str) -> Host {
         Host::start(move |_| Reply::Write(answer("200 OK", "", body)))
     }
 
-    /// The next request and the number of its connection; what else happens is passed over.
+    /// The next request and the number of its connection. Other events are skipped.
     pub fn request(&self) -> (usize, Message) {
         loop {
-            if let HostEvent::Request(number, message) = self.seen.recv_timeout(LONG).expect("a request") {
+            if let HostEvent::Request(number, message) = self.events.recv_timeout(LONG).expect("a request") {
                 return (number, message);
             }
         }
     }
 
-    /// Waits until a connection has closed.
+    /// Waits until a connection has closed, and returns its number.
     pub fn closed(&self) -> usize {
         loop {
-            if let HostEvent::Closed(number) = self.seen.recv_timeout(LONG).expect("a connection that closes")
+            if let HostEvent::Closed(number) =
+                self.events.recv_timeout(LONG).expect("a connection that closes")
             {
                 return number;
             }
         }
     }
 
-    /// How many requests have come and were not looked at, after a while in which more could come.
+    /// Waits for [`SHORT`], then counts the requests that have arrived and not been taken from `events`.
     pub fn further_requests(&self) -> usize {
         thread::sleep(SHORT);
-        self.seen.try_iter().filter(|s| matches!(s, HostEvent::Request(..))).count()
+        self.events.try_iter().filter(|s| matches!(s, HostEvent::Request(..))).count()
     }
 }
 
@@ -166,7 +166,7 @@
     let _ = sender.send(HostEvent::Closed(number));
 }
 
-/// An address at which nothing listens. It stays taken: a port that is given back may be another test's next.
+/// An address at which nothing listens. The port stays bound, as another test could otherwise be assigned it.
 pub fn unused_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -175,9 +175,9 @@
     address
 }
 
-/// The metrics that an admin endpoint's DUMP has.
+/// The metrics that the admin endpoint returns for DUMP.
 pub fn metrics(admin: SocketAddr) -> serde_json::Value {
-    let mut stream = TcpStream::connect(admin).expect("it listens");
+    let mut stream = TcpStream::connect(admin).expect("a listening process");
     stream.set_read_timeout(Some(LONG)).expect("a time-out");
     stream.write_all(b"DUMP\n").expect("an open connection");
     let mut text = String::new();
@@ -185,36 +185,37 @@
     serde_json::from_str(text.strip_suffix("\nEND\n").expect("metrics")).expect("metrics")
 }
 
-/// A host at which connections hang: its queue is full and it takes nobody.
+/// A host that never accepts: its listen backlog is full, so that further connects hang.
 pub struct UnresponsiveHost {
     pub address: SocketAddr,
     listener: TcpListener,
-    waiting: Vec<TcpStream>,
+    backlog: Vec<TcpStream>,
 }
 
 impl UnresponsiveHost {
     pub fn start() -> UnresponsiveHost {
-        // The standard library's listener has a long queue; this one's is one.
+        // The standard library's listener has a long backlog; this one has a backlog of 1.
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
         let _entered = runtime.enter();
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let listener = socket.listen(1).and_then(tokio::net::TcpListener::into_std).expect("a listener");
         let address = listener.local_addr().expect("its address");
-        let mut waiting = Vec::new();
+        let mut backlog = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, SHORT) {
-            waiting.push(stream);
-            assert!(waiting.len() < 64, "the queue never fills");
+            backlog.push(stream);
+            assert!(backlog.len() < 64, "the listen backlog never fills");
         }
-        UnresponsiveHost { address, listener, waiting }
+        UnresponsiveHost { address, listener, backlog }
     }
 
-    /// Takes those that wait, and tells whether another comes in the time in which its next try would.
+    /// Accepts the connections in the backlog. Returns whether another one follows while a pending connect would
+    /// retransmit its SYN.
     pub fn accepts_another_connection(self) -> bool {
         self.listener.set_nonblocking(true).expect("a listener");
-        let known: Vec<_> = self.waiting.iter().map(|w| w.local_addr().expect("an address")).collect();
-        let asked = std::time::Instant::now();
-        while asked.elapsed() < SHORT * 10 {
+        let known: Vec<_> = self.backlog.iter().map(|own| own.local_addr().expect("an address")).collect();
+        let began = std::time::Instant::now();
+        while began.elapsed() < SHORT * 10 {
             match self.listener.accept() {
                 Ok((_, from)) if !known.contains(&from) => return true,
                 _ => thread::sleep(SHORT / 30),
@@ -225,50 +226,50 @@
 }
 
 impl UnresponsiveHost {
-    /// Takes those that wait and whoever comes up after them, and counts the bytes that strangers bring.
+    /// Accepts the connections in the backlog and those after them, and counts the bytes received from the proxy.
     pub fn count_bytes_received(self) -> usize {
-        let known: Vec<_> = self.waiting.iter().map(|w| w.local_addr().expect("an address")).collect();
-        let (mut strangers, mut taken) = (Vec::new(), 0);
+        let known: Vec<_> = self.backlog.iter().map(|own| own.local_addr().expect("an address")).collect();
+        let (mut proxy_connections, mut byte_count) = (Vec::new(), 0);
         self.listener.set_nonblocking(true).expect("a listener");
-        let asked = std::time::Instant::now();
-        // A connection that waits is tried anew after 1 s and 2 s more.
-        while asked.elapsed() < SHORT * 12 {
+        let began = std::time::Instant::now();
+        // A pending connect retransmits its SYN after 1 s, and again 2 s later.
+        while began.elapsed() < SHORT * 12 {
             match self.listener.accept() {
-                Ok((stream, from)) if !known.contains(&from) => strangers.push(stream),
+                Ok((stream, from)) if !known.contains(&from) => proxy_connections.push(stream),
                 Ok(_) => {}
                 Err(_) => thread::sleep(SHORT / 30),
             }
-            for stream in &mut strangers {
+            for stream in &mut proxy_connections {
                 let _ = stream.set_nonblocking(true);
-                taken += stream.read(&mut [0; 4096]).unwrap_or(0);
+                byte_count += stream.read(&mut [0; 4096]).unwrap_or(0);
             }
         }
-        taken
+        byte_count
     }
 }
 
-/// Discovery: the test sees each question and gives each answer.
+/// A stub of the discovery service. The test receives each request line and supplies each response.
 pub struct Discovery {
     pub address: SocketAddr,
-    asked: Receiver<String>,
-    answers: Sender<String>,
+    requests: Receiver<String>,
+    responses: Sender<String>,
 }
 
 impl Discovery {
     pub fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let ((question, asked), (answers, given)) = (channel(), channel::<String>());
-        let given = Arc::new(Mutex::new(given));
+        let ((request_sender, requests), (responses, pending)) = (channel(), channel::<String>());
+        let pending = Arc::new(Mutex::new(pending));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let mut stream = BufReader::new(stream);
                 let _ = stream.get_mut().set_nodelay(true);
                 while let Some(message) = read(&mut stream) {
                     let line = message.head.lines().next().unwrap_or_default().to_owned();
-                    let Ok(()) = question.send(line) else { return };
-                    let Ok(text) = given.lock().expect("one thread").recv() else { return };
-                    // A bar: what follows comes a byte at a time.
+                    let Ok(()) = request_sender.send(line) else { return };
+                    let Ok(text) = pending.lock().expect("one thread").recv() else { return };
+                    // The text after a `|` is written byte by byte.
                     let (at_once, bytes) = text.split_once('|').unwrap_or((&text, ""));
                     let sent = stream.get_mut().write_all(at_once.as_bytes());
                     let sent = sent.and_then(|()| {
@@ -280,25 +281,26 @@
                 }
             }
         });
-        Discovery { address, asked, answers }
+        Discovery { address, requests, responses }
     }
 
-    /// The request line of the next question.
+    /// The request line of the next request.
     pub fn next_request(&self) -> String {
-        self.asked.recv_timeout(LONG).expect("a question to discovery")
+        self.requests.recv_timeout(LONG).expect("a request to discovery")
     }
 
-    /// Answers the question that is open.
+    /// Answers the open request 200 with this endpoint list.
     pub fn respond_with_list(&self, list: &str) {
-        self.answers.send(answer("200 OK", "", list)).expect("discovery runs");
+        self.responses.send(answer("200 OK", "", list)).expect("discovery runs");
     }
 
+    /// Answers the open request with this text, and closes the connection if it is empty.
     pub fn respond(&self, text: String) {
-        self.answers.send(text).expect("discovery runs");
+        self.responses.send(text).expect("discovery runs");
     }
 }
 
-/// An entry of the list.
+/// An entry of an endpoint list, as JSON.
 pub fn entry(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":{since_ms}}}"#
@@ -309,7 +311,7 @@
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// The program under test. It is killed at the end of the test if it still runs.
+/// The process under test. It is killed when dropped, if it still runs.
 pub struct Proxy {
     pub address: SocketAddr,
     pub child: Child,
@@ -319,12 +321,12 @@
 
 static RUNS: AtomicUsize = AtomicUsize::new(0);
 
-/// Starts the program with this text as its configuration, with so many descriptors at the most.
+/// Starts the program with this configuration and at most `descriptors` file descriptors.
 pub fn spawn(config: &str, descriptors: Option<u32>) -> (Child, std::path::PathBuf) {
     let name = format!("oakport-{}-{}.json", std::process::id(), RUNS.fetch_add(1, Ordering::SeqCst));
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).expect("a temporary file");
-    let limit = descriptors.map(|most| format!("ulimit -n {most}; ")).unwrap_or_default();
+    let limit = descriptors.map(|max| format!("ulimit -n {max}; ")).unwrap_or_default();
     (launch(&path, &format!("{limit}exec \"$0\" serve"), |c| c), path)
 }
 
@@ -335,7 +337,7 @@
     more(&mut command).spawn().expect("the program starts")
 }
 
-/// What the platform holds for the processes of one proxy: the clients' listener and a folder.
+/// Resources that the platform provides to successive processes of one proxy: the client listener and a folder.
 pub struct Platform {
     pub listener: TcpListener,
     pub folder: std::path::PathBuf,
@@ -398,7 +400,7 @@
         Proxy::listening(child, config)
     }
 
-    /// With one more variable in its environment.
+    /// Starts the program with an additional environment variable.
     pub fn with_env(text: &str, (name, value): (&str, &str)) -> Proxy {
         let file = format!("oakport-{}-{}.json", std::process::id(), RUNS.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(file);
@@ -406,12 +408,12 @@
         Proxy::listening(launch(&path, "exec \"$0\" serve", |c| c.env(name, value)), path)
     }
 
-    /// Waits for the line that tells where it listens.
+    /// Waits for the log line with the listen address.
     fn listening(mut child: Child, config: std::path::PathBuf) -> Proxy {
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("text") > 0, "it ended before it listened");
+            assert!(log.read_line(&mut line).expect("text") > 0, "the process exited before it listened");
             if let Some((_, address)) = line.split_once("listening address=") {
                 let address = address.trim().parse().expect("an address");
                 return Proxy { address, child, log, config };
@@ -419,32 +421,38 @@
         }
     }
 
-    /// Waits for a line of the log that begins its message so; it gives this reason.
-    pub fn expect_log(&mut self, begins: &str, reason: &str) {
-        // A line that never comes would be waited for without end: the process ends first.
-        let (found, came) = channel::<()>();
+    /// Waits for a log line that contains `message`, and asserts that the line also contains `fields`.
+    pub fn expect_log(&mut self, message: &str, fields: &str) {
+        // Kills the process if the line does not appear in time, as reading its log would block for ever.
+        let (found, cancelled) = channel::<()>();
         let process = self.child.id().to_string();
         thread::spawn(move || {
-            if came.recv_timeout(LONG).is_err_and(|e| e == RecvTimeoutError::Timeout) {
+            if cancelled.recv_timeout(LONG).is_err_and(|e| e == RecvTimeoutError::Timeout) {
                 let _ = Command::new("kill").args(["-KILL", &process]).status();
             }
         });
         loop {
             let mut line = String::new();
-            assert!(self.log.read_line(&mut line).expect("text") > 0, "it ended before {begins} {reason}");
-            if line.contains(begins) {
-                assert!(line.contains(reason), "{line} without {reason}");
+            assert!(
+                self.log.read_line(&mut line).expect("text") > 0,
+                "the process exited before it logged {message} {fields}"
+            );
+            if line.contains(message) {
+                assert!(line.contains(fields), "{line} without {fields}");
                 drop(found);
                 return;
             }
         }
     }
 
-    /// The address of the admin endpoint, from its log line.
+    /// Waits for the log line of the admin endpoint and returns its address.
     pub fn admin_address(&mut self) -> SocketAddr {
         loop {
             let mut line = String::new();
-            assert!(self.log.read_line(&mut line).expect("text") > 0, "it ended before it told");
+            assert!(
+                self.log.read_line(&mut line).expect("text") > 0,
+                "the process exited before it logged its admin address"
+            );
             if let Some((_, address)) = line.split_once("admin endpoint listening address=") {
                 return address.trim().parse().expect("an address");
             }
@@ -455,7 +463,7 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).expect("a temporary file");
         self.signal("-HUP");
@@ -466,10 +474,10 @@
         assert!(done.expect("kill").success());
     }
 
-    /// Waits for its end; true if that came in time and was no failure.
+    /// Waits for the process to exit. True if it exits with status 0 within [`LONG`].
     pub fn exits_successfully(&mut self) -> bool {
-        let asked = std::time::Instant::now();
-        while asked.elapsed() < LONG {
+        let began = std::time::Instant::now();
+        while began.elapsed() < LONG {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.success();
             }
@@ -478,7 +486,7 @@
         false
     }
 
-    /// The memory that the process has now, in kB.
+    /// Current resident memory of the process in kB.
     pub fn resident_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a process");
         let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
@@ -486,12 +494,12 @@
     }
 
     pub fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).expect("it listens");
+        let stream = TcpStream::connect(self.address).expect("a listening process");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
         Client { stream: BufReader::new(stream) }
     }
 
-    /// One call on a connection of its own.
+    /// Makes one call on a new connection.
     pub fn call(&self, class: &str, time: &str) -> Message {
         self.client().call(class, time)
     }
@@ -514,7 +522,7 @@
         self.send_as("9b1f03aa", class, time);
     }
 
-    /// With this id.
+    /// Sends a request with this `X-Request-ID`.
     pub fn send_as(&mut self, id: &str, class: &str, time: &str) {
         let text = format!(
             "POST /{class}?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\n\
--- a/crates/cli/tests/peers/shutdown.rs
+++ b/crates/cli/tests/peers/shutdown.rs
@@ -1,4 +1,5 @@
-//! A process that is to end, its clients, and the SIGKILL that follows SIGTERM at the protocol's earliest moment.
+//! A proxy process that is shut down, its clients, and the SIGKILL that follows SIGTERM as early as the protocol
+//! permits.
 
 use super::bodies::*;
 use super::*;
@@ -7,38 +8,39 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// The longest deadline of the classes here.
+/// Deadline of every class in these tests.
 pub const DEADLINE: Duration = Duration::from_secs(1);
-/// SIGKILL follows SIGTERM no sooner than the longest deadline and this (PROTOCOL, Figures).
+/// SIGKILL follows SIGTERM no sooner than the longest deadline plus this margin (PROTOCOL, Figures).
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A slow client takes this many bytes of its response in each [`READ_INTERVAL`]: 64 KB a second.
+/// A slow client reads this many bytes of its response per [`READ_INTERVAL`]: 64 KB a second.
 const READ_BYTES: usize = 6_400;
 const READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Receive buffer of a slow client. The system would let it grow to hold all of its response.
+/// Receive buffer of a slow client. Without a fixed size, the kernel grows it until it holds the whole response.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
-/// More than the system takes for a slow reader with a limit of 4 MB for a send buffer (`net.ipv4.tcp_wmem`).
+/// More than the kernel buffers for a slow reader where a send buffer is limited to 4 MB (`net.ipv4.tcp_wmem`).
 pub const RESPONSE_BYTES_BEYOND_A_SEND_BUFFER: usize = 5_000_000;
-/// So many parts make a response that is given over some time.
-const GIVEN_PARTS: usize = 24;
-/// How the length of a body is told.
+/// Number of parts in which [`write_response_over`] writes a body.
+const RESPONSE_PARTS: usize = 24;
+/// Framings of a body: by `Content-Length` or by chunked encoding.
 pub const FRAMINGS: [&str; 2] = ["length", "chunked"];
 
-/// The body of a response of this length. Made before the first request: it takes longer than a deadline allows.
+/// A response body of `size` bytes. [`Shutdown::prepare`] generates it before the first request, as that takes
+/// longer than a deadline.
 pub fn response_body(size: usize) -> &'static [u8] {
     static LONGEST: OnceLock<Vec<u8>> = OnceLock::new();
     &LONGEST.get_or_init(|| test_pattern(RESPONSE_BYTES_BEYOND_A_SEND_BUFFER))[..size]
 }
 
-/// How the process is followed by the next one.
+/// How the successor takes over from the process that is shut down.
 #[derive(Clone, Copy, Debug)]
 pub enum Restart {
-    /// A successor serves already, on the listener that both inherit.
+    /// The successor already serves, on the listener that both processes inherit.
     Hot,
-    /// Nobody serves until the process has ended.
+    /// No successor serves until the process has exited.
     Planned,
 }
 
-/// The process that is to end and, in a hot restart, what it shares with its successor.
+/// The process that is shut down and, in a hot restart, the listener and folder shared with its successor.
 pub struct Shutdown {
     pub proxy: Proxy,
     platform: Option<Platform>,
@@ -47,7 +49,7 @@
 }
 
 impl Shutdown {
-    /// Starts the process that is to end, with this endpoint.
+    /// Starts the process that will be shut down, with `endpoint` as its only endpoint.
     pub fn prepare(restart: Restart, endpoint: SocketAddr) -> Shutdown {
         response_body(0);
         let discovery = Discovery::start();
@@ -66,7 +68,7 @@
         Shutdown { proxy, platform, config, _discovery: discovery }
     }
 
-    /// Clients whose connections the process has accepted, so that no successor can.
+    /// Clients whose connections this process, and not a successor, has accepted.
     pub fn connected_clients(&self, count: usize) -> Vec<Client> {
         let mut clients: Vec<Client> = (0..count).map(|_| self.proxy.client()).collect();
         for client in &mut clients {
@@ -77,36 +79,36 @@
         clients
     }
 
-    /// The folder that the process shares with its successor, if it is a hot restart.
+    /// The folder that the process shares with its successor. None if this is not a hot restart.
     pub fn shared_folder(&self) -> Option<&std::path::Path> {
         self.platform.as_ref().map(|platform| platform.folder.as_path())
     }
 
-    /// Starts the process that follows, if it is a hot restart.
+    /// Starts the successor. None if this is not a hot restart.
     pub fn start_successor(&self) -> Option<Proxy> {
         self.platform.as_ref().map(|platform| platform.start(&self.config))
     }
 
-    /// Sends SIGTERM. Returns when that was.
+    /// Sends SIGTERM and returns the time of the signal.
     pub fn terminate(&self) -> Instant {
         self.proxy.terminate();
         Instant::now()
     }
 
-    /// Sends SIGKILL at the earliest moment after SIGTERM, and waits for the end of the process.
+    /// Sends SIGKILL at the earliest time permitted after SIGTERM, and waits for the process to exit.
     pub fn kill(&mut self, terminated: Instant) {
-        let moment = terminated + DEADLINE + KILL_MARGIN;
-        thread::sleep(moment.saturating_duration_since(Instant::now()));
+        let kill_time = terminated + DEADLINE + KILL_MARGIN;
+        thread::sleep(kill_time.saturating_duration_since(Instant::now()));
         self.proxy.child.kill().expect("a child");
         self.proxy.child.wait().expect("a child");
     }
 }
 
-/// All bytes that arrive until the end of the connection: slowly until the process has been killed, then at once.
+/// Reads to the end of the connection and returns the bytes: slowly until `killed` is set, then at full speed.
 pub fn read_slowly(mut stream: BufReader<TcpStream>, killed: &AtomicBool) -> Vec<u8> {
     let mut received = Vec::new();
     let mut buffer = [0; READ_BYTES];
-    // A reset ends the connection as well; what has arrived before it counts.
+    // A reset also ends the connection; the bytes received before it are returned.
     while let Ok(count @ 1..) = stream.read(&mut buffer) {
         received.extend_from_slice(&buffer[..count]);
         if !killed.load(Ordering::SeqCst) {
@@ -116,13 +118,13 @@
     received
 }
 
-/// Reads so on a thread of its own.
+/// Runs [`read_slowly`] on its own thread.
 pub fn spawn_slow_reader(client: Client, killed: &Arc<AtomicBool>) -> JoinHandle<Vec<u8>> {
     let killed = Arc::clone(killed);
     thread::spawn(move || read_slowly(client.stream, &killed))
 }
 
-/// Writes a complete response of this framing, of [`FRAMINGS`].
+/// Writes a complete response with `framing`, one of [`FRAMINGS`].
 pub fn write_response(stream: &mut BufReader<TcpStream>, framing: &str, content: &[u8]) {
     let (header, body) = match framing {
         "chunked" => ("Transfer-Encoding: chunked".to_owned(), chunked(content, 16_384)),
@@ -132,14 +134,14 @@
     send_bytes(stream, &[head, body].concat());
 }
 
-/// Writes a complete response of this framing, the body evenly over this time.
+/// Writes a complete response, its body spread evenly over `duration`.
 pub fn write_response_over(
     stream: &mut BufReader<TcpStream>,
     framing: &str,
     content: &[u8],
-    give_time: Duration,
+    duration: Duration,
 ) {
-    if give_time.is_zero() {
+    if duration.is_zero() {
         return write_response(stream, framing, content);
     }
     let header = match framing {
@@ -147,31 +149,31 @@
         _ => format!("Content-Length: {}", content.len()),
     };
     let mut is_open = send_bytes(stream, format!("HTTP/1.1 200 OK\r\n{header}\r\n\r\n").as_bytes());
-    for part in content.chunks(content.len().div_ceil(GIVEN_PARTS)) {
+    for part in content.chunks(content.len().div_ceil(RESPONSE_PARTS)) {
         let part = if framing == "chunked" { chunk(part) } else { part.to_vec() };
         is_open = is_open && send_bytes(stream, &part);
-        thread::sleep(give_time / GIVEN_PARTS as u32);
+        thread::sleep(duration / RESPONSE_PARTS as u32);
     }
     if is_open && framing == "chunked" {
         send_bytes(stream, LAST_CHUNK);
     }
 }
 
-/// The value of a name in a request's query.
+/// The value of the query parameter `name` in the request line of `head`.
 pub fn query_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = head.split(' ').nth(1)?.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The response that a request's query asks for: its framing and its length in bytes.
+/// Framing and length in bytes of the response that the query of a request specifies.
 pub fn requested_response(head: &str) -> Option<(&str, usize)> {
     let size = query_value(head, "size")?.parse().expect("a size");
     Some((query_value(head, "framing")?, size))
 }
 
-/// An endpoint that reports each request whose query asks for a response, and gives it once the sender that came with
-/// the report is dropped. Other requests are answered at once.
+/// An endpoint that sends one `Sender` over the channel for each request whose query specifies a response, and
+/// writes the response once that sender is dropped. Other requests are answered at once.
 pub fn gated_endpoint() -> (SocketAddr, Receiver<Sender<()>>) {
     let (arrival_sender, arrivals) = channel();
     let address = endpoint(move |head, stream| {
