--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, between stub clients, endpoints and discovery.
+//! End-to-end tests of the `oakport` process with stub clients, endpoints and discovery on loopback sockets.
 
 mod peers;
 
@@ -28,39 +28,39 @@
     assert_eq!(request.body, b"body");
     assert_eq!(request.header("x-request-id"), Some("9b1f03aa"));
     assert_eq!(request.header("idempotency-key"), Some("5c0f"));
-    let left: u64 =
+    let remaining_us: u64 =
         request.header("x-timeout").and_then(|t| t.strip_suffix('u')).expect("time").parse().expect("us");
-    assert!(left > 0 && left <= 2_000_000, "{left}");
+    assert!(remaining_us > 0 && remaining_us <= 2_000_000, "{remaining_us}");
 }
 
 #[test]
-fn connections_are_pooled_and_one_that_closed_while_idle_is_replaced_before_writing() {
+fn connections_are_pooled_and_a_connection_closed_while_idle_is_replaced_before_writing() {
     let discovery = Discovery::start();
-    // The third answer ends its connection without saying so.
+    // The third response closes its connection without `Connection: close`.
     let host = Host::start(|n| match n {
         2 => Reply::WriteAndClose(answer("200 OK", "", "x")),
         _ => Reply::Write(answer("200 OK", "", "x")),
     });
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
-    for wanted in [0, 0, 0, 1, 1] {
-        // An unsafe call written to the dead connection would fail: nothing could prove that it never ran.
+    for expected in [0, 0, 0, 1, 1] {
+        // A non-idempotent call written to the closed connection would fail, as it might have run.
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
-        assert_eq!(host.request().0, wanted, "the connection used");
+        assert_eq!(host.request().0, expected, "number of the connection used");
     }
 }
 
 #[test]
 fn a_non_idempotent_call_that_may_have_run_fails_and_is_not_retried() {
-    let whole = answer("200 OK", "", "whole");
-    let half = whole[..whole.len() - 2].to_owned();
+    let complete = answer("200 OK", "", "whole");
+    let truncated = complete[..complete.len() - 2].to_owned();
     let unframed = "HTTP/1.1 200 OK\r\n\r\nhalf".to_owned();
     for reply in [
         Reply::WriteAndClose(String::new()),
-        Reply::WriteAndClose(half),
+        Reply::WriteAndClose(truncated),
         Reply::WriteAndClose(unframed),
         Reply::Write(answer("500 Internal Server Error", "", "")),
         Reply::Write(answer("503 Service Unavailable", "", "")),
-        // Large ones, cut before their first byte.
+        // Large responses, truncated before the first byte of the body.
         Reply::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n".to_owned()),
         Reply::WriteAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned()),
     ] {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_ran_is_retried_at_another_endpoint() {
+fn a_non_idempotent_attempt_that_did_not_run_is_retried_at_another_endpoint() {
     let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
     let rejecting = Host::start(move |_| Reply::Write(rejection.clone()));
@@ -97,7 +97,7 @@
     for _ in 0..12 {
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     }
-    assert!(rejecting.further_requests() > 0, "the endpoint that rejects was attempted");
+    assert!(rejecting.further_requests() > 0, "some attempts go to the rejecting endpoint");
 }
 
 #[test]
@@ -107,37 +107,37 @@
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let started_at = Instant::now();
     let answer = proxy.call("unsafe", "400m");
-    assert!(![200, 429, 503].contains(&answer.status()), "it may have run: {}", answer.head);
+    assert!(![200, 429, 503].contains(&answer.status()), "the call may have run: {}", answer.head);
     assert!(
         started_at.elapsed().as_millis() >= 300 && started_at.elapsed() < LONG / 4,
         "{:?}",
         started_at.elapsed()
     );
-    // The attempt that timed out closes its own connection.
+    // The attempt that timed out closes its connection.
     assert_eq!(host.closed(), 0);
 }
 
 #[test]
-fn a_pending_connect_is_dropped_when_its_call_ends() {
+fn a_pending_connect_is_abandoned_when_its_call_ends() {
     let discovery = Discovery::start();
-    let deaf = UnresponsiveHost::start();
+    let unresponsive = UnresponsiveHost::start();
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let text = config(listen, discovery.address, 1_024, &[entry("s-1", deaf.address, "up", 0)]);
+    let text = config(listen, discovery.address, 1_024, &[entry("s-1", unresponsive.address, "up", 0)]);
     let text = text.replace(r#""connect_timeout_us":1000000"#, r#""connect_timeout_us":60000000"#);
     let proxy = Proxy::with(&text);
     let answer = proxy.call("unsafe", "300m");
     assert_ne!(answer.status(), 200);
-    assert!(!deaf.accepts_another_connection(), "nothing starts after the final answer");
+    assert!(!unresponsive.accepts_another_connection(), "no connect continues after the final response");
 }
 
 #[test]
 fn a_connect_that_hangs_ends_after_the_connect_timeout_and_the_call_is_rejected() {
     let discovery = Discovery::start();
-    let deaf = UnresponsiveHost::start();
-    let proxy = Proxy::start(&discovery, &[entry("s-1", deaf.address, "up", 0)]);
+    let unresponsive = UnresponsiveHost::start();
+    let proxy = Proxy::start(&discovery, &[entry("s-1", unresponsive.address, "up", 0)]);
     let started_at = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
-    assert_eq!(answer.status(), 503, "rejected, as nothing has run: {}", answer.head);
+    assert_eq!(answer.status(), 503, "rejected, as no attempt has run: {}", answer.head);
     assert!(started_at.elapsed() < LONG, "{:?}", started_at.elapsed());
 }
 
@@ -154,23 +154,23 @@
 }
 
 #[test]
-fn a_rejection_comes_at_once_with_retry_after() {
+fn a_call_that_reaches_no_endpoint_is_rejected_at_once_with_retry_after() {
     let discovery = Discovery::start();
     let proxy = Proxy::start(
         &discovery,
         &[entry("s-1", unused_address(), "up", 0), entry("s-2", unused_address(), "up", 0)],
     );
-    // Calls that reach no endpoint are rejected when their attempts are used up; none has run.
+    // A call that reaches no endpoint is rejected once its attempts are used up, as none of them has run.
     let started_at = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
     assert_eq!(answer.status(), 503);
-    let advice: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
-    assert!(advice > 0.0);
-    assert!(started_at.elapsed() < LONG / 2, "far from its deadline: {:?}", started_at.elapsed());
+    let retry_after: f64 = answer.header("retry-after").expect("retry-after").parse().expect("seconds");
+    assert!(retry_after > 0.0);
+    assert!(started_at.elapsed() < LONG / 2, "well before its client timeout: {:?}", started_at.elapsed());
 }
 
 #[test]
-fn invalid_requests_are_answered_4xx_and_affect_no_other_client() {
+fn invalid_requests_are_answered_4xx_and_do_not_affect_other_clients() {
     let discovery = Discovery::start();
     let host = Host::serving("ok");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
@@ -194,16 +194,16 @@
     ] {
         let mut client = proxy.client();
         let shown: String = text.chars().take(120).collect();
-        // The other side may close before it has read all.
+        // The proxy may close the connection before it has read the whole request.
         let _ = client.stream.get_mut().write_all(text.as_bytes());
         if let Some(answer) = client.answer() {
             assert!((400..500).contains(&answer.status()), "{shown}: {}", answer.head);
             let started_at = Instant::now();
             assert!(client.answer().is_none(), "{shown}");
-            assert!(started_at.elapsed() < SHORT, "{shown}: its connection is closed at once");
+            assert!(started_at.elapsed() < SHORT, "{shown}: the connection is closed at once");
         }
     }
-    assert_eq!(host.further_requests(), 0, "nothing of it reached the endpoint");
+    assert_eq!(host.further_requests(), 0, "no invalid request reached the endpoint");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
 }
 
@@ -215,20 +215,20 @@
     let proxy = Proxy::with(&config(listen, discovery.address, 64, &[up("s-1", &host)]));
     let head =
         "GET /safe HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nX-Timeout: 60000m\r\nContent-Length: 9\r\n";
-    let mut peers: Vec<Client> = ["", "GET /sa", head, &format!("{head}\r\nhalf")]
+    let mut clients: Vec<Client> = ["", "GET /sa", head, &format!("{head}\r\nhalf")]
         .iter()
         .cycle()
         .take(8)
         .map(|text| {
-            let mut peer = proxy.client();
-            peer.write(text);
-            peer
+            let mut client = proxy.client();
+            client.write(text);
+            client
         })
         .collect();
     let started_at = Instant::now();
-    for peer in &mut peers {
-        assert!(peer.answer().is_none_or(|a| (400..500).contains(&a.status())));
-        // It takes 3 s at the most; the peers themselves would have stayed on.
+    for client in &mut clients {
+        assert!(client.answer().is_none_or(|a| (400..500).contains(&a.status())));
+        // The proxy disconnects them within 3 s; the clients themselves never close.
         assert!(started_at.elapsed() < LONG / 2, "{:?}", started_at.elapsed());
     }
     assert_eq!(proxy.call("safe", "2000m").status(), 200, "there is capacity again");
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn invalid_load_reports_are_skipped() {
+fn invalid_load_reports_are_ignored() {
     let discovery = Discovery::start();
     let host = Host::start(|n| {
         let report =
@@ -258,12 +258,12 @@
     assert!(discovery.next_request().starts_with("GET /catalog/members?index=41&wait="));
     let all_from = |body: &[u8]| (0..20).all(|_| proxy.call("safe", "2000m").body == body);
     discovery.respond_with_list(&list(42, false, &[entry("s-1", one.address, "draining", 0)]));
-    // The next watch follows the answer; by then the update has been applied.
+    // The proxy opens its next watch only after it has applied the update.
     assert!(discovery.next_request().contains("index=42&"));
     assert!(all_from(b"2"));
     discovery.respond_with_list(&list(43, true, &[up("s-1", &one)]));
     assert!(discovery.next_request().contains("index=43&"));
-    assert!(all_from(b"1"), "an endpoint that a complete list leaves out is removed");
+    assert!(all_from(b"1"), "an endpoint absent from a complete list is removed");
     discovery.respond_with_list(&list(
         44,
         false,
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn the_endpoint_list_is_watched_also_where_changes_are_pushed() {
+fn the_endpoint_list_is_watched_in_push_mode_too() {
     let discovery = Discovery::start();
     let one = Host::serving("1");
     let two = Host::serving("2");
@@ -286,11 +286,11 @@
     assert!(discovery.next_request().contains("index=42&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
     discovery.respond(String::new());
-    assert!(discovery.next_request().contains("index=42&"), "a watch that breaks is opened again");
+    assert!(discovery.next_request().contains("index=42&"), "a watch whose connection closes is reopened");
 }
 
 #[test]
-fn a_new_start_or_address_of_an_endpoint_closes_the_connections_to_the_old_one() {
+fn a_restart_or_new_address_of_an_endpoint_closes_its_old_connections() {
     let discovery = Discovery::start();
     let old = Host::serving("old");
     let new = Host::serving("new");
@@ -298,7 +298,7 @@
     discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
     discovery.respond_with_list(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
-    assert_eq!(old.closed(), 0, "a new start is a new process");
+    assert_eq!(old.closed(), 0, "a new start time means a new process");
     discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
     discovery.respond_with_list(&list(43, false, &[entry("s-1", new.address, "up", 1_000)]));
@@ -308,12 +308,12 @@
 }
 
 #[test]
-fn a_draining_endpoint_finishes_its_call_and_keeps_no_connection() {
-    let (arrived, arrivals) = channel();
-    let (open, gate) = channel::<()>();
+fn a_draining_endpoint_finishes_its_call_and_its_connection_is_closed() {
+    let (arrival_sender, arrivals) = channel();
+    let (release, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
-        let _ = arrived.send(());
+        let _ = arrival_sender.send(());
         let _ = gate.lock().expect("one call").recv();
         Reply::Write(answer("200 OK", "", "late"))
     });
@@ -325,18 +325,18 @@
     arrivals.recv_timeout(LONG).expect("the call at the endpoint");
     discovery.respond_with_list(&list(42, false, &[entry("s-1", host.address, "draining", 0)]));
     discovery.next_request();
-    open.send(()).expect("the endpoint waits");
+    release.send(()).expect("the endpoint waits");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(host.closed(), 0);
 }
 
 #[test]
-fn the_connection_used_last_is_reused_first() {
-    let (arrived, arrivals) = channel();
-    let (open, gate) = channel::<()>();
+fn the_most_recently_used_connection_is_reused_first() {
+    let (arrival_sender, arrivals) = channel();
+    let (release, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let host = Host::start(move |n| {
-        let _ = arrived.send(());
+        let _ = arrival_sender.send(());
         if n == 0 {
             let _ = gate.lock().expect("one call").recv();
         }
@@ -349,19 +349,19 @@
     arrivals.recv_timeout(LONG).expect("the first call at the endpoint");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     assert_eq!(host.request().0, 1, "a second connection while the first is in use");
-    open.send(()).expect("the endpoint waits");
+    release.send(()).expect("the endpoint waits");
     assert_eq!(slow.answer().expect("an answer").status(), 200);
     assert_eq!(host.request().0, 0);
     for _ in 0..3 {
-        // One just returned is in its reuse cooldown of 10 ms, and the other would be used before it.
+        // A connection just returned is in its reuse cooldown of 10 ms, in which the other one is preferred.
         std::thread::sleep(SHORT / 6);
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
-        assert_eq!(host.request().0, 0, "it was returned last");
+        assert_eq!(host.request().0, 0, "the connection returned last is used");
     }
 }
 
 #[test]
-fn a_failed_watch_is_retried_and_calls_go_on() {
+fn a_failed_watch_is_retried_and_calls_are_still_served() {
     let discovery = Discovery::start();
     let host = Host::serving("ok");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
@@ -380,7 +380,8 @@
     assert!(discovery.next_request().contains("index=42&"));
 }
 
-/// The last valid list stays in force, a log line names the address and the reason, and the list is polled again.
+/// The last valid list stays in force, the failure is logged with its address and reason, and the list is polled
+/// again.
 #[test]
 fn invalid_endpoint_lists_change_nothing() {
     let discovery = Discovery::start();
@@ -397,17 +398,17 @@
         (list(42, true, &[up("s-2", &other), up("s-2", &host)]), "s-2 listed twice"),
         (format!("{good}{}", " ".repeat(5 << 20)), "length limit exceeded"),
         (list(40, true, &[up("s-2", &other)]), "version 40 after 41"),
-        // In answer to a poll for the complete list.
+        // A delta in response to a poll for the complete list.
         (list(42, false, &[up("s-2", &other)]), "a delta where a snapshot was requested"),
     ];
     let mut polls_complete = false;
     for (text, reason) in invalid {
-        let question = discovery.next_request();
-        assert_eq!(question.contains("index=41&"), !polls_complete, "{question} before {reason}");
+        let request = discovery.next_request();
+        assert_eq!(request.contains("index=41&"), !polls_complete, "{request} before {reason}");
         discovery.respond_with_list(&text);
         proxy.expect_log(&format!("discovery failed address={}", discovery.address), reason);
         assert_eq!(proxy.call("safe", "2000m").body, b"1", "{reason}");
-        // A service that has restarted is polled for its complete list.
+        // A lower version means that the service has restarted: its complete list is polled.
         polls_complete |= reason.starts_with("version");
     }
     discovery.next_request();
@@ -416,7 +417,7 @@
     assert_eq!(proxy.call("safe", "2000m").body, b"2", "a complete list is applied whatever its version");
 }
 
-/// Indented, a byte at a time, with entries that cannot be used: the others are.
+/// An indented list that arrives byte by byte and has an entry with an invalid address: its valid entries are applied.
 #[test]
 fn unusual_but_valid_endpoint_lists_are_applied() {
     let discovery = Discovery::start();
@@ -424,8 +425,8 @@
     let other = Host::serving("2");
     let proxy = Proxy::start(&discovery, &[up("s-1", &host)]);
     let drained = entry("s-1", host.address, "draining", 0);
-    let nowhere = entry("s-0", host.address, "up", 0).replace(&host.address.to_string(), "nowhere");
-    let indented = list(42, false, &[nowhere, drained, up("s-2", &other)])
+    let invalid = entry("s-0", host.address, "up", 0).replace(&host.address.to_string(), "nowhere");
+    let indented = list(42, false, &[invalid, drained, up("s-2", &other)])
         .replace(',', ",\r\n    ")
         .replace(':', ": ")
         .replace("127.0.0.1: ", "127.0.0.1:");
@@ -434,7 +435,7 @@
     discovery.respond(text.replace("\r\n\r\n", "\r\n\r\n|"));
     assert!(discovery.next_request().contains("index=42&"));
     assert!((0..20).all(|_| proxy.call("safe", "2000m").body == b"2"));
-    // One that never ends is abandoned; the known list stays in force.
+    // A response that never completes is abandoned; the known list stays in force.
     discovery.respond(text[..text.len() - 9].to_owned());
     assert!(discovery.next_request().contains("index=42&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
@@ -450,22 +451,25 @@
     let at = |discovery: &Discovery| config(listen, discovery.address, 1_024, &[up("s-1", &one)]);
     let mut proxy = Proxy::with(&at(&old));
     assert!(old.next_request().contains("index=41&"));
-    // An incomplete file, and one that names the same address, change nothing: the open watch goes on.
+    // An incomplete file and a file with the same address leave the open watch as it is.
     proxy.reload("{\"name\":");
     proxy.reload(&at(&old));
     old.respond_with_list(&list(42, false, &[]));
     assert!(old.next_request().contains("index=42&"));
     proxy.reload(&at(&new));
-    assert!(new.next_request().starts_with("GET /catalog/members HTTP"), "the complete list, polled at once");
+    assert!(
+        new.next_request().starts_with("GET /catalog/members HTTP"),
+        "the complete list is polled at once"
+    );
     assert_eq!(proxy.call("safe", "2000m").body, b"1", "the known list stays in force meanwhile");
     new.respond_with_list(&list(7, true, &[up("s-2", &two)]));
     assert!(new.next_request().contains("index=7&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
-    assert!(proxy.child.try_wait().expect("a child").is_none(), "it still runs");
+    assert!(proxy.child.try_wait().expect("a child").is_none(), "the process still runs");
 }
 
 #[test]
-fn a_graceful_shutdown_finishes_open_calls_and_a_restart_binds_at_once() {
+fn a_graceful_shutdown_finishes_open_calls_and_a_restart_binds_the_same_address_at_once() {
     let discovery = Discovery::start();
     let host = Host::start(|n| match n {
         0 => Reply::Silence,
@@ -479,43 +483,44 @@
     let mut slow = proxy.client();
     slow.send("unsafe", "1200m");
     host.request();
-    // Neither a connection that is never used nor one with half a request delays the shutdown.
+    // Neither an unused connection nor one with an incomplete request delays the shutdown.
     let _unused = proxy.client();
-    let mut half = proxy.client();
-    half.write("POST /safe HTTP/1.1\r\nHost:");
+    let mut incomplete = proxy.client();
+    incomplete.write("POST /safe HTTP/1.1\r\nHost:");
     proxy.terminate();
     assert!(idle.answer().is_none(), "an idle connection closes when the shutdown begins");
-    // New connections are still accepted then, and each answer closes its own.
+    // New connections are still accepted during shutdown, and each is closed with its response.
     let answer = proxy.call("safe", "1000m");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     let answer = slow.answer().expect("an open call is answered");
     assert_eq!(answer.header("connection"), Some("close"));
-    assert!(proxy.exits_successfully(), "it exits 0");
-    let again = Proxy::with(&config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]));
-    assert_eq!(again.address, proxy.address);
-    assert_eq!(again.call("safe", "2000m").status(), 200);
+    assert!(proxy.exits_successfully(), "the process exits with status 0");
+    let restarted = Proxy::with(&config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]));
+    assert_eq!(restarted.address, proxy.address);
+    assert_eq!(restarted.call("safe", "2000m").status(), 200);
 }
 
 #[test]
 fn calls_beyond_the_descriptor_limit_are_rejected_and_the_process_recovers() {
     let discovery = Discovery::start();
-    // The calls that were accepted stay open until their timeout.
+    // While the host is stalled, accepted calls stay open until their client timeout.
     let is_stalled = Arc::new(AtomicBool::new(true));
     let reply = Reply::Write(answer("200 OK", "", "ok"));
-    let seen = Arc::clone(&is_stalled);
-    let host = Host::start(move |_| if seen.load(Ordering::SeqCst) { Reply::Silence } else { reply.clone() });
+    let stalled = Arc::clone(&is_stalled);
+    let host =
+        Host::start(move |_| if stalled.load(Ordering::SeqCst) { Reply::Silence } else { reply.clone() });
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(&config(listen, discovery.address, 64, &[up("s-1", &host)]));
     let mut clients: Vec<Client> = (0..40).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send("unsafe", "2000m"));
     let answers: Vec<Message> = clients.iter_mut().map(|c| c.answer().expect("a final answer")).collect();
-    // The balancer rejects some too, but keeps their connections.
+    // The balancer also rejects some calls, but leaves their connections open.
     let at_capacity = |a: &&Message| a.status() == 503 && a.header("connection") == Some("close");
-    let rejected = answers.iter().find(at_capacity).expect("one was too many");
+    let rejected = answers.iter().find(at_capacity).expect("a call rejected at the descriptor limit");
     assert!(rejected.header("retry-after").is_some(), "{}", rejected.head);
     drop(clients);
     is_stalled.store(false, Ordering::SeqCst);
-    // There is capacity again as connections end.
+    // Capacity returns as connections close.
     let started_at = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
         assert!(started_at.elapsed() < LONG);
@@ -538,9 +543,9 @@
         .collect();
     let started_at = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {}
-    // One of the eight was closed for it; otherwise all would have stayed for 2 s.
+    // One of the eight was closed for the new connection; otherwise all would have stayed open for 2 s.
     assert!(started_at.elapsed() < SHORT * 5, "{:?}", started_at.elapsed());
-    assert!(idle[0].answer().is_none(), "the one that had been idle longest");
+    assert!(idle[0].answer().is_none(), "the connection idle for the longest time is closed");
 }
 
 #[test]
@@ -549,7 +554,7 @@
     let host = Host::serving("ok");
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &host)]);
-    // The system permits far fewer than the configuration assumes.
+    // The system permits 24 descriptors, far fewer than the 1024 in the configuration.
     let mut proxy = Proxy::with_descriptor_limit(&text, Some(24));
     discovery.next_request();
     let clients: Vec<Client> = (0..40)
@@ -564,11 +569,11 @@
     while proxy.call("safe", "2000m").status() != 200 {
         assert!(started_at.elapsed() < LONG);
     }
-    assert!(proxy.child.try_wait().expect("a child").is_none(), "it still runs");
+    assert!(proxy.child.try_wait().expect("a child").is_none(), "the process still runs");
 }
 
 #[test]
-fn an_invalid_configuration_exits_1_with_one_line() {
+fn an_invalid_configuration_exits_with_status_1_and_one_error_line() {
     let address = unused_address();
     let good = config(address, address, 1_024, &[]);
     for text in ["", "{", "{}", &good.replace("8c1f", "seed"), &good.replace("\"cold_from\"", "\"warm\"")] {
