--- a/crates/cli/tests/peers/agent.rs
+++ b/crates/cli/tests/peers/agent.rs
@@ -1,5 +1,6 @@
-//! A stub of the discovery agent on a client proxy's machine. It answers polls, holds watches open and simulates
-//! the faults that the protocol page describes. Also a host that records the time and the id of each request.
+//! A stub of the discovery agent on a client proxy's machine. It answers polls, holds watches open and
+//! simulates the faults that the protocol page describes. Also a host that records the time and the id of
+//! each request.
 
 use super::{answer, read, Host, Reply};
 use std::collections::BTreeMap;
@@ -87,8 +88,8 @@
         self.update(|state| state.delay = delay);
     }
 
-    /// Leaves all open watches unanswered. Returns the latest time at which the protocol counts an update that they
-    /// miss as notified.
+    /// Leaves all open watches unanswered. Returns the latest time at which the protocol counts an update
+    /// that they miss as notified.
     pub fn silence_watches(&self) -> Instant {
         let now = Instant::now();
         let watches = self.update(|state| {
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Waits for the body of a poll's answer. None if the connection is to be closed; empty if the poll is to stay
-    /// unanswered.
+    /// Waits for the body of a poll's answer. None if the connection is to be closed; empty if the poll is to
+    /// stay unanswered.
     fn await_answer(&self, index: Option<u64>, wait: u64, reset_count: u64) -> Option<String> {
         let (polled_at, wait) = (Instant::now(), Duration::from_millis(wait));
         let mut state = self.lock();
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -209,8 +209,8 @@
         UnresponsiveHost { address, listener, backlog }
     }
 
-    /// Accepts the connections in the backlog. Returns whether another one follows while a pending connect would
-    /// retransmit its SYN.
+    /// Accepts the connections in the backlog. Returns whether another one follows while a pending connect
+    /// would retransmit its SYN.
     pub fn accepts_another_connection(self) -> bool {
         self.listener.set_nonblocking(true).expect("a listener");
         let known: Vec<_> = self.backlog.iter().map(|own| own.local_addr().expect("an address")).collect();
@@ -226,7 +226,8 @@
 }
 
 impl UnresponsiveHost {
-    /// Accepts the connections in the backlog and those after them, and counts the bytes received from the proxy.
+    /// Accepts the connections in the backlog and those after them, and counts the bytes received from the
+    /// proxy.
     pub fn count_bytes_received(self) -> usize {
         let known: Vec<_> = self.backlog.iter().map(|own| own.local_addr().expect("an address")).collect();
         let (mut proxy_connections, mut byte_count) = (Vec::new(), 0);
@@ -337,7 +338,8 @@
     more(&mut command).spawn().expect("the program starts")
 }
 
-/// Resources that the platform provides to successive processes of one proxy: the client listener and a folder.
+/// Resources that the platform provides to successive processes of one proxy: the client listener and a
+/// folder.
 pub struct Platform {
     pub listener: TcpListener,
     pub folder: std::path::PathBuf,
--- a/crates/cli/tests/peers/shutdown.rs
+++ b/crates/cli/tests/peers/shutdown.rs
@@ -1,5 +1,5 @@
-//! A proxy process that is shut down, its clients, and the SIGKILL that follows SIGTERM as early as the protocol
-//! permits.
+//! A proxy process that is shut down, its clients, and the SIGKILL that follows SIGTERM as early as the
+//! protocol permits.
 
 use super::bodies::*;
 use super::*;
@@ -15,17 +15,19 @@
 /// A slow client reads this many bytes of its response per [`READ_INTERVAL`]: 64 KB a second.
 const READ_BYTES: usize = 6_400;
 const READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Receive buffer of a slow client. Without a fixed size, the kernel grows it until it holds the whole response.
+/// Receive buffer of a slow client. Without a fixed size, the kernel grows it until it holds the whole
+/// response.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
-/// More than the kernel buffers for a slow reader where a send buffer is limited to 4 MB (`net.ipv4.tcp_wmem`).
+/// More than the kernel buffers for a slow reader where a send buffer is limited to 4 MB
+/// (`net.ipv4.tcp_wmem`).
 pub const RESPONSE_BYTES_BEYOND_A_SEND_BUFFER: usize = 5_000_000;
 /// Number of parts in which [`write_response_over`] writes a body.
 const RESPONSE_PARTS: usize = 24;
 /// Framings of a body: by `Content-Length` or by chunked encoding.
 pub const FRAMINGS: [&str; 2] = ["length", "chunked"];
 
-/// A response body of `size` bytes. [`Shutdown::prepare`] generates it before the first request, as that takes
-/// longer than a deadline.
+/// A response body of `size` bytes. [`Shutdown::prepare`] generates it before the first request, as that
+/// takes longer than a deadline.
 pub fn response_body(size: usize) -> &'static [u8] {
     static LONGEST: OnceLock<Vec<u8>> = OnceLock::new();
     &LONGEST.get_or_init(|| test_pattern(RESPONSE_BYTES_BEYOND_A_SEND_BUFFER))[..size]
@@ -104,7 +106,8 @@
     }
 }
 
-/// Reads to the end of the connection and returns the bytes: slowly until `killed` is set, then at full speed.
+/// Reads to the end of the connection and returns the bytes: slowly until `killed` is set, then at full
+/// speed.
 pub fn read_slowly(mut stream: BufReader<TcpStream>, killed: &AtomicBool) -> Vec<u8> {
     let mut received = Vec::new();
     let mut buffer = [0; READ_BYTES];
@@ -172,8 +175,8 @@
     Some((query_value(head, "framing")?, size))
 }
 
-/// An endpoint that sends one `Sender` over the channel for each request whose query specifies a response, and
-/// writes the response once that sender is dropped. Other requests are answered at once.
+/// An endpoint that sends one `Sender` over the channel for each request whose query specifies a response,
+/// and writes the response once that sender is dropped. Other requests are answered at once.
 pub fn gated_endpoint() -> (SocketAddr, Receiver<Sender<()>>) {
     let (arrival_sender, arrivals) = channel();
     let address = endpoint(move |head, stream| {
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -380,8 +380,8 @@
     assert!(discovery.next_request().contains("index=42&"));
 }
 
-/// The last valid list stays in force, the failure is logged with its address and reason, and the list is polled
-/// again.
+/// The last valid list stays in force, the failure is logged with its address and reason, and the list is
+/// polled again.
 #[test]
 fn invalid_endpoint_lists_change_nothing() {
     let discovery = Discovery::start();
@@ -417,7 +417,8 @@
     assert_eq!(proxy.call("safe", "2000m").body, b"2", "a complete list is applied whatever its version");
 }
 
-/// An indented list that arrives byte by byte and has an entry with an invalid address: its valid entries are applied.
+/// An indented list that arrives byte by byte and has an entry with an invalid address: its valid entries are
+/// applied.
 #[test]
 fn unusual_but_valid_endpoint_lists_are_applied() {
     let discovery = Discovery::start();
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -1,5 +1,5 @@
-//! Races of a request, a response, a close or a signal with another event. Each test forces one such order: a peer holds
-//! something back, waits for a state, then acts (`docs/races.md`).
+//! Races of a request, a response, a close or a signal with another event. Each test forces one order of
+//! events: a peer withholds its message until the proxy has reached a known state (`docs/races.md`).
 
 mod peers;
 
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No attempt of a disconnected client begins later than this after it has disconnected.
+/// No attempt for a disconnected client begins later than this after the disconnect.
 const MAX_DISCONNECT_DETECTION_TIME: Duration = Duration::from_millis(100);
 
 fn up(name: &str, endpoint: &Host) -> String {
@@ -24,9 +24,9 @@
     config(listen, discovery.address, 1_024, known).replacen('{', r#"{"operator":"127.0.0.1:0","#, 1)
 }
 
-/// The metric that the admin endpoint's DUMP has at this path.
+/// The metric at this JSON pointer in the admin endpoint's response to DUMP.
 fn metric(admin: SocketAddr, path: &str) -> Option<u64> {
-    let mut stream = TcpStream::connect(admin).expect("it listens");
+    let mut stream = TcpStream::connect(admin).expect("a listening process");
     stream.set_read_timeout(Some(LONG)).expect("a time-out");
     stream.write_all(b"DUMP\n").expect("an open connection");
     let mut text = String::new();
@@ -35,10 +35,10 @@
     metrics.pointer(path).and_then(serde_json::Value::as_u64)
 }
 
-fn wait_for_metric(admin: SocketAddr, path: &str, wanted: u64) {
+fn wait_for_metric(admin: SocketAddr, path: &str, expected: u64) {
     let began = Instant::now();
-    while metric(admin, path) != Some(wanted) {
-        assert!(began.elapsed() < LONG, "{path} is {:?}, not {wanted}", metric(admin, path));
+    while metric(admin, path) != Some(expected) {
+        assert!(began.elapsed() < LONG, "{path} is {:?}, not {expected}", metric(admin, path));
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -52,7 +52,7 @@
 }
 
 impl GatedEndpoint {
-    /// It answers every request with `reply`, the first one once it is released.
+    /// An endpoint that answers every request with `reply`, the first one after [`GatedEndpoint::release`].
     fn start(reply: Reply) -> GatedEndpoint {
         let (arrival_sender, arrivals) = channel();
         let (release, gate) = channel::<()>();
@@ -87,7 +87,7 @@
 #[derive(Clone)]
 struct Disconnect {
     name: &'static str,
-    /// What it has written before.
+    /// Bytes that the client writes before it disconnects.
     bytes: Vec<u8>,
     is_reset: bool,
 }
@@ -99,17 +99,17 @@
         Disconnect { name, bytes, is_reset }
     };
     vec![
-        disconnect("plain", b"", false),
-        disconnect("half a next request", b"GET /safe HT", false),
-        disconnect("a next request", complete.as_bytes(), false),
-        disconnect("a flood", &vec![b'x'; 200 << 10], false),
-        disconnect("a flood, reset", &vec![b'x'; 200 << 10], true),
-        disconnect("plain, reset", b"", true),
-        disconnect("half a next request, reset", b"GET /safe HT", true),
+        disconnect("close", b"", false),
+        disconnect("close after an incomplete next request", b"GET /safe HT", false),
+        disconnect("close after a complete next request", complete.as_bytes(), false),
+        disconnect("close after 200 KiB", &vec![b'x'; 200 << 10], false),
+        disconnect("reset after 200 KiB", &vec![b'x'; 200 << 10], true),
+        disconnect("reset", b"", true),
+        disconnect("reset after an incomplete next request", b"GET /safe HT", true),
     ]
 }
 
-/// Closes a connection, by a reset where `is_reset`.
+/// Closes a connection, with a reset if `is_reset`.
 fn disconnect(stream: TcpStream, is_reset: bool) {
     if is_reset {
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an open connection");
@@ -117,12 +117,12 @@
     drop(stream);
 }
 
-/// Calls are queued, as no endpoint is known, when their clients disconnect; then one comes up.
+/// Calls are queued, as no endpoint is known. Their clients disconnect, and then an endpoint is listed.
 #[test]
 fn disconnected_clients_get_no_first_attempt() {
     const CLIENTS_PER_DISCONNECT: usize = 14;
     let client_count = disconnects().len() * CLIENTS_PER_DISCONNECT;
-    for starved in [false, true] {
+    for is_suspended in [false, true] {
         let discovery = Discovery::start();
         let endpoint = Host::serving("ok");
         let mut proxy = Proxy::with(&configuration(&discovery, &[]));
@@ -135,22 +135,23 @@
             clients.push((client.stream.into_inner(), kind.is_reset));
         }
         wait_for_metric(admin, "/inflight", client_count as u64);
-        if starved {
-            // The process gets no processor time: when it goes on, all has happened at once.
+        if is_suspended {
+            // The stopped process sees all disconnects and the new endpoint at the same time when it resumes.
             proxy.signal("-STOP");
         }
         for (stream, is_reset) in clients {
             disconnect(stream, is_reset);
         }
         let disconnected = Instant::now();
-        if starved {
+        if is_suspended {
             discovery.respond_with_list(&list(42, true, &[up("s-1", &endpoint)]));
             thread::sleep(MAX_DISCONNECT_DETECTION_TIME);
             proxy.signal("-CONT");
         } else {
             wait_for_metric(admin, "/inflight", 0);
             println!("{client_count} disconnects were detected after {:?}", disconnected.elapsed());
-            // Ten times what is allowed: how long detection takes depends on the machine, what may begin does not.
+            // Ten times the limit, as the detection time depends on the machine. The checks on attempts do
+            // not.
             assert!(
                 disconnected.elapsed() < MAX_DISCONNECT_DETECTION_TIME * 10,
                 "{:?}",
@@ -160,14 +161,14 @@
             discovery.respond_with_list(&list(42, true, &[up("s-1", &endpoint)]));
         }
         assert!(discovery.next_request().contains("index=42&"));
-        assert_eq!(endpoint.further_requests(), 0, "starved {starved}");
+        assert_eq!(endpoint.further_requests(), 0, "suspended: {is_suspended}");
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
         wait_for_metric(admin, "/inflight", 0);
     }
 }
 
-/// Part of a large body lies before the client's close, which shows only once that is read: no attempt is written to its
-/// last byte, which is when it counts (PROTOCOL).
+/// The proxy sees the client's close only after it has read the part of the body before it. An attempt may
+/// begin, but its last byte, with which it counts as an attempt (PROTOCOL), is never written.
 #[test]
 fn a_client_that_disconnects_within_a_large_body_gets_no_complete_attempt() {
     let discovery = Discovery::start();
@@ -186,7 +187,8 @@
     assert_eq!(endpoint.further_requests(), 0);
 }
 
-/// The client disconnects while its first attempt is in flight; that is rejected afterwards, and there is no retry.
+/// The client disconnects while its first attempt is in flight. The endpoint then rejects the attempt, and
+/// the call is not retried.
 #[test]
 fn disconnected_clients_get_no_retry() {
     for Disconnect { name, bytes, is_reset } in disconnects() {
@@ -221,7 +223,8 @@
     }
 }
 
-/// A connect that is in progress when the client disconnects succeeds later; its connection carries nothing.
+/// A connect that is in progress when the client disconnects succeeds later. Nothing is written to its
+/// connection.
 #[test]
 fn a_client_that_disconnects_during_connect_gets_no_attempt() {
     let discovery = Discovery::start();
@@ -238,18 +241,20 @@
     assert_eq!(unresponsive.count_bytes_received(), 0);
 }
 
-/// Reads to the end of the stream; the error if that is a reset. One that follows on an end shows only in the socket.
+/// Reads to the end of the stream. An error if the connection is reset, also if the reset follows the end of
+/// the stream: the socket's error then holds it.
 fn read_to_end(stream: &mut TcpStream) -> Result<Vec<u8>, ErrorKind> {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).map_err(|e| e.kind())?;
     thread::sleep(SHORT / 6);
     match stream.take_error().expect("a socket") {
         None => Ok(bytes),
-        Some(fault) => Err(fault.kind()),
+        Some(error) => Err(error.kind()),
     }
 }
 
-/// A request arrives as graceful shutdown closes its idle connection: it is not forwarded, and nothing is reset.
+/// A request arrives as graceful shutdown closes its idle connection: it is not forwarded, and the connection
+/// is not reset.
 #[test]
 fn a_request_that_races_with_the_close_at_shutdown_is_not_forwarded() {
     let discovery = Discovery::start();
@@ -263,7 +268,7 @@
     proxy.terminate();
     for client in &mut clients {
         let stream = client.stream.get_mut();
-        // The proxy has closed; what is written now has crossed that.
+        // The proxy has closed its side, so this request crosses the close.
         assert_eq!(stream.read(&mut [0; 9]).expect("an orderly end"), 0);
         stream.write_all(head("safe", "2000m", 0).as_bytes()).expect("the other direction is open");
     }
@@ -271,27 +276,27 @@
     for client in &mut clients {
         assert_eq!(read_to_end(client.stream.get_mut()), Ok(Vec::new()), "no reset");
     }
-    assert_eq!(endpoint.further_requests(), 0, "none of them was forwarded");
+    assert_eq!(endpoint.further_requests(), 0, "no request was forwarded");
 }
 
-/// Waits until the process, told to end, closes connections with its responses. The signal may still be on its way when
-/// the first response is made.
+/// Waits until responses carry `Connection: close`. The first response may precede the signal's delivery.
 fn wait_for_shutdown(proxy: &Proxy) {
     let began = Instant::now();
-    let closes = || {
+    let is_shutting_down = || {
         let mut client = proxy.client();
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         client.answer().expect("a response").header("connection") == Some("close")
     };
-    while !closes() {
-        assert!(began.elapsed() < LONG, "graceful shutdown begins");
+    while !is_shutting_down() {
+        assert!(began.elapsed() < LONG, "graceful shutdown has begun");
     }
 }
 
-/// Unread bytes lie behind the last request when its response is written and the connection closes: the response arrives,
-/// and an orderly end after it.
+/// The connection has unread bytes after its last request when the response is written and the connection
+/// closes. Closing a socket with unread bytes resets it, which can discard the response: the client must
+/// receive the response and an orderly end of the stream.
 #[test]
-fn unread_bytes_do_not_lose_the_last_response() {
+fn the_last_response_is_delivered_despite_unread_bytes() {
     for shuts_down in [true, false] {
         let endpoint = GatedEndpoint::start(Reply::Write(answer("200 OK", "", "last")));
         let discovery = Discovery::start();
@@ -313,12 +318,12 @@
         assert_eq!(
             read_to_end(client.stream.get_mut()),
             Ok(Vec::new()),
-            "an orderly end, shuts down {shuts_down}"
+            "an orderly end; graceful shutdown: {shuts_down}"
         );
     }
 }
 
-/// In graceful shutdown an incomplete request is waited for only as long as it can still be answered.
+/// Graceful shutdown waits for an incomplete request only as long as it could still be answered.
 #[test]
 fn an_incomplete_request_ends_soon_after_shutdown_begins() {
     let discovery = Discovery::start();
@@ -330,13 +335,13 @@
     let began = Instant::now();
     proxy.terminate();
     assert_eq!(read_to_end(client.stream.get_mut()), Ok(Vec::new()));
-    // 0.65 s; its regular time limit is 2.3 s.
+    // Expected after 0.65 s. Outside shutdown the time limit of an incomplete request is 2.3 s.
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
     assert!(proxy.exits_successfully());
     assert_eq!(endpoint.further_requests(), 1);
 }
 
-/// Connections, with their requests, wait in the listener's queue when the time of accepting is over.
+/// Connections with requests are in the listen backlog when the period of accepting during shutdown is over.
 #[test]
 fn requests_in_the_listen_backlog_are_answered_as_the_listener_closes() {
     let discovery = Discovery::start();
@@ -347,7 +352,7 @@
     proxy.signal("-STOP");
     let mut clients: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|client| client.send("safe", "5000m"));
-    // Far past the 450 ms in which it accepts connections, and past all other time limits of graceful shutdown.
+    // Well past the 450 ms for which shutdown accepts connections, and past its other time limits.
     thread::sleep(SHORT * 4);
     proxy.signal("-CONT");
     for client in &mut clients {
@@ -356,7 +361,8 @@
     assert!(proxy.exits_successfully());
 }
 
-/// A deduplicated call is retried on a connection that comes up only when servers no longer recognise the duplicate.
+/// The connect of a retry succeeds only after the deduplication window, when endpoints no longer recognize
+/// duplicates.
 #[test]
 fn no_retry_begins_after_its_deduplication_window() {
     let first = GatedEndpoint::start(Reply::WriteAndClose(String::new()));
@@ -375,19 +381,20 @@
     let mut client = proxy.client();
     client.send("safe", "9000m");
     first.await_first_request();
-    // The only other endpoint is one to which a connect takes 1 s at the least.
+    // A connect to the only other endpoint takes at least 1 s.
     discovery.respond_with_list(&list(42, true, &[entry("s-2", unresponsive.address, "up", 0)]));
     assert!(discovery.next_request().contains("index=42&"));
     first.release();
-    // Only now can the connect succeed.
+    // The backlog is emptied, and the connect can succeed, only after the deduplication window of 600 ms.
     thread::sleep(Duration::from_millis(700));
     assert_eq!(unresponsive.count_bytes_received(), 0, "bytes of a retry after its window");
     assert_ne!(client.answer().expect("a final response").status(), 200);
 }
 
-/// An endpoint responds, and sends another response some milliseconds later: no other request is answered by that.
+/// An endpoint sends a second response a few milliseconds after the first: it must not answer another
+/// request.
 #[test]
-fn a_late_extra_response_answers_no_other_request() {
+fn a_late_extra_response_is_not_used_for_another_request() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     thread::spawn(move || {
@@ -413,11 +420,12 @@
     }
 }
 
-/// Where no call may have two attempts in flight, one whose endpoint has closed its side has been closed when the next is
-/// written. An attempt that is cancelled at its time limit is its call's last.
+/// With at most one attempt in flight per call, a failed attempt's connection is closed before the retry is
+/// written. Its endpoint has closed only its own side. An attempt that is cancelled at its time limit is the
+/// last of its call.
 #[test]
 fn a_failed_attempt_is_closed_before_its_retry_begins() {
-    // The first attempt's connection stays open here; the endpoint of the next request checks it.
+    // Holds the first attempt's connection open; the endpoint that receives the second attempt checks it.
     let first = Arc::new(Mutex::new(None::<TcpStream>));
     let (check_sender, checks) = channel();
     let endpoints = [0, 1].map(|_| {
@@ -434,7 +442,7 @@
                     if read(&mut reader).is_none() {
                         return;
                     }
-                    let mut held = first.lock().expect("no panic holds it");
+                    let mut held = first.lock().expect("lock not poisoned");
                     match &mut *held {
                         None => *held = Some(stream),
                         Some(earlier) => {
@@ -456,20 +464,20 @@
     let proxy = Proxy::with(&text);
     let mut client = proxy.client();
     client.send("safe", "2500m");
-    // The first endpoint closes its side and leaves the other open: the proxy retries.
+    // The first endpoint shuts down only its sending side: the proxy retries.
     let began = Instant::now();
-    while first.lock().expect("no panic holds it").is_none() {
+    while first.lock().expect("lock not poisoned").is_none() {
         assert!(began.elapsed() < LONG);
         thread::sleep(Duration::from_millis(2));
     }
-    first.lock().expect("no panic holds it").as_ref().map(|stream| stream.shutdown(Shutdown::Write));
+    first.lock().expect("lock not poisoned").as_ref().map(|stream| stream.shutdown(Shutdown::Write));
     assert_eq!(client.answer().expect("a response").status(), 200);
-    let seen = checks.recv_timeout(LONG).expect("a second attempt");
-    assert!(matches!(seen, Ok(0) | Err(ErrorKind::ConnectionReset)), "still open: {seen:?}");
+    let read_result = checks.recv_timeout(LONG).expect("a second attempt");
+    assert!(matches!(read_result, Ok(0) | Err(ErrorKind::ConnectionReset)), "still open: {read_result:?}");
 }
 
-/// Settings are reloaded during graceful shutdown, and twice in a row: open requests are answered, and the last settings
-/// hold.
+/// Settings are reloaded twice in a row, and again during graceful shutdown: open requests are answered, and
+/// the last settings are in force.
 #[test]
 fn reloads_race_with_shutdown_and_each_other() {
     let endpoint = GatedEndpoint::start(Reply::Write(answer("200 OK", "", "ok")));
@@ -489,7 +497,7 @@
     proxy.reload(&without("unsafe"));
     let began = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 || proxy.call("unsafe", "2000m").status() != 404 {
-        assert!(began.elapsed() < LONG, "the last settings hold");
+        assert!(began.elapsed() < LONG, "the last settings are in force");
     }
     incomplete.write("body");
     assert_eq!(
@@ -502,12 +510,12 @@
     proxy.terminate();
     endpoint.release();
     assert_eq!(slow.answer().expect("a response").status(), 200);
-    assert!(proxy.exits_successfully(), "it exits 0");
+    assert!(proxy.exits_successfully(), "the process exits with status 0");
 }
 
-/// A successor starts, reports that it is ready, and dies: the predecessor serves on.
+/// A successor starts, logs its listen address and is killed: the predecessor continues to serve.
 #[test]
-fn the_predecessor_serves_on_when_its_successor_dies() {
+fn the_predecessor_continues_to_serve_when_its_successor_is_killed() {
     let discovery = Discovery::start();
     let endpoint = Host::serving("ok");
     let platform = Platform::new();
@@ -523,8 +531,8 @@
     }
 }
 
-/// New settings allow retries of a class, or forbid them, while its first attempt is in flight: the call follows those that
-/// were in force when it arrived.
+/// A reload allows or forbids retries of a class while a call's first attempt is in flight: the call follows
+/// the settings that were in force when it arrived.
 #[test]
 fn a_retry_follows_the_settings_in_force_when_its_call_arrived() {
     for (class, expected_attempts) in [("unsafe", 1), ("safe", 2)] {
@@ -559,7 +567,7 @@
     }
 }
 
-/// SIGTERM arrives at any time during startup: the process ends.
+/// SIGTERM arrives 0 ms to 58 ms after the start of the process.
 #[test]
 fn sigterm_at_any_time_during_startup_ends_the_process() {
     let discovery = Discovery::start();
@@ -573,13 +581,14 @@
         let status = loop {
             match child.try_wait().expect("a child") {
                 Some(status) => break status,
-                None => assert!(began.elapsed() < LONG, "it runs on after {step}"),
+                None => assert!(began.elapsed() < LONG, "still running, step {step}"),
             }
             thread::sleep(Duration::from_millis(2));
         };
-        // By the signal itself before its handler is installed, by a graceful shutdown from then on.
+        // Before the signal handler is installed the signal itself ends the process, later a graceful
+        // shutdown.
         let by_signal = std::os::unix::process::ExitStatusExt::signal(&status) == Some(15);
-        assert!(by_signal || status.success(), "{status} after {step}");
+        assert!(by_signal || status.success(), "{status}, step {step}");
         let _ = std::fs::remove_file(path);
     }
 }
