--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -1,6 +1,7 @@
-//! No new request goes to an endpoint after its drain window, however the update arrives (`docs/discovery.md`): a dozen
-//! processes of the program, each beside its own agent, with faults of the agents and requests all the while. The check is
-//! independent of the proxies: it compares when each request arrived at an endpoint with when the agents notified.
+//! No new request goes to an endpoint after its drain window, however the update arrives
+//! (`docs/discovery.md`). A dozen proxy processes, each with its own agent or all with a shared one, forward
+//! requests throughout while faults of the agents are simulated. The check is independent of the proxies: it
+//! compares the arrival times of requests at the endpoints with the times of the agents' notifications.
 
 mod peers;
 
@@ -13,11 +14,11 @@
 
 const PROCESSES: usize = 12;
 const ENDPOINTS: usize = 10;
-/// Endpoints that drain, two at a time or all at once: six in ten.
+/// Number of endpoints that drain, in pairs or all at once: six in ten.
 const DRAINING: usize = 6;
-/// The shortest drain window of any given site.
+/// The drain window: the shortest that any site uses.
 const DRAIN_WINDOW: Duration = Duration::from_millis(500);
-/// Tolerance for the delays of sockets and threads.
+/// Tolerance for socket and thread delays.
 const SLACK: Duration = Duration::from_millis(50);
 
 struct Cluster {
@@ -28,11 +29,11 @@
     clients: Vec<JoinHandle<usize>>,
 }
 
-fn id(process: usize) -> String {
+fn request_id(process: usize) -> String {
     format!("{process:08x}")
 }
 
-/// List entries of some endpoints, with this status.
+/// List entries of these endpoints, all with the same status.
 fn list_entries(hosts: &[RecordingHost], status: &str) -> Vec<(String, String)> {
     let entry = |host: &RecordingHost| {
         let name = format!("s-{}", host.host.address.port());
@@ -55,29 +56,32 @@
 }
 
 impl Cluster {
-    /// Each process has an agent of its own.
+    /// Starts a cluster in push mode in which each process has its own agent.
     fn start() -> Cluster {
         Cluster::with(PROCESSES, pushed_config)
     }
 
-    /// The processes share this many agents.
-    fn with(agents: usize, text: impl Fn(&Agent, &[RecordingHost]) -> String) -> Cluster {
+    /// Starts a cluster whose processes share `agent_count` agents.
+    fn with(agent_count: usize, configuration: impl Fn(&Agent, &[RecordingHost]) -> String) -> Cluster {
         let hosts: Vec<RecordingHost> = (0..ENDPOINTS).map(|_| RecordingHost::start()).collect();
-        let agents: Vec<Agent> = (0..agents).map(|_| Agent::start(&list_entries(&hosts, "up"))).collect();
+        let agents: Vec<Agent> =
+            (0..agent_count).map(|_| Agent::start(&list_entries(&hosts, "up"))).collect();
         let start = |process: usize| {
-            // Each draws its own random numbers.
+            // Each process draws its own random numbers.
             let seed = format!("{:016x}", 0x8c1f_30d2_7a5b_e964 ^ process as u64);
-            Proxy::with(&text(&agents[process % agents.len()], &hosts).replace("8c1f30d27a5be964", &seed))
+            Proxy::with(
+                &configuration(&agents[process % agents.len()], &hosts).replace("8c1f30d27a5be964", &seed),
+            )
         };
         let proxies: Vec<Proxy> = (0..PROCESSES).map(start).collect();
         agents.iter().for_each(|agent| agent.await_watches(PROCESSES / agents.len()));
         let stop = Arc::new(AtomicBool::new(false));
-        let client = |(number, proxy): (usize, &Proxy)| {
+        let client = |(process, proxy): (usize, &Proxy)| {
             let (mut client, stop) = (proxy.client(), Arc::clone(&stop));
             thread::spawn(move || {
                 let mut served = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    client.send_as(&id(number), "safe", "2000m");
+                    client.send_as(&request_id(process), "safe", "2000m");
                     served += usize::from(client.answer().is_some_and(|a| a.status() == 200));
                     thread::sleep(Duration::from_millis(15));
                 }
@@ -94,41 +98,42 @@
         cluster
     }
 
-    /// When this process sent requests to the draining endpoints.
+    /// Arrival times of this process's requests at the endpoints that drain.
     fn requests_to_draining(&self, process: usize) -> Vec<Instant> {
-        self.hosts[..DRAINING].iter().flat_map(|host| host.arrivals_of(&id(process))).collect()
+        self.hosts[..DRAINING].iter().flat_map(|host| host.arrivals_of(&request_id(process))).collect()
     }
 
-    /// All agents notify that endpoints drain. Returns when.
+    /// Marks the draining endpoints at all agents. Returns the time of the notification.
     fn drain(&self) -> Instant {
         self.notify(&list_entries(&self.hosts[..DRAINING], "draining"))
     }
 
+    /// Changes these entries at all agents. Returns the time of the notification.
     fn notify(&self, list_entries: &[(String, String)]) -> Instant {
         self.agents.iter().for_each(|agent| agent.change(list_entries));
         Instant::now()
     }
 
-    /// The longest time after notification, one instant for each process, at which a process still sent a request to a
-    /// draining endpoint. Waits first until the drain window of the last is over.
+    /// The longest time after notification at which a process still sent a request to a draining endpoint.
+    /// `notified` has one instant for each process. Waits first until the last drain window is over.
     fn latest_request_after(self, notified: &[Instant]) -> Duration {
         let all = (0..DRAINING).map(|host| (host, notified.to_vec())).collect::<Vec<_>>();
         self.latest_request_after_each(&all)
     }
 
-    /// The same, with instants for each draining endpoint.
+    /// As [`Cluster::latest_request_after`], with the notification times of each draining endpoint.
     fn latest_request_after_each(mut self, notified: &[(usize, Vec<Instant>)]) -> Duration {
         let last = notified.iter().flat_map(|(_, notified)| notified).max().expect("a process");
         thread::sleep((*last + DRAIN_WINDOW * 2).saturating_duration_since(Instant::now()));
         self.stop.store(true, Ordering::SeqCst);
         for client in std::mem::take(&mut self.clients) {
-            assert!(client.join().expect("no panic") > 0, "the others serve");
+            assert!(client.join().expect("no panic") > 0, "the other endpoints serve");
         }
         let mut latest = Duration::ZERO;
         for (host, notified) in notified {
             for (process, notified) in notified.iter().enumerate() {
-                let came = self.hosts[*host].arrivals_of(&id(process));
-                let after = came.iter().map(|at| at.saturating_duration_since(*notified)).max();
+                let arrivals = self.hosts[*host].arrivals_of(&request_id(process));
+                let after = arrivals.iter().map(|at| at.saturating_duration_since(*notified)).max();
                 latest = latest.max(after.unwrap_or_default());
             }
         }
@@ -140,7 +145,7 @@
     vec![notified; PROCESSES]
 }
 
-/// Watches fall silent once, and endpoints drain right after.
+/// All watches stop being answered just before endpoints drain.
 #[test]
 fn pushed_watches_that_fall_silent_are_reopened_within_the_drain_window() {
     let cluster = Cluster::start();
@@ -150,7 +155,8 @@
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
-/// The same where all poll one service: the watches are reopened one after the other, and each in time.
+/// As above, with one service for all processes: the watches are reopened one after the other, and each in
+/// time.
 #[test]
 fn watches_of_a_shared_service_that_fall_silent_are_reopened_within_the_drain_window() {
     let cluster = Cluster::with(1, polled_config);
@@ -160,7 +166,8 @@
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
-/// All watches are reset just before a drain: what an agent has counts as notified, whether or not a watch is open.
+/// All watches are reset just before a drain. An update counts as notified once an agent has it, whether or
+/// not a watch is open.
 #[test]
 fn watches_that_are_reset_are_reopened_within_the_drain_window() {
     let cluster = Cluster::start();
@@ -170,7 +177,7 @@
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
-/// Agents are silent for a while; when they are back they have an update at once.
+/// Agents do not answer for 8 s. When they answer again, they have a new update.
 #[test]
 fn updates_after_an_agent_outage_apply_within_the_drain_window() {
     let cluster = Cluster::start();
@@ -180,7 +187,7 @@
     let notified = cluster.drain();
     cluster.agents.iter().for_each(|agent| agent.set_unresponsive(false));
     let calls: usize = cluster.agents.iter().map(Agent::calls).sum();
-    assert!(calls < PROCESSES * 120, "{calls} calls in 8 s: some eight a second each");
+    assert!(calls < PROCESSES * 120, "{calls} calls in 8 s; about eight a second per process are expected");
     let latest = cluster.latest_request_after(&at_each_process(notified));
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
@@ -193,7 +200,7 @@
     let before = service.calls();
     service.set_at_capacity(true);
     service.reset_connections();
-    // From one call to the next it is 2 s to 3.5 s: one or two each, and none in a hurry.
+    // The pause between calls is 2 s to 3.5 s, so that each process polls once or twice.
     thread::sleep(Duration::from_secs(4));
     let calls = service.calls() - before;
     assert!((PROCESSES..=PROCESSES * 2).contains(&calls), "{calls} calls in 4 s");
@@ -204,21 +211,21 @@
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
-/// After a failed, rejected or timed-out poll an update counts as notified 6 s after a shared service had it and could be
-/// reached, however long it could not.
-fn check_update_after_failed_polls(fails: impl Fn(&Agent, bool), lasts: Duration) {
+/// After a failed, rejected or timed-out poll an update counts as notified 6 s after a shared service has it
+/// and can be reached again, however long the outage lasts.
+fn check_update_after_failed_polls(set_failing: impl Fn(&Agent, bool), outage: Duration) {
     let cluster = Cluster::with(1, polled_config);
     let service = &cluster.agents[0];
-    // The open watches break, and what follows on them fails: none is polled again before a quarter of a second.
+    // The open watches are reset and the polls after them fail. No process polls again within 250 ms.
     service.reset_connections();
-    fails(service, true);
-    thread::sleep(lasts);
+    set_failing(service, true);
+    thread::sleep(outage);
     let before = service.calls();
     cluster.drain();
-    fails(service, false);
+    set_failing(service, false);
     let notified = Instant::now() + Duration::from_secs(6);
     let latest = cluster.latest_request_after(&at_each_process(notified));
-    println!("{before} calls while it failed, {latest:?} after it counts as told");
+    println!("{before} calls by the end of the outage, {latest:?} after the notification deadline");
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
@@ -239,16 +246,17 @@
     check_update_after_failed_polls(Agent::set_truncating, Duration::from_secs(10));
 }
 
-/// After SIGHUP the old agent sends nothing more; the new one has an update, and is silent at first.
+/// SIGHUP replaces the agent by one that has an update, and the old agent sends nothing more. In the second
+/// case the old watches are silent already and the new agent does not answer at first.
 #[test]
 fn updates_at_a_new_discovery_address_apply_by_their_notification_deadline() {
-    for silent in [false, true] {
+    for is_silent in [false, true] {
         let cluster = Cluster::start();
-        let mut now = list_entries(&cluster.hosts, "up");
-        now[..DRAINING].clone_from_slice(&list_entries(&cluster.hosts[..DRAINING], "draining"));
-        let new: Vec<Agent> = cluster.agents.iter().map(|_| Agent::start(&now)).collect();
-        new.iter().for_each(|agent| agent.set_unresponsive(silent));
-        if silent {
+        let mut entries = list_entries(&cluster.hosts, "up");
+        entries[..DRAINING].clone_from_slice(&list_entries(&cluster.hosts[..DRAINING], "draining"));
+        let new: Vec<Agent> = cluster.agents.iter().map(|_| Agent::start(&entries)).collect();
+        new.iter().for_each(|agent| agent.set_unresponsive(is_silent));
+        if is_silent {
             cluster.agents.iter().for_each(|agent| _ = agent.silence_watches());
         }
         let signalled = Instant::now();
@@ -260,24 +268,27 @@
         thread::sleep(Duration::from_millis(2_000));
         new.iter().for_each(|agent| agent.set_unresponsive(false));
         let latest = cluster.latest_request_after(&at_each_process(signalled + Duration::from_secs(4)));
-        assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}, silent {silent}");
+        assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}, silent: {is_silent}");
     }
 }
 
-/// Six in ten endpoints are replaced within 7 s; watches fall silent before the last of them.
+/// Six in ten endpoints are replaced within 7 s; the open watches stop being answered before the last step.
 #[test]
 fn endpoints_replaced_in_steps_get_no_request_after_their_drain_windows() {
     let cluster = Cluster::start();
     let mut notified = Vec::new();
     for step in 0..DRAINING / 2 {
         let hosts = step * 2..step * 2 + 2;
-        let silent: Vec<Instant> = match step {
-            // No step comes after it: what a watch misses has a clock of its own until it is opened anew.
+        let earliest: Vec<Instant> = match step {
+            // The last step, as no other follows: until a silent watch is reopened, an update that it misses
+            // has its own notification deadline.
             2 => cluster.agents.iter().map(Agent::silence_watches).collect(),
             _ => at_each_process(Instant::now()),
         };
         let updated = cluster.notify(&list_entries(&cluster.hosts[hosts.clone()], "draining"));
-        notified.extend(hosts.map(|host| (host, silent.iter().map(|silent| updated.max(*silent)).collect())));
+        notified.extend(
+            hosts.map(|host| (host, earliest.iter().map(|earliest| updated.max(*earliest)).collect())),
+        );
         thread::sleep(Duration::from_millis(2_300));
         let removed = list_entries(&cluster.hosts[step * 2..step * 2 + 2], "removed");
         cluster.notify(&removed);
@@ -286,43 +297,47 @@
     assert!(latest <= DRAIN_WINDOW + SLACK, "{latest:?}");
 }
 
-/// A connection established only when its endpoint drains carries nothing, and its request goes to another endpoint.
+/// A connect completes only after its endpoint has begun to drain: nothing is written to the connection, and
+/// the request goes to another endpoint.
 #[test]
 fn a_connection_established_while_its_endpoint_drains_carries_no_request() {
-    let (deaf, other) = (UnresponsiveHost::start(), RecordingHost::start());
-    let up = |status| vec![("s-1".to_owned(), entry("s-1", deaf.address, status, 0))];
-    let agent = Agent::start(&up("up"));
+    let (unresponsive, other) = (UnresponsiveHost::start(), RecordingHost::start());
+    let entries = |status| vec![("s-1".to_owned(), entry("s-1", unresponsive.address, status, 0))];
+    let agent = Agent::start(&entries("up"));
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let text = config(listen, agent.address, 1_024, &[up("up")[0].1.clone()])
+    let text = config(listen, agent.address, 1_024, &[entries("up")[0].1.clone()])
         .replace(r#""discovery":"ask","#, r#""discovery":"push","#)
         .replace(r#""connect_timeout_us":1000000"#, r#""connect_timeout_us":60000000"#);
     let proxy = Proxy::with(&text);
     agent.await_watch();
     let mut client = proxy.client();
     client.send("unsafe", "30000m");
-    // Nothing tells from outside that the connection is on its way; nor does it matter if it is not yet.
+    // The connect cannot be observed from outside. The test also holds if it has not begun by now.
     thread::sleep(SHORT);
-    agent.change(&up("draining"));
+    agent.change(&entries("draining"));
     agent.change(&list_entries(std::slice::from_ref(&other), "up"));
     agent.await_watch();
-    assert_eq!(deaf.count_bytes_received(), 0, "bytes on the connection that came up late");
+    assert_eq!(unresponsive.count_bytes_received(), 0, "bytes on the connection established late");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(other.arrivals_of("9b1f03aa").len(), 1);
 }
 
-/// Lists of a thousand and more are taken within the least memory and the fewest descriptors that a configuration may
-/// state, and a change of one entry among them is obeyed. With `--nocapture` it prints what they cost.
+/// Lists of a thousand endpoints and more are applied within the smallest memory and descriptor limits that a
+/// configuration may set, and a change of one of their entries takes effect. `--nocapture` prints memory,
+/// descriptors and processor time.
 #[test]
 fn lists_of_a_thousand_endpoints_fit_into_the_smallest_memory_and_descriptor_limits() {
-    const TIMES: u64 = 60;
+    const CHANGES: u64 = 60;
     let (host, listen) = (RecordingHost::start(), "127.0.0.1:0".parse().expect("an address"));
-    for hosts in [10, 300, 1_024, 2_048] {
+    for endpoint_count in [10, 300, 1_024, 2_048] {
         let absent = unused_address();
-        let named = |place: usize| format!("s-{place:08x}");
+        let endpoint_name = |number: usize| format!("s-{number:08x}");
         let others = |since| -> Vec<(String, String)> {
-            (1..hosts).map(|p| (named(p), entry(&named(p), absent, "draining", since))).collect()
+            (1..endpoint_count)
+                .map(|n| (endpoint_name(n), entry(&endpoint_name(n), absent, "draining", since)))
+                .collect()
         };
-        let own = |status| vec![(named(0), entry(&named(0), host.host.address, status, 0))];
+        let own = |status| vec![(endpoint_name(0), entry(&endpoint_name(0), host.host.address, status, 0))];
         let agent = Agent::start(&[own("up"), others(0)].concat());
         let text = config(listen, agent.address, 256, &[])
             .replace(r#""discovery":"ask","#, r#""discovery":"push","#)
@@ -331,38 +346,45 @@
         agent.await_watch();
         let process = format!("/proc/{}", proxy.child.id());
         let ticks = || -> u64 {
-            let stat = std::fs::read_to_string(format!("{process}/stat")).expect("it runs");
+            let stat = std::fs::read_to_string(format!("{process}/stat")).expect("a running process");
             let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
             fields.skip(11).take(2).map(|t| t.parse::<u64>().expect("ticks")).sum()
         };
-        let cost = |changes: &dyn Fn(u64) -> Vec<(String, String)>| {
+        // Processor time per change in ms, where a clock tick is 10 ms.
+        let cost_ms = |changes: &dyn Fn(u64) -> Vec<(String, String)>| {
             let before = ticks();
-            for time in 1..=TIMES {
-                agent.change(&changes(time));
+            for step in 1..=CHANGES {
+                agent.change(&changes(step));
                 agent.await_watch();
             }
-            (ticks() - before) as f64 * 10.0 / TIMES as f64
+            (ticks() - before) as f64 * 10.0 / CHANGES as f64
         };
-        let whole = cost(&others);
-        let one = cost(&|time| others(time + TIMES).into_iter().take(1).collect());
+        let all_changed_ms = cost_ms(&others);
+        let one_changed_ms = cost_ms(&|step| others(step + CHANGES).into_iter().take(1).collect());
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
         agent.change(&own("draining"));
         agent.await_watch();
         let before = host.arrivals_of("9b1f03aa").len();
-        assert_ne!(proxy.call("safe", "300m").status(), 200, "one entry among {hosts}");
+        assert_ne!(proxy.call("safe", "300m").status(), 200, "one entry of {endpoint_count} is draining");
         assert_eq!(host.arrivals_of("9b1f03aa").len(), before);
-        let status = std::fs::read_to_string(format!("{process}/status")).expect("it runs");
-        let most: u64 = status
+        let status = std::fs::read_to_string(format!("{process}/status")).expect("a running process");
+        let peak_kb: u64 = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix("kB")?.trim().parse().ok())
             .expect("its memory");
-        let open = std::fs::read_dir(format!("{process}/fd")).expect("it runs").count();
-        println!("{hosts} hosts: {most} kB, {open} descriptors, ms: all changed {whole:.2}, one {one:.2}");
-        assert!(most < 32 << 10 && open < 32, "{most} kB, {open} descriptors with {hosts}");
+        let open = std::fs::read_dir(format!("{process}/fd")).expect("a running process").count();
+        println!(
+            "{endpoint_count} endpoints: {peak_kb} kB, {open} descriptors, \
+             ms: all changed {all_changed_ms:.2}, one {one_changed_ms:.2}"
+        );
+        assert!(
+            peak_kb < 32 << 10 && open < 32,
+            "{peak_kb} kB, {open} descriptors with {endpoint_count} endpoints"
+        );
     }
 }
 
-/// The latest_request_after finds a client that is late, whatever it is late for.
+/// Checks [`Cluster::latest_request_after`] itself: it detects proxies that apply an update late.
 #[test]
 fn updates_that_are_applied_late_are_detected() {
     let cluster = Cluster::start();
