--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Large and slow bodies, with either framing of HTTP/1.1.
+//! Large and slow bodies, framed by `Content-Length` or by chunked encoding.
 
 mod peers;
 
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far more than is buffered, and than the sockets between the peers hold.
+/// Far more than the proxy and the socket buffers between the peers hold.
 const LARGE_BODY_BYTES: usize = 24 << 20;
 
 #[test]
@@ -38,20 +38,20 @@
         let proxy = start(&discovery, &[endpoint]);
         let mut client = proxy.client();
         client.write(&request_head("safe", "900m", "Content-Length: 0\r\n"));
-        let head =
-            head(&mut client.stream).expect("the response's head, while the endpoint still has the rest");
+        let head = head(&mut client.stream)
+            .expect("the response's head, before the endpoint has sent the whole body");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         // Well past the client timeout.
         thread::sleep(Duration::from_millis(1_200));
         release.send(()).expect("the endpoint waits");
         assert_eq!(body(&head, &mut client.stream), Some(content), "{framing}");
         drop(release);
-        assert_eq!(client.call("safe", "2000m").status(), 200, "the connection stays usable");
+        assert_eq!(client.call("safe", "2000m").status(), 200, "the client connection stays usable");
     }
 }
 
 #[test]
-fn a_truncated_response_reaches_the_client_truncated_and_is_not_retried() {
+fn a_response_truncated_by_its_endpoint_is_forwarded_truncated_and_not_retried() {
     for framing in ["Content-Length: 200000", "Transfer-Encoding: chunked"] {
         let attempts = Arc::new(AtomicUsize::new(0));
         let count = Arc::clone(&attempts);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_response_that_ends_with_its_connection_is_served_only_with_connection_close() {
+fn a_response_delimited_by_connection_close_is_served_only_with_that_header() {
     for (size, connection_header, is_served) in
         [(900, "Connection: close\r\n", true), (90_000, "Connection: Close\r\n", true), (900, "", false)]
     {
@@ -100,7 +100,8 @@
 
 #[test]
 fn an_early_response_does_not_end_the_next_request() {
-    // The first is answered 400 before its body has arrived; the next takes longer than a connection may be idle.
+    // The first request is answered 400 before its body has arrived. The response to the next one takes
+    // longer than the idle limit of a connection.
     let endpoint = endpoint(|head, stream| {
         if head.contains("/unsafe") {
             send_bytes(stream, b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
@@ -124,7 +125,7 @@
     assert_eq!(client.answer().expect("a complete response").status(), 200);
 }
 
-/// An endpoint that reports the first bytes of each body as None, and then the complete body.
+/// An endpoint that sends None over the channel when a body's first bytes arrive, and then the complete body.
 fn recording_endpoint() -> (SocketAddr, Receiver<Option<Vec<u8>>>) {
     let (sender, received) = channel();
     let address = endpoint(move |head, stream| {
@@ -153,9 +154,9 @@
         assert_eq!(
             received.recv_timeout(LONG),
             Ok(None),
-            "the endpoint has some of it before it is complete"
+            "the endpoint receives part of the request before the client has sent all of it"
         );
-        // In ten parts, which together take longer than the client timeout.
+        // The remaining ten parts together take longer than the client timeout.
         for part in rest.chunks(rest.len() / 10 + 1) {
             thread::sleep(Duration::from_millis(100));
             assert!(send_bytes(&mut client.stream, part));
@@ -172,7 +173,7 @@
         let count = Arc::clone(&attempts);
         endpoint(move |_, stream| {
             count.fetch_add(1, Ordering::SeqCst);
-            // It reads some and closes the connection before the last byte has arrived.
+            // Reads part of the body and closes the connection before the last byte has arrived.
             let _ = stream.read_exact(&mut [0; 80_000]);
             let _ = stream.get_mut().shutdown(std::net::Shutdown::Both);
         })
@@ -181,17 +182,17 @@
     let proxy = start(&discovery, &endpoints);
     let mut client = proxy.client();
     client.write(&request_head("unsafe", "5000m", "Content-Length: 20000000\r\n"));
-    // The rest is read all the same, so that the client sees its response.
+    // The proxy reads the rest of the body, so that the client receives the response.
     assert!(send_bytes(&mut client.stream, &test_pattern(20_000_000)));
     let response = client.answer().expect("a response");
-    assert_eq!(response.status(), 503, "the last byte was never written to an endpoint: {}", response.head);
+    assert_eq!(response.status(), 503, "no endpoint was sent the last byte: {}", response.head);
     assert!(response.header("retry-after").is_some());
     assert_eq!(attempts.load(Ordering::SeqCst), 1);
     assert_eq!(client.call("safe", "900m").status(), 503, "the client's connection stays usable");
 }
 
 #[test]
-fn a_stalled_body_ends_its_request_in_time() {
+fn a_request_with_a_stalled_body_is_answered_408_and_disconnected() {
     let (endpoint, received) = recording_endpoint();
     let discovery = Discovery::start();
     let proxy = start(&discovery, &[endpoint]);
@@ -203,16 +204,17 @@
         let response = client.answer().expect("an error");
         assert_eq!(response.status(), 408, "{sent}");
         assert!(began.elapsed() < Duration::from_secs(10), "{sent}: {:?}", began.elapsed());
-        assert!(client.answer().is_none(), "its connection closes");
+        assert!(client.answer().is_none(), "the client connection closes");
     }
-    assert_eq!(received.try_iter().filter(Option::is_some).count(), 0, "none of them ran");
+    assert_eq!(received.try_iter().filter(Option::is_some).count(), 0, "no request ran");
 }
 
 #[test]
-fn a_client_that_does_not_read_applies_back_pressure_and_takes_no_memory() {
+fn a_client_that_does_not_read_causes_back_pressure_and_uses_little_memory() {
     let written = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&written);
-    // Made before the first request: between a head and its body it would take longer than the client timeout.
+    // Generated before the first request: between a head and its body this would take longer than the client
+    // timeout.
     let content = test_pattern(LARGE_BODY_BYTES);
     let endpoint = endpoint(move |_, stream| {
         send_bytes(
@@ -236,20 +238,21 @@
     let heads: Vec<String> = clients.iter_mut().map(|c| head(&mut c.stream).expect("a head")).collect();
     thread::sleep(SHORT * 2);
     assert!(proxy.resident_kb() < before_kb + 4 * 1_024, "{} from {before_kb} kB", proxy.resident_kb());
-    assert!(written.load(Ordering::SeqCst) < 4 * LARGE_BODY_BYTES, "the endpoint cannot write on");
+    assert!(written.load(Ordering::SeqCst) < 4 * LARGE_BODY_BYTES, "the endpoint's writes block");
     for (head, client) in heads.iter().zip(&mut clients) {
         assert_eq!(body(head, &mut client.stream).map(|b| b.len()), Some(LARGE_BODY_BYTES));
     }
 }
 
-/// Clients that wait for their next request.
-const WAITING_CLIENTS: usize = 60;
-/// A connection's own buffers take so much each at most, one for reading and one for writing.
+/// Number of clients that are idle after a large response.
+const IDLE_CLIENTS: usize = 60;
+/// Maximum size of each of a connection's two buffers, one for reading and one for writing.
 const CONNECTION_BUFFER_KB: usize = 32;
 
 #[test]
-fn a_client_connection_returns_the_memory_of_a_large_response() {
-    // Guards against memory outside the limit of bodies that grows with the connections which have carried a large response.
+fn a_client_connection_releases_the_memory_of_a_large_response() {
+    // Guards against buffers outside the memory limit for bodies that stay allocated on each connection that
+    // has carried a large response.
     let content = test_pattern(300_000);
     let endpoint = endpoint(move |_, stream| write_response(stream, "chunked", &content));
     let discovery = Discovery::start();
@@ -263,11 +266,11 @@
     };
     drop(call());
     let before_kb = proxy.resident_kb();
-    let waiting: Vec<Client> = (0..WAITING_CLIENTS).map(|_| call()).collect();
-    let taken_kb = proxy.resident_kb().saturating_sub(before_kb);
+    let idle: Vec<Client> = (0..IDLE_CLIENTS).map(|_| call()).collect();
+    let growth_kb = proxy.resident_kb().saturating_sub(before_kb);
     assert!(
-        taken_kb < waiting.len() * 2 * CONNECTION_BUFFER_KB,
-        "{taken_kb} kB for {WAITING_CLIENTS} connections"
+        growth_kb < idle.len() * 2 * CONNECTION_BUFFER_KB,
+        "{growth_kb} kB for {IDLE_CLIENTS} connections"
     );
 }
 
@@ -288,7 +291,7 @@
     client.write(&request_head("safe", "2000m", "Content-Length: 0\r\n"));
     assert!(head(&mut client.stream).is_some());
     drop(client);
-    closed.recv_timeout(LONG).expect("its connection to the endpoint closes");
+    closed.recv_timeout(LONG).expect("the upstream connection closes");
 }
 
 #[test]
@@ -297,7 +300,8 @@
     let discovery = Discovery::start();
     let proxy = start(&discovery, &[endpoint]);
     let mut client = proxy.client();
-    // Byte by byte, the head for more than a second, the body in chunks of three.
+    // The client writes byte by byte: the head takes more than a second, and the body has chunks of three
+    // bytes.
     let mut text = request_head("unsafe", "900m", "Transfer-Encoding: chunked\r\n").into_bytes();
     text.extend(chunked(b"slow but sure", 3));
     for byte in &text {
@@ -320,7 +324,7 @@
     assert!(send_bytes(&mut client.stream, &test_pattern(100_000)));
     assert_eq!(client.answer().expect("a response").status(), 200);
     assert_eq!(received.iter().flatten().next().map(|b| b.len()), Some(100_000));
-    // A request that is not accepted gets its final response instead.
+    // A rejected request gets its final response instead of 100.
     client.write(&request_head("nobody", "900m", "Expect: 100-continue\r\nContent-Length: 100000\r\n"));
     assert_eq!(client.answer().expect("a response").status(), 404);
 }
