--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_response_delimited_by_connection_close_is_served_only_with_that_header() {
+fn a_response_that_ends_with_its_connection_is_served_only_with_connection_close() {
     for (size, connection_header, is_served) in
         [(900, "Connection: close\r\n", true), (90_000, "Connection: Close\r\n", true), (900, "", false)]
     {
--- a/crates/cli/tests/slow_readers.rs
+++ b/crates/cli/tests/slow_readers.rs
@@ -1,4 +1,5 @@
-//! Clients that read their responses slowly: whatever ends their connection, a response that was written arrives whole.
+//! Clients that read their responses slowly: a response that the proxy has written arrives completely, for
+//! whatever reason the connection closes.
 
 mod peers;
 
@@ -10,26 +11,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Several times what the socket buffers between proxy and client hold.
+/// Several times the size of the socket buffers between proxy and client.
 const RESPONSE_BYTES: usize = 8 << 20;
 /// A small receive buffer, so that most of a response waits in the proxy's send buffer.
 const RECEIVE_BUFFER_BYTES: usize = 64 << 10;
-/// Bytes that a slow reader takes at a time, and the pause after each.
+/// Size of a slow reader's reads, and the pause after each.
 const READ_STEP_BYTES: usize = 64 << 10;
 const READ_PAUSE: Duration = Duration::from_millis(2);
-/// Pause between two looks at the system's table of sockets, and the reads between two.
-const TABLE_PAUSE: Duration = Duration::from_millis(10);
+/// Pause between reads of the kernel's socket table, and the number of stream reads between two of them.
+const SOCKET_TABLE_INTERVAL: Duration = Duration::from_millis(10);
 const READ_STEPS_PER_CHECK: usize = 16;
 /// Past the idle limit of 2.1 s and the linger of 250 ms after it.
 const PAST_IDLE_LIMIT: Duration = Duration::from_millis(2_700);
-/// Past the time that a graceful shutdown gives idle connections, and the linger after it.
+/// Past the time limit of idle connections in graceful shutdown, and the linger after it.
 const SHUTDOWN_WAIT: Duration = Duration::from_millis(1_500);
-/// Past the time in which a client may take nothing of its response, 30 s.
+/// Past the 30 s for which a client may read nothing of its response.
 const STALL_WAIT: Duration = Duration::from_secs(40);
-/// Descriptors of a proxy that serves few clients.
+/// Descriptor limit of a proxy that serves few clients.
 const FEW_SOCKETS: usize = 64;
 
-/// Made before the first request: it takes longer than a connection may be idle on a busy machine.
+/// Generated before the first request: on a busy machine this takes longer than the idle limit of a
+/// connection.
 static LARGE_BODY: LazyLock<Vec<u8>> = LazyLock::new(|| test_pattern(RESPONSE_BYTES));
 
 /// An endpoint that answers `/safe/large` with a large response and others with a small one.
@@ -54,25 +56,25 @@
     "127.0.0.1:0".parse().expect("an address")
 }
 
-/// The system's table of sockets at one moment. It takes a while to show where a machine has many.
+/// A snapshot of the kernel's TCP socket table. Reading it is slow on a machine with many sockets.
 struct SocketTable(String);
 
 /// One socket of this machine.
 struct SocketState {
-    /// Bytes that the other side's system has not acknowledged.
+    /// Bytes sent that the peer's kernel has not acknowledged.
     unacknowledged: usize,
-    /// Bytes that the program has not read.
+    /// Bytes received that the process has not read.
     unread: usize,
-    /// Does a program still hold it?
-    is_held: bool,
+    /// Whether a process still has the socket open.
+    is_open: bool,
 }
 
 impl SocketTable {
     fn read() -> SocketTable {
-        SocketTable(std::fs::read_to_string("/proc/net/tcp").expect("the system's table"))
+        SocketTable(std::fs::read_to_string("/proc/net/tcp").expect("the socket table"))
     }
 
-    /// The socket between these addresses of loopback; None: it is gone.
+    /// The state of the loopback socket with these addresses. None if it no longer exists.
     fn find(&self, local: SocketAddr, remote: SocketAddr) -> Option<SocketState> {
         let addresses = format!("0100007F:{:04X} 0100007F:{:04X}", local.port(), remote.port());
         let row = self.0.lines().find(|row| row.contains(&addresses))?;
@@ -82,7 +84,7 @@
         Some(SocketState {
             unacknowledged: bytes(unacknowledged),
             unread: bytes(unread),
-            is_held: fields[9] != "0",
+            is_open: fields[9] != "0",
         })
     }
 }
@@ -93,7 +95,7 @@
     proxy: SocketAddr,
     local: SocketAddr,
     received: Vec<u8>,
-    /// Length of the head and the body, once the head is known.
+    /// Length of the head and the body, once the head has been received.
     response_bytes: Option<usize>,
 }
 
@@ -102,7 +104,7 @@
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a size");
-        socket.connect(&proxy.address.into()).expect("it listens");
+        socket.connect(&proxy.address.into()).expect("a listening process");
         let stream = TcpStream::from(socket);
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
         stream.set_nodelay(true).expect("an open connection");
@@ -124,12 +126,13 @@
         assert!(self.write(&large_request(framing)));
     }
 
-    /// Reads some bytes of the response; false: the connection has ended or failed, or the response is complete.
+    /// Reads the next bytes of the response. False if the connection has closed or failed, or the response is
+    /// complete.
     fn read_some(&mut self) -> bool {
         let missing = self.response_bytes.map_or(READ_STEP_BYTES, |total| total - self.received.len());
-        let mut step = vec![0; missing.min(READ_STEP_BYTES)];
-        let count = self.stream.get_mut().read(&mut step).unwrap_or(0);
-        self.received.extend(&step[..count]);
+        let mut buffer = vec![0; missing.min(READ_STEP_BYTES)];
+        let count = self.stream.get_mut().read(&mut buffer).unwrap_or(0);
+        self.received.extend(&buffer[..count]);
         if self.response_bytes.is_none() {
             let head_end = self.received.windows(4).position(|window| window == b"\r\n\r\n");
             self.response_bytes = head_end.map(|at| at + 4 + RESPONSE_BYTES);
@@ -137,24 +140,25 @@
         count > 0
     }
 
-    /// Reads until the proxy has written all of the response, most of its send buffer being unacknowledged then.
+    /// Reads until the proxy has written the whole response and more than a receive buffer of it is
+    /// unacknowledged.
     fn read_until_written(&mut self) {
         let began = Instant::now();
         loop {
             for _ in 0..READ_STEPS_PER_CHECK {
-                assert!(self.read_some(), "{} bytes came", self.received.len());
+                assert!(self.read_some(), "only {} bytes received", self.received.len());
             }
             let (unacknowledged, unread) = self.settled_bytes();
             let written = self.received.len() + unread + unacknowledged;
             if self.response_bytes.is_some_and(|total| written >= total) {
-                assert!(unacknowledged > RECEIVE_BUFFER_BYTES, "{unacknowledged} bytes are on their way");
+                assert!(unacknowledged > RECEIVE_BUFFER_BYTES, "{unacknowledged} bytes are unacknowledged");
                 return;
             }
             assert!(began.elapsed() < LONG);
         }
     }
 
-    /// Bytes in the proxy's send buffer and in the receive buffer, once these stay as they are.
+    /// Bytes in the proxy's send buffer and in the client's receive buffer, once both are stable.
     fn settled_bytes(&self) -> (usize, usize) {
         let bytes = || {
             let table = SocketTable::read();
@@ -164,7 +168,7 @@
         };
         let mut before = bytes();
         loop {
-            thread::sleep(TABLE_PAUSE);
+            thread::sleep(SOCKET_TABLE_INTERVAL);
             let now = bytes();
             if now == before {
                 return now;
@@ -173,19 +177,19 @@
         }
     }
 
-    /// Waits until the proxy has closed its side, at most for this long. Did it?
-    fn is_closed_within(&self, longest: Duration) -> bool {
+    /// Waits at most `time_limit` for the proxy to close its socket, and returns whether it has.
+    fn is_closed_within(&self, time_limit: Duration) -> bool {
         let began = Instant::now();
-        while began.elapsed() < longest {
-            if !SocketTable::read().find(self.proxy, self.local).is_some_and(|socket| socket.is_held) {
+        while began.elapsed() < time_limit {
+            if !SocketTable::read().find(self.proxy, self.local).is_some_and(|socket| socket.is_open) {
                 return true;
             }
-            thread::sleep(TABLE_PAUSE);
+            thread::sleep(SOCKET_TABLE_INTERVAL);
         }
         false
     }
 
-    /// Reads the rest slowly. Fails if the response is truncated.
+    /// Reads the rest of the response slowly. Panics if it is truncated.
     fn read_rest(&mut self) {
         while self.response_bytes != Some(self.received.len()) && self.read_some() {
             thread::sleep(READ_PAUSE);
@@ -207,7 +211,8 @@
     request_head("safe", "9000m", "Content-Length: 0\r\n")
 }
 
-/// Its next request comes while most of the response is on its way, past the idle limit.
+/// The client sends its next request past the idle limit, while most of the response is still in the send
+/// buffer.
 #[test]
 fn a_request_past_the_idle_limit_truncates_no_response() {
     let discovery = Discovery::start();
@@ -222,7 +227,8 @@
     assert_eq!(client.status(), Some(200));
 }
 
-/// Its next request was sent ahead, behind the one for the large response, and one more comes past the idle limit.
+/// The client pipelines its next request behind the one for the large response, and sends a third past the
+/// idle limit.
 #[test]
 fn a_pipelined_request_truncates_no_response() {
     let discovery = Discovery::start();
@@ -237,7 +243,7 @@
     assert_eq!(client.status(), Some(200));
 }
 
-/// The idle limit runs from the response's arrival, not from its last write.
+/// The idle limit starts when the client has received the response, not at the proxy's last write.
 #[test]
 fn a_request_right_after_a_slowly_read_response_is_served() {
     let discovery = Discovery::start();
@@ -253,21 +259,22 @@
     assert_eq!(client.status(), Some(200), "sent {sent_after:?} after the response was read");
 }
 
-/// New connections need capacity while a slow reader has its response on its way: others are evicted.
+/// New connections exceed the capacity while a slow reader's response is in the send buffer: other
+/// connections are evicted.
 #[test]
 fn eviction_truncates_no_response() {
-    const CROWD: usize = 24;
+    const OTHER_CLIENTS: usize = 24;
     let discovery = Discovery::start();
     let proxy = Proxy::with(&config(any_address(), discovery.address, FEW_SOCKETS, &known(start_endpoint())));
     let mut client = SlowReader::connect(&proxy);
     client.request_large("");
     client.read_until_written();
-    let mut crowd = Vec::new();
-    for _ in 0..CROWD {
+    let mut others = Vec::new();
+    for _ in 0..OTHER_CLIENTS {
         let mut other = proxy.client();
         other.write(&small_request());
         assert!([200, 503].contains(&other.answer().expect("a response").status()));
-        crowd.push(other);
+        others.push(other);
         if client.is_closed_within(Duration::from_millis(60)) {
             break;
         }
@@ -277,8 +284,8 @@
     assert_eq!(client.status(), Some(200));
 }
 
-/// Graceful shutdown begins while most of a response is on its way, and the client sends something. The process goes on
-/// with another response.
+/// Graceful shutdown begins while most of a response is in the send buffer, and the client sends another
+/// request. The process still has another response to write.
 #[test]
 fn graceful_shutdown_truncates_no_response() {
     let discovery = Discovery::start();
@@ -292,7 +299,7 @@
     assert!(proxy.exits_successfully(), "the process ends once its connections have closed");
 }
 
-/// The same, where the process has nothing else to do.
+/// As above, with no other response that keeps the process running.
 #[test]
 fn the_end_of_the_process_truncates_no_response() {
     let discovery = Discovery::start();
@@ -309,11 +316,11 @@
     client.is_closed_within(SHUTDOWN_WAIT);
     client.write(&small_request());
     client.read_rest();
-    // Its connection closed before the request came, or with the response to it.
+    // The connection closed before the request arrived, or after the response to it.
     assert!([None, Some(200)].contains(&client.status()));
 }
 
-/// The connection closes with the response, and the client sends something behind.
+/// The response closes the connection, and the client sends another request before it has read the response.
 #[test]
 fn a_closing_response_is_not_truncated() {
     let discovery = Discovery::start();
@@ -327,9 +334,10 @@
     assert_eq!(client.status(), None);
 }
 
-/// A client that stops reading does not keep its place for ever, whether its connection is idle or closes.
+/// A client that stops reading does not occupy its connection for ever, whether the connection is idle or
+/// closing.
 #[test]
-fn a_client_that_stops_reading_is_closed_when_it_has_stalled() {
+fn a_client_that_stops_reading_is_disconnected_after_the_stall_limit() {
     let discovery = Discovery::start();
     let proxy = Proxy::start(&discovery, &known(start_endpoint()));
     let clients = ["", "Connection: close\r\n"].map(|framing| {
@@ -343,19 +351,21 @@
     }
 }
 
-/// A client sends its upload to the end before it looks for the response, or until it cannot write on.
+/// A client reads the response only after it has sent its whole upload, or after a write has failed.
 #[test]
-fn a_rejected_upload_gets_its_whole_response() {
+fn a_rejected_upload_gets_its_complete_response() {
     const TOO_LARGE_BYTES: usize = 44 << 20;
     let discovery = Discovery::start();
     let proxy = Proxy::start(&discovery, &known(start_endpoint()));
-    let nowhere = Proxy::start(&discovery, &[]);
-    for (proxy, size, expected) in [(&proxy, TOO_LARGE_BYTES, [413, 413]), (&nowhere, 1 << 20, [503, 504])] {
+    let without_endpoints = Proxy::start(&discovery, &[]);
+    for (proxy, size, expected) in
+        [(&proxy, TOO_LARGE_BYTES, [413, 413]), (&without_endpoints, 1 << 20, [503, 504])]
+    {
         let mut client = proxy.client();
         client.write(&request_head("unsafe", "300m", &format!("Content-Length: {size}\r\n")));
         let is_sent = send_bytes(&mut client.stream, &test_pattern(size));
-        let response = client.answer().expect("a whole response");
-        println!("{size} bytes, sent to the end: {is_sent}, {}", response.status());
+        let response = client.answer().expect("a complete response");
+        println!("{size} bytes, sent completely: {is_sent}, {}", response.status());
         assert!(expected.contains(&response.status()), "{}", response.status());
     }
 }
