--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -253,8 +253,8 @@
         arrivals.recv_timeout(LONG).expect("the call at the host");
         client
     });
-    // The first reload swaps the names of the idempotent and the non-idempotent class; the second one renames
-    // `safe` to `x`.
+    // The first reload swaps the names of the idempotent and the non-idempotent class; the second file is
+    // the original with `safe` renamed to `x`.
     let swapped =
         text.replace(r#""name":"safe""#, r#""name":"x""#).replace(r#""name":"unsafe""#, r#""name":"safe""#);
     proxy.reload(&swapped.replace(r#""name":"x""#, r#""name":"unsafe""#));
@@ -270,7 +270,7 @@
     assert_eq!(
         clients[0].answer().expect("an answer").status(),
         200,
-        "the call is retried, as when it arrived"
+        "the call is retried, as its class allowed when the call arrived"
     );
     assert!(
         ![200, 429, 503].contains(&clients[1].answer().expect("an answer").status()),
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -66,7 +66,7 @@
     Write(String),
     /// Writes this text and closes the connection.
     WriteAndClose(String),
-    /// Writes nothing and keeps the connection open until the proxy closes it.
+    /// Writes nothing and keeps the connection open until the proxy closes it ([`HostEvent::Closed`]).
     Silence,
 }
 
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_non_idempotent_attempt_that_did_not_run_is_retried_at_another_endpoint() {
+fn a_non_idempotent_call_that_did_not_run_is_retried_at_another_endpoint() {
     let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
     let rejecting = Host::start(move |_| Reply::Write(rejection.clone()));
@@ -166,7 +166,7 @@
     assert_eq!(answer.status(), 503);
     let retry_after: f64 = answer.header("retry-after").expect("retry-after").parse().expect("seconds");
     assert!(retry_after > 0.0);
-    assert!(started_at.elapsed() < LONG / 2, "well before its client timeout: {:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < LONG / 2, "well before the client timeout: {:?}", started_at.elapsed());
 }
 
 #[test]
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -131,7 +131,11 @@
         let mut clients = Vec::new();
         for kind in disconnects().into_iter().cycle().take(client_count) {
             let mut client = proxy.client();
-            client.stream.get_mut().write_all(&kind.bytes).expect("the sockets buffer what it writes");
+            client
+                .stream
+                .get_mut()
+                .write_all(&kind.bytes)
+                .expect("a write that fits into the socket buffers");
             clients.push((client.stream.into_inner(), kind.is_reset));
         }
         wait_for_metric(admin, "/inflight", client_count as u64);
@@ -178,7 +182,11 @@
     discovery.next_request();
     let mut client = proxy.client();
     client.write(&head("safe", "3000m", 4 << 20));
-    client.stream.get_mut().write_all(&vec![b'x'; 1 << 20]).expect("the sockets buffer what it writes");
+    client
+        .stream
+        .get_mut()
+        .write_all(&vec![b'x'; 1 << 20])
+        .expect("a write that fits into the socket buffers");
     wait_for_metric(admin, "/inflight", 1);
     drop(client);
     discovery.respond_with_list(&list(42, true, &[up("s-1", &endpoint)]));
@@ -213,7 +221,7 @@
             Proxy::with(&configuration(&discovery, &[up("s-1", &endpoints[0]), up("s-2", &endpoints[1])]));
         let admin = proxy.admin_address();
         let mut client = proxy.client();
-        client.stream.get_mut().write_all(&bytes).expect("the sockets buffer what it writes");
+        client.stream.get_mut().write_all(&bytes).expect("a write that fits into the socket buffers");
         arrivals.recv_timeout(LONG).expect("the first attempt");
         disconnect(client.stream.into_inner(), is_reset);
         wait_for_metric(admin, "/inflight", 0);
@@ -311,7 +319,11 @@
             proxy.terminate();
             wait_for_shutdown(&proxy);
         }
-        client.stream.get_mut().write_all(&vec![b'x'; 150 << 10]).expect("the sockets buffer what it writes");
+        client
+            .stream
+            .get_mut()
+            .write_all(&vec![b'x'; 150 << 10])
+            .expect("a write that fits into the socket buffers");
         endpoint.release();
         let last = client.answer().expect("the response");
         assert_eq!((last.status(), last.body.as_slice()), (200, &b"last"[..]));
@@ -503,7 +515,7 @@
     assert_eq!(
         incomplete.answer().expect("a final response").status(),
         200,
-        "the class was known when its head arrived"
+        "the class was known when the request head arrived"
     );
     proxy.terminate();
     proxy.reload(&without("safe"));
