--- a/crates/simulator/src/judge.rs
+++ b/crates/simulator/src/judge.rs
@@ -41,7 +41,8 @@
     #[serde(rename = "served")]
     pub served_weight: f64,
     /// Requests whose last try was rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Requests served after their latency objective.
@@ -73,7 +74,7 @@
     pub attempts: u64,
     /// Share of the requests whose last try was rejected.
     #[serde(rename = "refused")]
-    pub refused_share: f64,
+    pub rejected_share: f64,
     /// Share of the requests that failed.
     #[serde(rename = "failed")]
     pub failed_share: f64,
@@ -116,7 +117,7 @@
     /// Served, with the time since the first try.
     Served(Micros),
     /// The last try was rejected.
-    Refused,
+    Rejected,
     /// The last try failed, or the client gave up.
     Failed,
 }
@@ -222,7 +223,7 @@
                 }
                 second.late += 1;
             }
-            RequestOutcome::Refused => second.refused += 1,
+            RequestOutcome::Rejected => second.rejected += 1,
             RequestOutcome::Failed => second.failed += 1,
         }
         if now.saturating_sub(at) > self.latency_objectives[class] {
@@ -280,7 +281,7 @@
                 requests: a.requests + b.requests,
                 requested_weight: a.requested_weight + b.requested_weight,
                 served_weight: a.served_weight + b.served_weight,
-                refused: a.refused + b.refused,
+                rejected: a.rejected + b.rejected,
                 failed: a.failed + b.failed,
                 late: a.late + b.late,
             })
@@ -299,7 +300,7 @@
             requests,
             tries: self.tries,
             attempts: self.attempts,
-            refused_share: per_request(count(|w| w.refused) as f64),
+            rejected_share: per_request(count(|w| w.rejected) as f64),
             failed_share: per_request(count(|w| w.failed) as f64),
             late_share: per_request(count(|w| w.late) as f64),
             wasted_work_share,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -10,10 +10,10 @@
 pub mod random;
 pub mod scenario;
 pub mod server;
-mod world;
+mod simulation;
 
 pub use arrivals::{Arrival, Arrivals};
 pub use judge::{Verdict, Violation, Window};
 pub use policy::{Policy, PolicyKind, ServerState, Visibility, POLICY_KINDS};
 pub use scenario::{Scenario, ScenarioError};
-pub use world::{simulate, simulate_with, MakePolicy};
+pub use simulation::{simulate, simulate_with, MakePolicy};
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -8,11 +8,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the scenario is for, for readers.
+    /// Purpose of the scenario, for readers.
     pub purpose: String,
     /// Duration of the period in which requests arrive.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "length")]
+    #[serde(rename = "length", deserialize_with = "duration")]
     pub duration: Micros,
     /// Number of client proxies.
     pub balancers: usize,
@@ -21,8 +20,7 @@
     /// Requests per second over all client proxies, retries not counted.
     pub rate: f64,
     /// Skew of the client proxies' shares of the requests: 0 equal; at 1 the largest has several times the mean.
-    #[serde(default)]
-    #[serde(rename = "uneven")]
+    #[serde(rename = "uneven", default)]
     pub proxy_skew: f64,
     /// Zones over which servers and client proxies are distributed.
     #[serde(default = "default_zones")]
@@ -63,12 +61,10 @@
     /// Dotted name of the figure.
     pub figure: String,
     /// Lower bound, inclusive.
-    #[serde(default)]
-    #[serde(rename = "least")]
+    #[serde(rename = "least", default)]
     pub min: Option<f64>,
     /// Upper bound, inclusive.
-    #[serde(default)]
-    #[serde(rename = "most")]
+    #[serde(rename = "most", default)]
     pub max: Option<f64>,
 }
 
@@ -91,26 +87,22 @@
     #[serde(rename = "cold_share")]
     pub initial_capacity_ratio: f64,
     /// Time from the start of a server until it has its full capacity.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "cold_time")]
+    #[serde(rename = "cold_time", deserialize_with = "duration")]
     pub warm_up_duration: Micros,
     /// A cold server fails when it is sent more than this multiple of its capacity ...
     #[serde(rename = "fall_multiple")]
     pub cold_overload_factor: f64,
     /// ... over this time.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "fall_time")]
+    #[serde(rename = "fall_time", deserialize_with = "duration")]
     pub cold_overload_window: Micros,
     /// Maximum number of open connections.
     #[serde(rename = "connections")]
     pub max_connections: usize,
     /// A connection that has been idle for this long is closed.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "idle_close")]
+    #[serde(rename = "idle_close", deserialize_with = "duration")]
     pub idle_timeout: Micros,
     /// Work that a new connection costs the server, in microseconds of one core.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "handshake")]
+    #[serde(rename = "handshake", deserialize_with = "duration")]
     pub handshake_work: Micros,
     /// Slowdown under congestion; none if absent.
     #[serde(rename = "choke")]
@@ -126,8 +118,7 @@
     #[serde(rename = "at")]
     pub min_waiting_per_core: f64,
     /// ... for this time.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "over")]
+    #[serde(rename = "over", deserialize_with = "duration")]
     pub onset_time: Micros,
     /// Factor by which a congested server is slower.
     #[serde(rename = "slower")]
@@ -136,12 +127,10 @@
     #[serde(rename = "below")]
     pub recovery_load_per_core: f64,
     /// ... for this time.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "rest")]
+    #[serde(rename = "rest", deserialize_with = "duration")]
     pub recovery_time: Micros,
     /// Congestion ends after this time in any case.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "most")]
+    #[serde(rename = "most", deserialize_with = "duration")]
     pub max_duration: Micros,
 }
 
@@ -168,12 +157,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct NetworkSpec {
     /// One-way delay within a zone.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "within")]
+    #[serde(rename = "within", deserialize_with = "duration")]
     pub delay_within_zone: Micros,
     /// One-way delay between zones.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "across")]
+    #[serde(rename = "across", deserialize_with = "duration")]
     pub delay_across_zones: Micros,
     /// Maximum deviation of each delay in either direction, as a ratio of the delay.
     pub jitter: f64,
@@ -205,8 +192,7 @@
     pub drain_grace: Micros,
     /// Interval at which each client proxy polls one discovery service of limited capacity, while no poll fails;
     /// lists are pushed if absent.
-    #[serde(default, deserialize_with = "optional_duration")]
-    #[serde(rename = "ask_every")]
+    #[serde(rename = "ask_every", default, deserialize_with = "optional_duration")]
     pub poll_interval: Option<Micros>,
 }
 
@@ -223,14 +209,12 @@
     /// Maximum number of retries.
     pub retries: u32,
     /// Delay before a retry, varied by up to half in either direction.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "wait")]
+    #[serde(rename = "wait", deserialize_with = "duration")]
     pub retry_delay: Micros,
     /// Whether clients honour Retry-After.
     pub heed_retry_after: bool,
     /// Longer Retry-After values are cut to this.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "retry_after_most")]
+    #[serde(rename = "retry_after_most", deserialize_with = "duration")]
     pub max_retry_after: Micros,
     /// Minimum ratio of the client timeout after which a try is abandoned.
     #[serde(rename = "patience")]
@@ -274,20 +258,16 @@
     #[serde(deserialize_with = "duration")]
     pub work: Micros,
     /// Distribution of the work around the mean.
-    #[serde(default)]
-    #[serde(rename = "spread")]
+    #[serde(rename = "spread", default)]
     pub work_distribution: WorkDistribution,
     /// Latency objective: answers within this time earn the priority weight.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "aim")]
+    #[serde(rename = "aim", deserialize_with = "duration")]
     pub latency_objective: Micros,
     /// Time for which a client waits, over all its tries.
-    #[serde(deserialize_with = "duration")]
-    #[serde(rename = "deadline")]
+    #[serde(rename = "deadline", deserialize_with = "duration")]
     pub client_timeout: Micros,
     /// Priority weight of an answer in time.
-    #[serde(default = "default_priority_weight")]
-    #[serde(rename = "worth")]
+    #[serde(rename = "worth", default = "default_priority_weight")]
     pub priority_weight: f64,
     /// Whether requests of the class may be repeated.
     #[serde(default)]
@@ -333,7 +313,7 @@
                 Some("request_bytes and response_bytes must be [minimum, maximum]")
             }
             () if self.response_bytes[0] < Self::MIN_RESPONSE_BYTES => {
-                Some("response_bytes must be at least 65,537")
+                Some("response_bytes must be above 65,536")
             }
             () if [self.response_write_rate, self.request_write_rate, self.response_read_rate]
                 .contains(&0) =>
@@ -344,7 +324,7 @@
                 Some("request_bytes requires idempotency = \"single_shot\"; other requests have no body")
             }
             () if idempotency != IdempotencySpec::Idempotent && self.pipelined => {
-                Some("pipelined requires idempotency = \"free\": requests that must run at most once are not pipelined")
+                Some("pipelined requires idempotency = \"free\": other requests may run only once")
             }
             () => None,
         }
@@ -407,8 +387,7 @@
     #[serde(rename = "what")]
     pub kind: FaultKind,
     /// Share of the servers or client proxies affected, if `zone` is absent; else all in the zone are.
-    #[serde(default = "default_share")]
-    #[serde(rename = "part")]
+    #[serde(rename = "part", default = "default_share")]
     pub share: f64,
     /// Name of the affected zone; all zones if absent.
     #[serde(default)]
@@ -417,13 +396,11 @@
     #[serde(default = "default_factor")]
     pub factor: f64,
     /// Affected servers restart cold when the fault ends.
-    #[serde(default)]
-    #[serde(rename = "cold")]
+    #[serde(rename = "cold", default)]
     pub restart_cold: bool,
     /// For a cut or an impaired link: the two groups that it separates, each as "zone:derby", "proxies:derby",
     /// "servers:derby", "proxies", "servers", "proxy:3", "server:5" or "discovery".
-    #[serde(default)]
-    #[serde(rename = "cut")]
+    #[serde(rename = "cut", default)]
     pub link_groups: Vec<String>,
     /// Only traffic from the first group to the second is affected.
     #[serde(default)]
@@ -438,8 +415,7 @@
     #[serde(default)]
     pub signals: Vec<SignalSpec>,
     /// Clients of a process that was told to end keep using their open connections until it is killed.
-    #[serde(default)]
-    #[serde(rename = "clients_stay")]
+    #[serde(rename = "clients_stay", default)]
     pub clients_keep_connections: bool,
     /// Number of extra connections to each client proxy, for a crowd.
     #[serde(default)]
--- a/crates/simulator/src/server.rs
+++ b/crates/simulator/src/server.rs
@@ -289,8 +289,8 @@
     /// Cancels a request; returns its remaining work if it was active or waiting.
     pub fn drop_work(&mut self, now: Micros, attempt: usize) -> Option<f64> {
         self.advance(now);
-        if let Some(place) = self.waiting.iter().position(|(waiting, _)| *waiting == attempt) {
-            return self.waiting.remove(place).map(|(_, work)| work);
+        if let Some(index) = self.waiting.iter().position(|(waiting, _)| *waiting == attempt) {
+            return self.waiting.remove(index).map(|(_, work)| work);
         }
         let job = self.work.iter().find(|Reverse(job)| job.attempt == attempt)?.0;
         if !self.dropped.insert(attempt) {
@@ -347,16 +347,16 @@
     /// server is at its limit.
     pub fn acquire_connection(&mut self, now: Micros, proxy: usize) -> Option<bool> {
         let idle_timeout = self.spec.idle_timeout;
-        let (used, idle) = self.connections.entry(proxy).or_default();
+        let (in_use, idle) = self.connections.entry(proxy).or_default();
         let idle_before = idle.len();
         idle.retain(|since| since + idle_timeout > now);
         self.open_connections -= idle_before - idle.len();
-        *used += 1;
+        *in_use += 1;
         if idle.pop_back().is_some() {
             return Some(true);
         }
         if self.open_connections >= self.spec.max_connections {
-            *used -= 1;
+            *in_use -= 1;
             return None;
         }
         self.open_connections += 1;
@@ -371,17 +371,17 @@
 
     /// Drops all connections of a client proxy that has died.
     pub fn drop_connections(&mut self, proxy: usize) {
-        if let Some((used, idle)) = self.connections.remove(&proxy) {
-            self.open_connections -= used + idle.len();
+        if let Some((in_use, idle)) = self.connections.remove(&proxy) {
+            self.open_connections -= in_use + idle.len();
         }
     }
 
     /// Releases a connection: it becomes idle if `keep` is set, else it is closed.
     pub fn release_connection(&mut self, now: Micros, proxy: usize, keep: bool) {
-        let Some((used, idle)) = self.connections.get_mut(&proxy).filter(|(used, _)| *used > 0) else {
+        let Some((in_use, idle)) = self.connections.get_mut(&proxy).filter(|(in_use, _)| *in_use > 0) else {
             return;
         };
-        *used -= 1;
+        *in_use -= 1;
         if keep {
             idle.push_back(now);
         } else {
@@ -453,7 +453,7 @@
         assert_eq!(end(0, Health::default()), Some(10_000));
         assert_eq!(end(0, Health { slowdown_factor: 3.0, ..Health::default() }), Some(30_000));
         assert_eq!(end(0, Health { hung: true, ..Health::default() }), None);
-        let cold = end(5_000_000, Health::default()).expect("an end");
+        let cold = end(5_000_000, Health::default()).expect("the request ends");
         assert!((19_000..21_000).contains(&cold), "half the rate at first: {cold}");
     }
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -2,8 +2,8 @@
 
 mod clients;
 mod faults;
-mod fleet;
 mod proxies;
+mod servers;
 mod site;
 
 use crate::arrivals::{Arrival, Arrivals};
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/simulation/proxies.rs
@@ -56,9 +56,9 @@
             Action::Fail { call } => self.answer_unserved(proxy, call, None),
             Action::Cancel { call, attempt } => {
                 let attempts = self.calls.get(call.0 as usize).map(|c| &c.attempts);
-                let Some(&number) = attempts.and_then(|a| a.get(attempt as usize)) else { return };
-                self.cancel_at_server(number);
-                self.record_outcome(number, Outcome::Cancelled);
+                let Some(&attempt) = attempts.and_then(|a| a.get(attempt as usize)) else { return };
+                self.cancel_at_server(attempt);
+                self.record_outcome(attempt, Outcome::Cancelled);
             }
             Action::SetTimer { after } => {
                 let incarnation = self.proxies[proxy].incarnation;
@@ -98,7 +98,9 @@
             );
         }
         match retry_after {
-            Some(retry_after) => self.try_ended_unserved(request, true, retry_after, RequestOutcome::Refused),
+            Some(retry_after) => {
+                self.try_ended_unserved(request, true, retry_after, RequestOutcome::Rejected)
+            }
             None => {
                 let may_retry = self.scenario.classes[class].idempotency == IdempotencySpec::Idempotent;
                 self.try_ended_unserved(request, may_retry, 0, RequestOutcome::Failed);
@@ -245,17 +247,17 @@
     }
 
     /// Records the first outcome of an attempt and reports it to the proxy's policy.
-    pub(super) fn record_outcome(&mut self, number: usize, outcome: Outcome) {
+    pub(super) fn record_outcome(&mut self, attempt_index: usize, outcome: Outcome) {
         let now = self.now();
-        let attempt = &mut self.attempts[number];
+        let attempt = &mut self.attempts[attempt_index];
         if attempt.outcome.is_some() {
             return;
         }
         attempt.outcome = Some(outcome);
         let (id, elapsed, server) = (attempt.call, now - attempt.sent_at, attempt.server);
-        let (attempt_number, linked) = (attempt.number, attempt.has_connection);
+        let (attempt_number, has_connection) = (attempt.number, attempt.has_connection);
         let Call { proxy, request, open, .. } = self.calls[id];
-        if linked {
+        if has_connection {
             let keep = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected);
             self.servers[server].release_connection(now, proxy, keep);
         }
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -51,7 +51,7 @@
         let scenario = load_scenario(name);
         for kind in POLICY_KINDS {
             let v = simulate(&scenario, kind, 2);
-            let ended: u64 = v.windows.iter().map(|w| w.refused + w.failed + w.late).sum();
+            let ended: u64 = v.windows.iter().map(|w| w.rejected + w.failed + w.late).sum();
             assert!(ended <= v.requests && v.tries >= v.requests, "{name} {kind:?}");
             assert!(
                 (0.0..=1.0).contains(&v.served_share) && v.worst_window_share <= v.served_share + 1e-9,
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -155,7 +155,7 @@
                 day.score(v).map_or("-".to_owned(), |s| format!("{s:.2}")),
                 percent(v.served_share),
                 percent(v.worst_window_share),
-                percent(v.refused_share),
+                percent(v.rejected_share),
                 percent(v.failed_share),
                 percent(v.late_share),
                 percent(v.wasted_work_share),
@@ -203,7 +203,7 @@
             format!("{} s", number * 5),
             window.requests.to_string(),
             format!("{:.1}%", 100.0 * window.served_weight / window.requested_weight.max(f64::MIN_POSITIVE)),
-            window.refused.to_string(),
+            window.rejected.to_string(),
             window.failed.to_string(),
             window.late.to_string(),
         ]);
