--- a/crates/simulator/src/judge.rs
+++ b/crates/simulator/src/judge.rs
@@ -99,7 +99,7 @@
     /// Number of violations.
     #[serde(rename = "broken")]
     pub violation_count: u64,
-    /// The first 20 violations.
+    /// The first violations, with details.
     pub violations: Vec<Violation>,
     /// Counts in windows of five seconds.
     pub windows: Vec<Window>,
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -150,7 +150,8 @@
 
     /// Picks the server for the next attempt; `None` if no server is suitable.
     fn pick(&mut self, call: CallId, states: &[ServerState]) -> Option<EndpointId> {
-        /// Backlog, in microseconds of one core, that makes the ceiling policies prefer a server in another zone.
+        /// Work, in microseconds of one core, by which a server in another zone must be less loaded to be preferred;
+        /// `ceiling-late` also assumes this work for each call.
         const CROSS_ZONE_WORK_US: f64 = 15_000.0;
         let already_tried = |id| self.calls[&call].attempts.iter().any(|(server, _)| *server == id);
         let ready: Vec<KnownServer> = self.servers.values().copied().filter(|s| s.ready).collect();
@@ -178,7 +179,7 @@
                     let server = states.get(s.id.0 as usize).filter(|t| t.available && t.capacity > 0.0)?;
                     let zone_penalty =
                         if server.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_WORK_US };
-                    // A backlog of up to a second ago is of no use; only zone and capacity are.
+                    // A backlog that may be one second old is of no use: only capacity and zone are used of that state.
                     let is_current = self.kind == PolicyKind::Ceiling;
                     let load = if is_current {
                         server.backlog
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -38,7 +38,7 @@
     let state =
         u128::from(seed ^ 0x9e37_79b9_7f4a_7c15).wrapping_mul(0xda94_2042_e4dd_58b5_2360_ed05_1fc6_5da4);
     let mut random = Pcg64::new(state, number);
-    // The first 4 outputs of a new generator are discarded, as they still reflect its initial state.
+    // The first outputs of a new generator are discarded, as they still reflect its initial state.
     for _ in 0..4 {
         let _: u64 = random.gen();
     }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -116,7 +116,7 @@
 pub struct CongestionSpec {
     /// A server becomes congested when more requests than this per core wait ...
     #[serde(rename = "at")]
-    pub min_waiting_per_core: f64,
+    pub onset_waiting_per_core: f64,
     /// ... for this time.
     #[serde(rename = "over", deserialize_with = "duration")]
     pub onset_time: Micros,
@@ -216,7 +216,7 @@
     /// Longer Retry-After values are cut to this.
     #[serde(rename = "retry_after_most", deserialize_with = "duration")]
     pub max_retry_after: Micros,
-    /// Minimum ratio of the client timeout after which a try is abandoned.
+    /// Each try is abandoned after a random ratio of the client timeout, from this to 1.
     #[serde(rename = "patience")]
     pub min_timeout_ratio: f64,
 }
@@ -377,7 +377,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// Start, from the start of the scenario.
+    /// Start of the fault, relative to the start of the scenario.
     #[serde(deserialize_with = "duration")]
     pub at: Micros,
     /// Duration of the fault; with some kinds, the period over which it is spread.
--- a/crates/simulator/src/server.rs
+++ b/crates/simulator/src/server.rs
@@ -196,7 +196,7 @@
         let Some(spec) = &self.spec.congestion else { return };
         let (waiting, accepted) = (self.waiting.len() as f64, (self.active + self.waiting.len()) as f64);
         let (condition_holds, required_time) = match self.congestion.congested_since {
-            None => (waiting > spec.min_waiting_per_core * self.spec.cores, spec.onset_time),
+            None => (waiting > spec.onset_waiting_per_core * self.spec.cores, spec.onset_time),
             Some(_) => (accepted < spec.recovery_load_per_core * self.spec.cores, spec.recovery_time),
         };
         let since = *self.congestion.condition_since.get_or_insert(now);
@@ -461,7 +461,7 @@
     fn a_congested_server_recovers_after_low_load_or_after_the_maximum_duration() {
         let (onset_time, recovery_time, max_duration) = (100_000, 50_000, 400_000);
         let congestion = CongestionSpec {
-            min_waiting_per_core: 2.0,
+            onset_waiting_per_core: 2.0,
             onset_time,
             slowdown_factor: 4.0,
             recovery_load_per_core: 1.0,
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -26,8 +26,8 @@
             known.resize(server + 1, None);
         }
         // Updates can overtake each other: one that is older than the known state is ignored.
-        if known[server].is_some_and(|(known_state, since, _)| {
-            since > started || since == started && known_state == EndpointState::Removed
+        if known[server].is_some_and(|(known_state, known_started, _)| {
+            known_started > started || known_started == started && known_state == EndpointState::Removed
         }) {
             return;
         }
