--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -1,7 +1,7 @@
 //! The application beside a proxy: an open loop of requests, with the retries that the site's clients make.
 
 use super::http::{self, Message, Side};
-use super::record::{Moved, Seen, Shared, Try, TryEnd};
+use super::record::{Moved, Observation, Shared, Try, TryEnd};
 use super::servers::author;
 use super::slow_stream;
 use bytes::BytesMut;
@@ -87,7 +87,9 @@
                     return Some((stream, buffer))
                 }
                 Ok(0) | Err(_) if buffer.is_empty() => {}
-                _ => self.shared.saw(Seen::Extra { proxy: self.proxy, at: self.shared.now() }),
+                _ => self
+                    .shared
+                    .record(Observation::UnsolicitedResponse { proxy: self.proxy, at: self.shared.now() }),
             }
         }
     }
@@ -126,7 +128,7 @@
             let mut done = self.attempt(request, number, now + time).await;
             done.ended = shared.now();
             let end = done.end;
-            shared.saw(Seen::Try(done));
+            shared.record(Observation::TryEnded(done));
             let (comes, told) = match end {
                 TryEnd::Served(_) => break end,
                 TryEnd::Refused(told) => (true, told),
@@ -141,7 +143,7 @@
             number += 1;
             shared.until(at).await;
         };
-        shared.saw(Seen::Done { request, at: shared.now(), end });
+        shared.record(Observation::RequestEnded { request, at: shared.now(), end });
     }
 
     async fn attempt(&self, request: usize, number: u32, deadline: Micros) -> Try {
@@ -237,7 +239,7 @@
             Err(_) => return None,
         };
         if !buffer.is_empty() {
-            shared.saw(Seen::Extra { proxy: self.proxy, at: shared.now() });
+            shared.record(Observation::UnsolicitedResponse { proxy: self.proxy, at: shared.now() });
         } else if !answer.closes() && !*self.away.borrow() {
             self.pool.open().push((stream, buffer));
         }
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::gate::{address, Party};
 use super::http::{self, Side};
-use super::record::{Seen, Shared, Word};
+use super::record::{ListEntry, Observation, Shared};
 use super::servers::name;
 use bytes::BytesMut;
 use oakport_core::{EndpointState, Micros};
@@ -53,8 +53,8 @@
 
 impl Member {
     /// What is told of it, by its number.
-    fn word(&self, server: usize) -> Word {
-        Word { server, state: self.state, started: self.started }
+    fn word(&self, server: usize) -> ListEntry {
+        ListEntry { server, state: self.state, started: self.started }
     }
 }
 
@@ -199,17 +199,17 @@
             return;
         }
         let new = known.members.iter().filter(|(_, (_, index))| *index > known.told);
-        let entries: Vec<Word> = new.map(|(&server, (member, _))| member.word(server)).collect();
+        let entries: Vec<ListEntry> = new.map(|(&server, (member, _))| member.word(server)).collect();
         known.told = known.index;
         if !entries.is_empty() {
             let now = self.shared.now();
             let at = known.told_at.map_or(now, |at| at.max(now));
-            self.shared.saw(Seen::Told { proxy: self.proxy, at, entries });
+            self.shared.record(Observation::ListSent { proxy: self.proxy, at, entries });
         }
     }
 
     /// What it holds, as a whole list, or as changes since a version; and what that tells.
-    fn list(&self, since: Option<u64>) -> (Value, Vec<Word>) {
+    fn list(&self, since: Option<u64>) -> (Value, Vec<ListEntry>) {
         let known = self.known();
         let since = since.filter(|since| *since >= known.whole_from);
         let wanted = |(member, index): &&(Member, u64)| match since {
@@ -239,9 +239,9 @@
         (json!({"index": known.index, "snapshot": since.is_none(), "endpoints": endpoints}), told)
     }
 
-    fn told(&self, entries: Vec<Word>) {
+    fn told(&self, entries: Vec<ListEntry>) {
         if !entries.is_empty() {
-            self.shared.saw(Seen::Told { proxy: self.proxy, at: self.shared.now(), entries });
+            self.shared.record(Observation::ListSent { proxy: self.proxy, at: self.shared.now(), entries });
         }
     }
 
@@ -263,7 +263,7 @@
     async fn connection(self: Arc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
         while let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await {
-            self.shared.saw(Seen::Asked { proxy: self.proxy, at: self.shared.now() });
+            self.shared.record(Observation::ListRequested { proxy: self.proxy, at: self.shared.now() });
             let path = message.first.1;
             let figure = |key: &str| {
                 let (_, query) = path.split_once('?')?;
@@ -317,7 +317,7 @@
             }
             self.written.fetch_add(text.len() as u64, Ordering::Relaxed);
             if mode == Mode::Well {
-                self.shared.saw(Seen::Answered { proxy: self.proxy, at: self.shared.now() });
+                self.shared.record(Observation::ListAnswered { proxy: self.proxy, at: self.shared.now() });
             }
             self.told(told);
         }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -6,7 +6,7 @@
 use super::links::{Both, Datagrams};
 use super::plan::Play;
 use super::processes::Seat;
-use super::record::Seen;
+use super::record::Observation;
 use super::servers::Machine;
 use super::site::{met, met_peers, Pair, Site};
 use oakport_core::{EndpointState, Micros};
@@ -220,7 +220,7 @@
         loop {
             sleep(LOOK).await;
             let open = self.site.machines().iter().map(|m| m.connections()).sum();
-            self.site.shared.saw(Seen::Connections { at: self.site.shared.now(), open });
+            self.site.shared.record(Observation::OpenConnections { at: self.site.shared.now(), open });
             for seat in &self.seats {
                 if let Ok(mut seat) = seat.try_lock() {
                     seat.look();
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -5,7 +5,7 @@
 use super::cold::Window;
 use super::delivery::{Delivery, Given};
 use super::membership;
-use super::record::{histogram, Late, Seen, Shared, Signal, Try, TryEnd, Word, TOO_LATE};
+use super::record::{histogram, Late, ListEntry, Observation, ProcessEvent, Shared, Try, TryEnd, TOO_LATE};
 use oakport_core::{EndpointState, Micros, Outcome};
 use oakport_simulator::scenario::IdempotencySpec;
 use serde::Serialize;
@@ -111,7 +111,7 @@
     number: u32,
     server: usize,
     first: Micros,
-    whole: Micros,
+    complete: Micros,
     outcome: Option<Outcome>,
 }
 
@@ -138,7 +138,7 @@
     after_told: BTreeMap<(usize, usize), Micros>,
     list_calls: Calls,
     delivery: Delivery,
-    signals: HashMap<usize, Vec<(Micros, Signal)>>,
+    signals: HashMap<usize, Vec<(Micros, ProcessEvent)>>,
     rules: BTreeMap<&'static str, u64>,
     stories: Vec<String>,
     wasted: f64,
@@ -204,51 +204,53 @@
 }
 
 impl Evidence<'_> {
-    fn sort(&mut self, seen: Seen, later: &mut Vec<(&'static str, Micros, String)>) {
+    fn sort(&mut self, seen: Observation, later: &mut Vec<(&'static str, Micros, String)>) {
         match seen {
-            Seen::Began { attempt, request, number, server, first, whole } => {
-                let kept = Attempt { request, number, server, first, whole, outcome: None };
-                self.attempts.insert(attempt, kept);
+            Observation::AttemptArrived { attempt, request, number, server, first, complete } => {
+                let arrived = Attempt { request, number, server, first, complete, outcome: None };
+                self.attempts.insert(attempt, arrived);
             }
-            Seen::Ended { attempt, outcome, wasted } => {
+            Observation::AttemptEnded { attempt, outcome, wasted } => {
                 if let Some(attempt) = self.attempts.get_mut(&attempt) {
                     attempt.outcome = Some(outcome);
                 }
                 self.wasted += wasted;
             }
-            Seen::Cold { attempt, server, started, at, bound } => {
+            Observation::ColdArrival { attempt, server, started, at, bound } => {
                 self.chilled.entry((server, started)).or_default().push(Chilled { at, attempt, bound });
             }
-            Seen::Given { attempt, at, bytes, length } => {
+            Observation::ResponseWritten { attempt, at, bytes, length } => {
                 self.delivery.gave(attempt, Given { at, bytes, length });
             }
-            Seen::BrokeOff { attempt, at } => self.delivery.broke_off(attempt, at),
-            Seen::Relieved { proxy, at, is_killed } => self.delivery.ended(proxy, at, is_killed),
-            Seen::Try(done) => self.tries.push(done),
-            Seen::Done { request, at, end } => self.done.push((request, at, end)),
-            Seen::Extra { proxy, at } => {
+            Observation::ConnectionReset { attempt, at } => self.delivery.broke_off(attempt, at),
+            Observation::PredecessorSignaled { proxy, at, is_killed } => {
+                self.delivery.ended(proxy, at, is_killed)
+            }
+            Observation::TryEnded(done) => self.tries.push(done),
+            Observation::RequestEnded { request, at, end } => self.done.push((request, at, end)),
+            Observation::UnsolicitedResponse { proxy, at } => {
                 later.push(("one_answer", at, format!("proxy {proxy} answered what nobody had asked")));
             }
-            Seen::Told { proxy, at, entries } => {
-                for Word { server, state, started } in entries {
+            Observation::ListSent { proxy, at, entries } => {
+                for ListEntry { server, state, started } in entries {
                     self.told.entry((proxy, server)).or_default().push((at, state));
                     let since = self.starts.entry((proxy, server, started)).or_insert(at);
                     *since = at.min(*since);
                 }
             }
-            Seen::Asked { proxy, at } => self.list_calls.asked.push((proxy, at)),
-            Seen::Answered { proxy, at } => self.list_calls.answered.push((proxy, at)),
-            Seen::Process { proxy, at, what } => {
-                if what == Signal::Crashed {
+            Observation::ListRequested { proxy, at } => self.list_calls.asked.push((proxy, at)),
+            Observation::ListAnswered { proxy, at } => self.list_calls.answered.push((proxy, at)),
+            Observation::Process { proxy, at, event } => {
+                if event == ProcessEvent::Crashed {
                     later.push(("no_crash", at, format!("proxy {proxy} ended by itself")));
                 }
-                if matches!(what, Signal::Told | Signal::KilledAfterTold) {
-                    self.delivery.ended(proxy, at, what == Signal::KilledAfterTold);
+                if matches!(event, ProcessEvent::TermSent | ProcessEvent::KilledAfterTerm) {
+                    self.delivery.ended(proxy, at, event == ProcessEvent::KilledAfterTerm);
                 }
-                self.signals.entry(proxy).or_default().push((at, what));
+                self.signals.entry(proxy).or_default().push((at, event));
             }
-            Seen::Held { proxy, at, held } => self.views.push((at, proxy, held)),
-            Seen::Connections { at, open } => self.connections.push((at, open)),
+            Observation::PeerView { proxy, at, view } => self.views.push((at, proxy, view)),
+            Observation::OpenConnections { at, open } => self.connections.push((at, open)),
         }
     }
 
@@ -264,13 +266,13 @@
     /// Was the process of a proxy killed in this span, had it crashed, or was there none at its beginning? A kill of one
     /// that was told to end excuses nothing: it comes when all that was taken must have been answered.
     fn killed(&self, proxy: usize, from: Micros, to: Micros) -> bool {
-        let unannounced = |what: &Signal| matches!(what, Signal::Killed | Signal::Crashed);
-        let ends = |what: &Signal| unannounced(what) || *what == Signal::KilledAfterTold;
+        let unannounced = |what: &ProcessEvent| matches!(what, ProcessEvent::Killed | ProcessEvent::Crashed);
+        let ends = |what: &ProcessEvent| unannounced(what) || *what == ProcessEvent::KilledAfterTerm;
         let signals = || self.signals.get(&proxy).into_iter().flatten();
         let within = signals().any(|(at, what)| unannounced(what) && (from..=to).contains(at));
         // Where the rig holds the listener, connections come up while no process is there.
         let before =
-            signals().rev().find(|(at, what)| *at <= from && (ends(what) || *what == Signal::Started));
+            signals().rev().find(|(at, what)| *at <= from && (ends(what) || *what == ProcessEvent::Started));
         within || before.is_some_and(|(_, what)| ends(what))
     }
 
@@ -280,8 +282,8 @@
         let mut count = |a: Micros, b: Micros| sum += b.min(to).saturating_sub(a.max(from));
         for (at, what) in self.signals.get(&proxy).into_iter().flatten() {
             match what {
-                Signal::Stopped => since = Some(*at),
-                Signal::Continued => {
+                ProcessEvent::Stopped => since = Some(*at),
+                ProcessEvent::Continued => {
                     if let Some(since) = since.take() {
                         count(since, at + AWAKE);
                     }
@@ -303,8 +305,8 @@
         let mut arrived: HashMap<(usize, u32), Micros> = HashMap::new();
         for (number, attempt) in &self.attempts {
             self.delivery.came(*number, (attempt.request, attempt.number));
-            let first = arrived.entry((attempt.request, attempt.number)).or_insert(attempt.whole);
-            *first = attempt.whole.min(*first);
+            let first = arrived.entry((attempt.request, attempt.number)).or_insert(attempt.complete);
+            *first = attempt.complete.min(*first);
         }
         for done in std::mem::take(&mut self.tries) {
             let proxy = self.shared.arrivals[done.request].proxy;
@@ -383,7 +385,7 @@
         let mut by_request: HashMap<usize, Vec<&Attempt>> = HashMap::new();
         for attempt in self.attempts.values() {
             let again = agains.get(&(attempt.request, attempt.number));
-            if again.is_some_and(|again| attempt.whole < *again) {
+            if again.is_some_and(|again| attempt.complete < *again) {
                 continue;
             }
             let class = &self.shared.day.classes[self.shared.arrivals[attempt.request].class];
@@ -400,7 +402,7 @@
                     another.server,
                     ran.len()
                 );
-                found.push((one.whole.max(another.whole), story));
+                found.push((one.complete.max(another.complete), story));
             }
         }
         for done in self.tries.iter().filter(|done| matches!(done.end, TryEnd::Refused(_))) {
--- a/crates/testbed/src/cluster/membership.rs
+++ b/crates/testbed/src/cluster/membership.rs
@@ -1,6 +1,6 @@
 //! What the proxies held of each other, against what was so.
 
-use super::record::{histogram, Held, Shared, Signal, Standing};
+use super::record::{histogram, MemberState, PeerView, ProcessEvent, Shared};
 use oakport_core::Micros;
 use oakport_simulator::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -11,9 +11,9 @@
 const LONGEST: Micros = 10_000_000;
 
 /// What each proxy held, in the order of time.
-pub type Views = Vec<(Micros, usize, Held)>;
+pub type Views = Vec<(Micros, usize, PeerView)>;
 /// What was done to each proxy.
-pub type Signals = HashMap<usize, Vec<(Micros, Signal)>>;
+pub type Signals = HashMap<usize, Vec<(Micros, ProcessEvent)>>;
 
 /// Figures of the membership, if there was one.
 pub fn figures(shared: &Shared, views: &Views, signals: &Signals, end: Micros) -> BTreeMap<String, f64> {
@@ -24,7 +24,7 @@
     let mut put = |name: &str, value: f64| {
         figures.insert(format!("membership.{name}"), value);
     };
-    for (name, signal) in [("detect", Signal::Killed), ("leave", Signal::Told)] {
+    for (name, signal) in [("detect", ProcessEvent::Killed), ("leave", ProcessEvent::TermSent)] {
         let mut times = histogram();
         for (&gone, all) in signals {
             for &(at, _) in all.iter().filter(|(at, what)| *what == signal && at + LONGEST <= end) {
@@ -79,7 +79,7 @@
     {
         // Another life there has taken its place.
         let there =
-            held.members.iter().any(|(n, life, s)| *n == gone && *s == Standing::There && *life < unix);
+            held.members.iter().any(|(n, life, s)| *n == gone && *s == MemberState::Present && *life < unix);
         if !there {
             first.entry(*proxy).or_insert(seen - at);
         }
@@ -96,9 +96,10 @@
         if !calm(*proxy) || parted(shared, from, *at) {
             continue;
         }
-        for (n, _, _) in held.members.iter().filter(|(_, _, s)| *s == Standing::Dead) {
+        for (n, _, _) in held.members.iter().filter(|(_, _, s)| *s == MemberState::Dead) {
             let last = signals.get(n).into_iter().flatten().rev().find(|(when, _)| when <= at);
-            let runs = last.is_some_and(|(_, what)| matches!(what, Signal::Started | Signal::Continued));
+            let runs =
+                last.is_some_and(|(_, what)| matches!(what, ProcessEvent::Started | ProcessEvent::Continued));
             if runs && calm(*n) {
                 found.insert((*proxy, *n));
             }
@@ -110,8 +111,12 @@
 /// How long after this moment all that ran held the same.
 fn agree(views: &Views, signals: &Signals, from: Micros, end: Micros) -> Micros {
     let mut last: BTreeMap<usize, u64> = BTreeMap::new();
-    let ends =
-        |what: &Signal| matches!(what, Signal::Killed | Signal::Told | Signal::Crashed | Signal::Stopped);
+    let ends = |what: &ProcessEvent| {
+        matches!(
+            what,
+            ProcessEvent::Killed | ProcessEvent::TermSent | ProcessEvent::Crashed | ProcessEvent::Stopped
+        )
+    };
     let runs = |proxy: &usize| {
         let last = signals.get(proxy).into_iter().flatten().rev().find(|(at, _)| *at <= from);
         last.is_some_and(|(_, what)| !ends(what))
--- a/crates/testbed/src/cluster/peers.rs
+++ b/crates/testbed/src/cluster/peers.rs
@@ -1,7 +1,7 @@
 //! Asks proxies what they hold of their peers, again and again.
 
 use super::outside;
-use super::record::{Held, Seen, Shared, Standing};
+use super::record::{MemberState, Observation, PeerView, Shared};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,24 +21,24 @@
         beat.tick().await;
         // One that is dead or stands still says nothing.
         if let Ok(Some(held)) = timeout(PATIENCE, ask(operator)).await {
-            shared.saw(Seen::Held { proxy, at: shared.now(), held });
+            shared.record(Observation::PeerView { proxy, at: shared.now(), view: held });
         }
     }
 }
 
-async fn ask(operator: SocketAddr) -> Option<Held> {
+async fn ask(operator: SocketAddr) -> Option<PeerView> {
     let report = outside::dump(operator).await.ok()?;
     let peers = report.get("peers")?;
     let member = |m: &Value| {
         let number = m["name"].as_str()?.strip_prefix('n')?.parse().ok()?;
         let standing = match m["standing"].as_str()? {
-            "left" => Standing::Left,
-            "dead" => Standing::Dead,
-            _ => Standing::There,
+            "left" => MemberState::Left,
+            "dead" => MemberState::Dead,
+            _ => MemberState::Present,
         };
         Some((number, m["life"].as_u64()?, standing))
     };
-    Some(Held {
+    Some(PeerView {
         digest: u64::from_str_radix(peers["digest"].as_str()?, 16).ok()?,
         count: peers["count"].as_u64()? as usize,
         bytes: peers["bytes_sent"].as_u64()?,
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::Agent;
 use super::gate::{address, held, hold, Party};
-use super::record::{Seen, Shared, Signal};
+use super::record::{Observation, ProcessEvent, Shared};
 use nix::sys::signal::{kill, Signal as Number};
 use nix::unistd::Pid;
 use oakport_simulator::scenario::IdempotencySpec;
@@ -176,8 +176,8 @@
         self.other = other;
     }
 
-    fn saw(&self, what: Signal) {
-        self.shared.saw(Seen::Process { proxy: self.number, at: self.shared.now(), what });
+    fn saw(&self, what: ProcessEvent) {
+        self.shared.record(Observation::Process { proxy: self.number, at: self.shared.now(), event: what });
     }
 
     /// What the process is told (DEPLOY, "What a client proxy is told").
@@ -245,7 +245,7 @@
             None => Stdio::null(),
         });
         let child = command.spawn().map_err(odd)?;
-        self.saw(Signal::Started);
+        self.saw(ProcessEvent::Started);
         Ok(self.child.replace(child))
     }
 
@@ -283,7 +283,7 @@
 
     /// Kills the process.
     pub async fn kill(&mut self) {
-        self.saw(Signal::Killed);
+        self.saw(ProcessEvent::Killed);
         if let Some(mut child) = self.child.take() {
             // It may have ended already.
             let _ = child.kill().await;
@@ -293,8 +293,8 @@
     /// Stops the process where it stands, or lets it go on.
     pub fn stall(&self, stalled: bool) {
         let (number, what) = match stalled {
-            true => (Number::SIGSTOP, Signal::Stopped),
-            false => (Number::SIGCONT, Signal::Continued),
+            true => (Number::SIGSTOP, ProcessEvent::Stopped),
+            false => (Number::SIGCONT, ProcessEvent::Continued),
         };
         self.saw(what);
         self.signal(self.child.as_ref(), number);
@@ -319,7 +319,7 @@
 
     /// Tells the process to end.
     pub fn tell(&self) {
-        self.saw(Signal::Told);
+        self.saw(ProcessEvent::TermSent);
         self.signal(self.child.as_ref(), Number::SIGTERM);
     }
 
@@ -327,7 +327,7 @@
     pub async fn end(&mut self, most: Duration) {
         if let Some(child) = self.child.take() {
             if finish(child, most).await {
-                self.saw(Signal::KilledAfterTold);
+                self.saw(ProcessEvent::KilledAfterTerm);
             }
         }
     }
@@ -343,14 +343,18 @@
     }
 
     fn saw_relieved(&self, is_killed: bool) {
-        self.shared.saw(Seen::Relieved { proxy: self.number, at: self.shared.now(), is_killed });
+        self.shared.record(Observation::PredecessorSignaled {
+            proxy: self.number,
+            at: self.shared.now(),
+            is_killed,
+        });
     }
 
     /// Notes an end that nobody had asked for.
     pub fn look(&mut self) {
         if self.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|ended| ended.is_some())) {
             self.child = None;
-            self.saw(Signal::Crashed);
+            self.saw(ProcessEvent::Crashed);
         }
     }
 }
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -32,22 +32,22 @@
     HeldBack,
 }
 
-/// What was done to a process.
+/// A start, signal or end of a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
-    /// It started.
+pub enum ProcessEvent {
+    /// The process started.
     Started,
-    /// It was killed.
+    /// The process was killed without a SIGTERM before.
     Killed,
-    /// It was told to end.
-    Told,
-    /// It was killed, as it had not ended in its time after it was told to.
-    KilledAfterTold,
-    /// It was stopped.
+    /// SIGTERM was sent.
+    TermSent,
+    /// The process was killed because it had not exited in time after SIGTERM.
+    KilledAfterTerm,
+    /// SIGSTOP was sent.
     Stopped,
-    /// It went on.
+    /// SIGCONT was sent.
     Continued,
-    /// It ended without having been told to.
+    /// The process exited without a signal from the test cluster.
     Crashed,
 }
 
@@ -87,74 +87,83 @@
     pub last: Option<Micros>,
 }
 
-/// What a proxy says of its peers.
+/// A proxy's view of the membership, as its admin endpoint reports it.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The number of its view.
+pub struct PeerView {
+    /// The view digest.
     pub digest: u64,
-    /// Client proxies that it counts.
+    /// The live count.
     pub count: usize,
-    /// Bytes that it has sent to peers since its start.
+    /// Bytes sent to peers since the process started.
     pub bytes: u64,
-    /// The others: by number, their lives, and whether they are held to be there, or dead.
-    pub members: Vec<(usize, u64, Standing)>,
+    /// The other members: number, incarnation, and state.
+    pub members: Vec<(usize, u64, MemberState)>,
 }
 
-/// How a proxy holds another.
+/// The state of a member in another member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Present or suspected.
-    There,
-    /// It left.
+pub enum MemberState {
+    /// Alive or suspected.
+    Present,
+    /// Left by graceful shutdown.
     Left,
-    /// It is held dead.
+    /// Declared dead.
     Dead,
 }
 
-/// What a list says of a server.
+/// A server's entry in an endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
-    /// Its number.
+pub struct ListEntry {
+    /// Server number.
     pub server: usize,
-    /// Whether it is listed, drains, or is gone.
+    /// Ready, draining, or removed.
     pub state: EndpointState,
-    /// When its process started; 0: long ago.
+    /// When the server's process started; 0 for long ago.
     pub started: Micros,
 }
 
-/// Something that a party saw.
+/// What a client, server, proxy process or discovery agent of the test cluster observed.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// An attempt has arrived whole at a server; `first` is the time of its first byte.
-    Began { attempt: u64, request: usize, number: u32, server: usize, first: Micros, whole: Micros },
-    /// The server is done with it; the work that was done for nobody, in microseconds of a core.
-    Ended { attempt: u64, outcome: Outcome, wasted: f64 },
-    /// The server has written so much of the answer, which is so long.
-    Given { attempt: u64, at: Micros, bytes: usize, length: usize },
-    /// The server has reset the connection of an attempt while or after it answered.
-    BrokeOff { attempt: u64, at: Micros },
-    /// A process that another relieved was told to end, or killed when it had not ended in its time.
-    Relieved { proxy: usize, at: Micros, is_killed: bool },
-    /// An attempt has come to a server that is cold since `started`, and so many it bears within the fall time.
-    Cold { attempt: u64, server: usize, started: Micros, at: Micros, bound: f64 },
+pub enum Observation {
+    /// A server has read the whole request of an attempt; `first` is the time of its first byte.
+    AttemptArrived {
+        attempt: u64,
+        request: usize,
+        number: u32,
+        server: usize,
+        first: Micros,
+        complete: Micros,
+    },
+    /// The server has finished an attempt; `wasted` is the work spent on a response that nobody received, in
+    /// microseconds of one core.
+    AttemptEnded { attempt: u64, outcome: Outcome, wasted: f64 },
+    /// The server has written `bytes` of a response that is `length` bytes long.
+    ResponseWritten { attempt: u64, at: Micros, bytes: usize, length: usize },
+    /// The server has reset the connection of an attempt during or after its response.
+    ConnectionReset { attempt: u64, at: Micros },
+    /// SIGTERM was sent to the predecessor of a hot restart, or SIGKILL when it had not exited in time.
+    PredecessorSignaled { proxy: usize, at: Micros, is_killed: bool },
+    /// An attempt arrived at a server that is cold since `started`; `bound` is the number of attempts that it
+    /// withstands within the overload window.
+    ColdArrival { attempt: u64, server: usize, started: Micros, at: Micros, bound: f64 },
     /// A try has ended.
-    Try(Try),
-    /// A client is done with a request; how its last try ended.
-    Done { request: usize, at: Micros, end: TryEnd },
-    /// An answer came that nobody had asked for.
-    Extra { proxy: usize, at: Micros },
-    /// The list was told to a proxy.
-    Told { proxy: usize, at: Micros, entries: Vec<Word> },
-    /// A proxy called for the list.
-    Asked { proxy: usize, at: Micros },
-    /// A proxy got an answer to that.
-    Answered { proxy: usize, at: Micros },
-    /// A process was met by a signal, or ended.
-    Process { proxy: usize, at: Micros, what: Signal },
-    /// What a proxy says of its peers.
-    Held { proxy: usize, at: Micros, held: Held },
-    /// Connections that servers held.
-    Connections { at: Micros, open: usize },
+    TryEnded(Try),
+    /// A client has finished a request, whose last try ended with `end`.
+    RequestEnded { request: usize, at: Micros, end: TryEnd },
+    /// A client received a response without a pending request.
+    UnsolicitedResponse { proxy: usize, at: Micros },
+    /// A proxy was sent the endpoint list or a change of it.
+    ListSent { proxy: usize, at: Micros, entries: Vec<ListEntry> },
+    /// A proxy requested the endpoint list.
+    ListRequested { proxy: usize, at: Micros },
+    /// A proxy's request for the endpoint list was answered.
+    ListAnswered { proxy: usize, at: Micros },
+    /// A proxy's process started, received a signal, or ended.
+    Process { proxy: usize, at: Micros, event: ProcessEvent },
+    /// A proxy reported its view of the membership.
+    PeerView { proxy: usize, at: Micros, view: PeerView },
+    /// Connections open at all servers together.
+    OpenConnections { at: Micros, open: usize },
 }
 
 /// What all parties of a play share.
@@ -169,7 +178,7 @@
     unix: Duration,
     /// The start of the day on the clock.
     start: OnceLock<Micros>,
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<Observation>>,
     /// Requests that have ended so far, served and not.
     ended: [AtomicU64; 2],
     late: Mutex<Late>,
@@ -259,8 +268,8 @@
     }
 
     /// Keeps what was seen.
-    pub fn saw(&self, seen: Seen) {
-        if let Seen::Done { end, .. } = &seen {
+    pub fn record(&self, seen: Observation) {
+        if let Observation::RequestEnded { end, .. } = &seen {
             self.ended[usize::from(!matches!(end, TryEnd::Served(_)))].fetch_add(1, Ordering::Relaxed);
         }
         lock(&self.seen).push(seen);
@@ -272,7 +281,7 @@
     }
 
     /// Takes all that was seen, and the lateness of the rig itself.
-    pub fn close(&self) -> (Vec<Seen>, Late) {
+    pub fn close(&self) -> (Vec<Observation>, Late) {
         (std::mem::take(&mut *lock(&self.seen)), lock(&self.late).clone())
     }
 
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -3,7 +3,7 @@
 use super::cold::{self, Window};
 use super::gate::{address, gone, heard, Gate, Party};
 use super::http::{self, Side};
-use super::record::{Seen, Shared};
+use super::record::{Observation, Shared};
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::{Micros, Outcome};
@@ -256,14 +256,21 @@
                 continue;
             };
             let attempt = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
-            let (server, whole) = (self.number, self.shared.now());
-            self.shared.saw(Seen::Began { attempt, request, number, server, first, whole });
+            let (server, complete) = (self.number, self.shared.now());
+            self.shared.record(Observation::AttemptArrived {
+                attempt,
+                request,
+                number,
+                server,
+                first,
+                complete,
+            });
             let work = self.shared.arrivals[request].work;
             let (outcome, wasted) = tokio::select! {
                 done = self.serve(&mut stream, attempt, request) => done,
                 () = gone(&mut phase, life) => (Outcome::Reset, work),
             };
-            self.shared.saw(Seen::Ended { attempt, outcome, wasted });
+            self.shared.record(Observation::AttemptEnded { attempt, outcome, wasted });
             let text = match outcome {
                 Outcome::Served => self.answer(request, number, &message.body),
                 Outcome::Rejected => http::answer(503, "X-Not-Processed: 1\r\n", ""),
@@ -282,7 +289,7 @@
                 }
             };
             let (at, length) = (self.shared.now(), text.len());
-            self.shared.saw(Seen::Given { attempt, at, bytes: given, length });
+            self.shared.record(Observation::ResponseWritten { attempt, at, bytes: given, length });
             if given < length || self.repeat_response(&mut stream, &text).await.is_err() {
                 return;
             }
@@ -308,7 +315,7 @@
 
     /// The connection of an attempt is reset by the server, which throws away what its client has not read yet.
     fn broke_off(&self, attempt: u64) {
-        self.shared.saw(Seen::BrokeOff { attempt, at: self.shared.now() });
+        self.shared.record(Observation::ConnectionReset { attempt, at: self.shared.now() });
     }
 
     /// What comes of an attempt, and the work that was done for nobody.
@@ -364,7 +371,13 @@
         let bound = cold::bound(day, warmth);
         let came = inner.flood.push(now, (), day.server.cold_overload_window).len();
         let (server, started) = (self.number, inner.server.started);
-        self.shared.saw(Seen::Cold { attempt: attempt as u64, server, started, at: now, bound });
+        self.shared.record(Observation::ColdArrival {
+            attempt: attempt as u64,
+            server,
+            started,
+            at: now,
+            bound,
+        });
         came as f64 > bound
     }
 
--- a/crates/testbed/src/cluster/transfers.rs
+++ b/crates/testbed/src/cluster/transfers.rs
@@ -2,7 +2,7 @@
 
 use super::clients::{App, Open, SLACK, WATCH};
 use super::http::{self, Message, Side};
-use super::record::{Moved, Seen, Shared, Try, TryEnd};
+use super::record::{Moved, Observation, Shared, Try, TryEnd};
 use super::servers::upload;
 use super::slow_stream::pace;
 use bytes::{BufMut, BytesMut};
@@ -74,7 +74,7 @@
             is_open = self.read_ahead(&mut stream, &mut buffer, done, answer.closes()).await && is_open;
         }
         if !buffer.is_empty() {
-            shared.saw(Seen::Extra { proxy: self.proxy, at: shared.now() });
+            shared.record(Observation::UnsolicitedResponse { proxy: self.proxy, at: shared.now() });
         } else if is_open {
             self.keep_large((stream, buffer));
         }
@@ -166,7 +166,7 @@
             Ok(Err(_)) => (TryEnd::Unreachable, Some(ended), false),
             Err(_) => (TryEnd::Silent, None, false),
         };
-        shared.saw(Seen::Try(Try { ended, end, again, ..ahead }));
+        shared.record(Observation::TryEnded(Try { ended, end, again, ..ahead }));
         is_open
     }
 }
