--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -4,7 +4,7 @@
 use super::discovery::{Agent, Member};
 use super::gate::{address, Party};
 use super::hops::cpu;
-use super::http::{self, Message, Side};
+use super::http::{self, Message, MessageKind};
 use super::processes::{Program, Seat};
 use super::record::{histogram, Shared, TOO_LATE};
 use super::servers::{author, body, name};
@@ -196,7 +196,7 @@
 
     async fn exchange(&self, (mut stream, mut buffer): Open, text: &str) -> std::io::Result<Message> {
         stream.write_all(text.as_bytes()).await?;
-        let answer = http::read(&mut stream, &mut buffer, Side::Answers).await?;
+        let answer = http::read(&mut stream, &mut buffer, MessageKind::Response).await?;
         if buffer.is_empty() && !answer.closes() {
             lock(&self.resting).push((stream, buffer));
         }
@@ -257,25 +257,30 @@
         // It only saves time.
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
-        while matches!(timeout(self.idle, http::begun(&mut stream, &mut buffer)).await, Ok(Ok(true))) {
-            let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await else { return };
+        while matches!(timeout(self.idle, http::wait_for_bytes(&mut stream, &mut buffer)).await, Ok(Ok(true)))
+        {
+            let Ok(message) = http::read(&mut stream, &mut buffer, MessageKind::Request).await else {
+                return;
+            };
             let text = match message.header("x-request-id").map(Id::read) {
-                None => http::answer(404, "", ""),
+                None => http::format_response(404, "", ""),
                 Some(id) => match id.filter(|id| usize::from(id.hop) == hop) {
-                    None => http::answer(400, "", ""),
+                    None => http::format_response(400, "", ""),
                     Some(id) => {
                         lock(&self.arrivals).entry(id).or_default().push(server);
                         let left = message.header("x-timeout").and_then(time_left).unwrap_or(DEADLINE);
                         let called = tokio::select! {
                             called = self.call_on(id, left) => called,
                             // Whoever called has given up, and with it all behind.
-                            () = http::closed(&stream) => return,
+                            () = http::wait_until_closed(&stream) => return,
                         };
                         match called {
-                            true => {
-                                http::answer(200, "", &body(&name(hop * SERVERS + server), &id.text(), None))
-                            }
-                            false => http::answer(500, "", ""),
+                            true => http::format_response(
+                                200,
+                                "",
+                                &body(&name(hop * SERVERS + server), &id.text(), None),
+                            ),
+                            false => http::format_response(500, "", ""),
                         }
                     }
                 },
--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -1,6 +1,6 @@
 //! The application beside a proxy: an open loop of requests, with the retries that the site's clients make.
 
-use super::http::{self, Message, Side};
+use super::http::{self, Message, MessageKind};
 use super::record::{Moved, Observation, Shared, Try, TryEnd};
 use super::servers::author;
 use super::slow_stream;
@@ -233,7 +233,7 @@
             class.name
         );
         stream.write_all(text.as_bytes()).await.ok()?;
-        let answer = match http::read(&mut stream, &mut buffer, Side::Answers).await {
+        let answer = match http::read(&mut stream, &mut buffer, MessageKind::Response).await {
             Ok(answer) => answer,
             Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return Some(TryEnd::Foreign),
             Err(_) => return None,
--- a/crates/testbed/src/cluster/crowd.rs
+++ b/crates/testbed/src/cluster/crowd.rs
@@ -34,7 +34,7 @@
 async fn client(address: SocketAddr, is_idle: bool) {
     let Ok(mut stream) = TcpStream::connect(address).await else { return };
     if is_idle {
-        return super::http::closed(&stream).await;
+        return super::http::wait_until_closed(&stream).await;
     }
     for byte in INCOMPLETE_REQUEST {
         if stream.write_all(&[*byte]).await.is_err() {
@@ -42,5 +42,5 @@
         }
         sleep(BYTE_INTERVAL).await;
     }
-    super::http::closed(&stream).await;
+    super::http::wait_until_closed(&stream).await;
 }
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: an agent beside each proxy, which answers at once with what it has been sent.
 
 use super::gate::{address, Party};
-use super::http::{self, Side};
+use super::http::{self, MessageKind};
 use super::record::{ListEntry, Observation, Shared};
 use super::servers::name;
 use bytes::BytesMut;
@@ -262,9 +262,9 @@
 
     async fn connection(self: Arc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
-        while let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await {
+        while let Ok(message) = http::read(&mut stream, &mut buffer, MessageKind::Request).await {
             self.shared.record(Observation::ListRequested { proxy: self.proxy, at: self.shared.now() });
-            let path = message.first.1;
+            let path = message.start_line.1;
             let figure = |key: &str| {
                 let (_, query) = path.split_once('?')?;
                 query
@@ -280,16 +280,16 @@
                 let silent = tokio::select! {
                     _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)) => false,
                     _ = hushed.changed() => true,
-                    () = http::closed(&stream) => return,
+                    () = http::wait_until_closed(&stream) => return,
                 };
                 if silent {
-                    http::closed(&stream).await;
+                    http::wait_until_closed(&stream).await;
                     return;
                 }
             }
             if *self.mode.borrow() == Mode::Silent && self.shared.day.discovery.poll_interval.is_some() {
                 // A service that stands still swallows what it is asked; an agent answers once it goes on.
-                http::closed(&stream).await;
+                http::wait_until_closed(&stream).await;
                 return;
             }
             let mode = {
@@ -299,17 +299,22 @@
                         Ok(mode) => *mode,
                         Err(_) => return,
                     },
-                    () = http::closed(&stream) => return,
+                    () = http::wait_until_closed(&stream) => return,
                 }
             };
             let (text, told) = match mode {
-                Mode::Unavailable => (http::answer(503, "", ""), Vec::new()),
-                _ if !path.starts_with("/catalog/members") => (http::answer(404, "", ""), Vec::new()),
+                Mode::Unavailable => (http::format_response(503, "", ""), Vec::new()),
+                _ if !path.starts_with("/catalog/members") => {
+                    (http::format_response(404, "", ""), Vec::new())
+                }
                 _ => {
                     let (list, told) = self.list(since);
                     // Whoever asks has noticed that its watch was silent.
                     self.known().told_at = None;
-                    (http::answer(200, "Content-Type: application/json\r\n", &list.to_string()), told)
+                    (
+                        http::format_response(200, "Content-Type: application/json\r\n", &list.to_string()),
+                        told,
+                    )
                 }
             };
             if stream.write_all(text.as_bytes()).await.is_err() {
--- a/crates/testbed/src/cluster/forwarder.rs
+++ b/crates/testbed/src/cluster/forwarder.rs
@@ -1,7 +1,7 @@
 //! The lab's own forwarder: it sends each request to a server picked at random. It is the baseline of what a hop costs,
 //! and, with one of its switches, breaks one rule for the judge to find.
 
-use super::http::{self, Message, Side};
+use super::http::{self, Message, MessageKind};
 use bytes::BytesMut;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -169,7 +169,7 @@
             let text =
                 format!("GET /catalog/members?index={index}&wait={WAIT} HTTP/1.1\r\nHost: discovery\r\n\r\n");
             stream.write_all(text.as_bytes()).await?;
-            let answer = http::read(&mut stream, &mut buffer, Side::Answers).await?;
+            let answer = http::read(&mut stream, &mut buffer, MessageKind::Response).await?;
             if answer.status() == 200 {
                 self.learn(&serde_json::from_slice(&answer.body)?);
             } else {
@@ -210,13 +210,15 @@
         let mut ending = self.ending.subscribe();
         loop {
             let begun = tokio::select! {
-                begun = http::begun(&mut stream, &mut buffer) => begun,
+                begun = http::wait_for_bytes(&mut stream, &mut buffer) => begun,
                 _ = ending.wait_for(|ending| *ending) => return,
             };
             if !matches!(begun, Ok(true)) {
                 return;
             }
-            let Ok(request) = http::read(&mut stream, &mut buffer, Side::Asks).await else { return };
+            let Ok(request) = http::read(&mut stream, &mut buffer, MessageKind::Request).await else {
+                return;
+            };
             let number = self.count.get() + 1;
             self.count.set(number);
             let text = self.answer(&request, number).await;
@@ -232,8 +234,8 @@
 
     /// The whole answer to a request.
     async fn answer(&self, request: &Message, number: u32) -> String {
-        if request.first.1 == "/_health" {
-            return http::answer(200, "", "");
+        if request.start_line.1 == "/_health" {
+            return http::format_response(200, "", "");
         }
         let time = request.header("x-timeout").and_then(|text| {
             let (figure, micros) = match text.strip_suffix('m') {
@@ -246,12 +248,13 @@
         let deadline = Instant::now() + time.saturating_sub(EARLY);
         for _ in 0..TRIES {
             let Some(address) = self.pick(number) else { break };
-            let times = if self.broken == Some(Broken::Repeats) && request.first.0 == "POST" { 2 } else { 1 };
+            let times =
+                if self.broken == Some(Broken::Repeats) && request.start_line.0 == "POST" { 2 } else { 1 };
             let mut answer = None;
             for _ in 0..times {
                 answer = match timeout_at(deadline, self.pass(address, request)).await {
                     Ok(answer) => answer,
-                    Err(_) => return http::answer(504, "", ""),
+                    Err(_) => return http::format_response(504, "", ""),
                 };
             }
             match answer {
@@ -260,15 +263,15 @@
                     if self.this_one(number, Broken::CutsBodies) {
                         body.truncate(body.len() / 2);
                     }
-                    return http::answer(200, "", &body);
+                    return http::format_response(200, "", &body);
                 }
                 Some(Some(answer)) if answer.header("x-not-processed").is_some() => {}
                 // It may have run.
-                Some(_) => return http::answer(502, "", ""),
+                Some(_) => return http::format_response(502, "", ""),
                 None => {}
             }
         }
-        http::answer(503, "Retry-After: 0.2\r\n", "")
+        http::format_response(503, "Retry-After: 0.2\r\n", "")
     }
 
     /// Sends a request to a server. None: it cannot have run; within: no whole answer came.
@@ -285,7 +288,7 @@
             }
         };
         let id = request.header("x-request-id").unwrap_or_default();
-        let (method, path) = &request.first;
+        let (method, path) = &request.start_line;
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nContent-Length: {}\r\n\r\n",
             request.body.len()
@@ -295,7 +298,7 @@
             return Some(None);
         }
         let mut buffer = BytesMut::new();
-        let answer = http::read(&mut stream, &mut buffer, Side::Answers).await.ok();
+        let answer = http::read(&mut stream, &mut buffer, MessageKind::Response).await.ok();
         if answer.as_ref().is_some_and(|answer| !answer.closes()) {
             self.resting.borrow_mut().entry(address).or_default().push((stream, Instant::now()));
         }
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -1,7 +1,7 @@
 //! What a hop costs: the same requests to the same servers by several ways, in turn.
 
 use super::gate::{address, held, hold, Party};
-use super::http::{self, Side};
+use super::http::{self, MessageKind};
 use super::links::Relay;
 use super::outside;
 use super::processes::{Program, Seat};
@@ -329,7 +329,7 @@
         "GET /card-check HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nX-Timeout: 3000000u\r\n\r\n"
     );
     stream.write_all(text.as_bytes()).await?;
-    let answer = timeout(LONG, http::read(stream, buffer, Side::Answers)).await??;
+    let answer = timeout(LONG, http::read(stream, buffer, MessageKind::Response)).await??;
     match answer.status() {
         200 => Ok(()),
         status => Err(std::io::Error::other(format!("answered {status}"))),
--- a/crates/testbed/src/cluster/http.rs
+++ b/crates/testbed/src/cluster/http.rs
@@ -1,108 +1,111 @@
-//! HTTP/1.1 messages of the rig's own parties: a head that `httparse` reads, and a body of a stated length.
+//! HTTP/1.1 messages of the test cluster's own clients and servers: a head that `httparse` parses, and a body with a
+//! Content-Length.
 
 use bytes::BytesMut;
 use std::io::{Error, ErrorKind, Result};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Headers that a message may have.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
-/// A message.
+/// A request or a response.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Method and path, or the status and nothing.
-    pub first: (String, String),
+    /// Method and path of a request; status and an empty string of a response.
+    pub start_line: (String, String),
     headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// Which side's messages are read.
+/// Whether requests or responses are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum MessageKind {
     /// Requests.
-    Asks,
-    /// Answers.
-    Answers,
+    Request,
+    /// Responses.
+    Response,
 }
 
 impl Message {
-    /// A header's text, whatever the case of its name.
+    /// Returns a header's value; the case of its name does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, text)| text.as_str())
     }
 
-    /// The status of an answer; 0 for none.
+    /// Returns the status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
-        self.first.0.parse().unwrap_or(0)
+        self.start_line.0.parse().unwrap_or(0)
     }
 
-    /// The connection ends after it.
+    /// Whether the connection closes after this message.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"))
     }
 
-    /// Takes a whole message out of what has been read.
-    pub(super) fn take(buffer: &mut BytesMut, side: Side) -> Result<Option<Message>> {
-        let mut room = [httparse::EMPTY_HEADER; HEADERS];
-        let odd = |e| Error::new(ErrorKind::InvalidData, format!("no HTTP: {e}"));
-        let (length, first, headers) = match side {
-            Side::Asks => {
-                let mut head = httparse::Request::new(&mut room);
-                let httparse::Status::Complete(length) = head.parse(buffer).map_err(odd)? else {
+    /// Parses and removes a complete message from the buffer; `None` while its last byte is missing.
+    pub(super) fn parse(buffer: &mut BytesMut, kind: MessageKind) -> Result<Option<Message>> {
+        let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let invalid = |e| Error::new(ErrorKind::InvalidData, format!("invalid HTTP message head: {e}"));
+        let (length, start_line, headers) = match kind {
+            MessageKind::Request => {
+                let mut head = httparse::Request::new(&mut header_slots);
+                let httparse::Status::Complete(length) = head.parse(buffer).map_err(invalid)? else {
                     return Ok(None);
                 };
                 let text = |part: Option<&str>| part.unwrap_or_default().to_owned();
-                (length, (text(head.method), text(head.path)), texts(head.headers))
+                (length, (text(head.method), text(head.path)), owned_headers(head.headers))
             }
-            Side::Answers => {
-                let mut head = httparse::Response::new(&mut room);
-                let httparse::Status::Complete(length) = head.parse(buffer).map_err(odd)? else {
+            MessageKind::Response => {
+                let mut head = httparse::Response::new(&mut header_slots);
+                let httparse::Status::Complete(length) = head.parse(buffer).map_err(invalid)? else {
                     return Ok(None);
                 };
-                (length, (head.code.unwrap_or(0).to_string(), String::new()), texts(head.headers))
+                (length, (head.code.unwrap_or(0).to_string(), String::new()), owned_headers(head.headers))
             }
         };
-        let mut message = Message { first, headers, body: Vec::new() };
+        let mut message = Message { start_line, headers, body: Vec::new() };
         if message.header("transfer-encoding").is_some() {
-            return Err(Error::new(ErrorKind::InvalidData, "a body in pieces, which the rig does not read"));
+            return Err(Error::new(
+                ErrorKind::InvalidData,
+                "unsupported header Transfer-Encoding: bodies need a Content-Length",
+            ));
         }
-        let stated = message.header("content-length").map(str::parse::<usize>);
-        let body = match stated {
+        let content_length = message.header("content-length").map(str::parse::<usize>);
+        let body = match content_length {
             None => 0,
             Some(Ok(body)) => body,
-            Some(Err(_)) => return Err(Error::new(ErrorKind::InvalidData, "a Content-Length that is none")),
+            Some(Err(_)) => return Err(Error::new(ErrorKind::InvalidData, "invalid Content-Length")),
         };
         if buffer.len() < length + body {
             return Ok(None);
         }
-        let whole = buffer.split_to(length + body);
-        message.body = whole[length..].to_vec();
+        let bytes = buffer.split_to(length + body);
+        message.body = bytes[length..].to_vec();
         Ok(Some(message))
     }
 }
 
-fn texts(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+fn owned_headers(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     let text = |h: &httparse::Header<'_>| (h.name.to_owned(), String::from_utf8_lossy(h.value).into_owned());
     headers.iter().map(text).collect()
 }
 
-/// Waits until something has come. False: the other side has closed.
+/// Waits until the buffer is not empty; `false` if the peer closes the connection first.
 ///
 /// # Errors
-/// The connection has broken.
-pub async fn begun(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<bool> {
+/// The connection has failed.
+pub async fn wait_for_bytes(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<bool> {
     Ok(!buffer.is_empty() || stream.read_buf(buffer).await? > 0)
 }
 
-/// Reads a message.
+/// Reads a complete message.
 ///
 /// # Errors
-/// The connection has broken or ended before its last byte, or it is none.
-pub async fn read(stream: &mut TcpStream, buffer: &mut BytesMut, side: Side) -> Result<Message> {
+/// The connection has failed or closed before the message was complete, or the message is invalid.
+pub async fn read(stream: &mut TcpStream, buffer: &mut BytesMut, kind: MessageKind) -> Result<Message> {
     loop {
-        if let Some(message) = Message::take(buffer, side)? {
+        if let Some(message) = Message::parse(buffer, kind)? {
             return Ok(message);
         }
         if stream.read_buf(buffer).await? == 0 {
@@ -111,22 +114,22 @@
     }
 }
 
-/// An answer as text.
-pub fn answer(status: u16, headers: &str, body: &str) -> String {
+/// Formats a response with a Content-Length.
+pub fn format_response(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Waits until the other side has closed. Bytes that come instead are left; they end the watch.
-pub async fn closed(stream: &TcpStream) {
+/// Waits until the peer closes the connection. If a byte arrives first, it stays unread and the wait never ends.
+pub async fn wait_until_closed(stream: &TcpStream) {
     let mut byte = [0];
     if let Ok(1) = stream.peek(&mut byte).await {
         std::future::pending().await
     }
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: TcpStream) {
-    // Without the option it is an ordinary end, which the other side sees too.
+    // If the option cannot be set, the connection closes with a FIN, which the peer notices too.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
     drop(stream);
 }
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -2,7 +2,7 @@
 
 use super::cold::{self, Window};
 use super::gate::{address, gone, heard, Gate, Party};
-use super::http::{self, Side};
+use super::http::{self, MessageKind};
 use super::record::{Observation, Shared};
 use super::slow_stream;
 use bytes::BytesMut;
@@ -232,7 +232,7 @@
         let mut last = None;
         loop {
             let began = tokio::select! {
-                began = tokio::time::timeout(self.idle_time(), http::begun(&mut stream, &mut buffer)) => began,
+                began = tokio::time::timeout(self.idle_time(), http::wait_for_bytes(&mut stream, &mut buffer)) => began,
                 () = gone(&mut phase, life) => {
                     last.into_iter().for_each(|attempt| self.broke_off(attempt));
                     return http::reset(stream);
@@ -243,13 +243,13 @@
             }
             let first = self.shared.now();
             let message = tokio::select! {
-                message = http::read(&mut stream, &mut buffer, Side::Asks) => message,
+                message = http::read(&mut stream, &mut buffer, MessageKind::Request) => message,
                 () = gone(&mut phase, life) => return http::reset(stream),
             };
             let Ok(message) = message else { return };
             let id = message.header("x-request-id").and_then(|id| self.shared.of_id(id));
             let Some((request, number)) = id else {
-                let text = http::answer(404, "", "");
+                let text = http::format_response(404, "", "");
                 if stream.write_all(text.as_bytes()).await.is_err() {
                     return;
                 }
@@ -273,8 +273,8 @@
             self.shared.record(Observation::AttemptEnded { attempt, outcome, wasted });
             let text = match outcome {
                 Outcome::Served => self.answer(request, number, &message.body),
-                Outcome::Rejected => http::answer(503, "X-Not-Processed: 1\r\n", ""),
-                Outcome::Error => http::answer(500, "", ""),
+                Outcome::Rejected => http::format_response(503, "X-Not-Processed: 1\r\n", ""),
+                Outcome::Error => http::format_response(500, "", ""),
                 _ => return http::reset(stream),
             };
             tokio::select! {
@@ -305,7 +305,7 @@
             Some(bytes) if found != upload(&id, bytes).as_bytes() => format!("{id} came with another body\n"),
             _ => body(&self.name(), &id, self.shared.response_bytes(request, number)),
         };
-        http::answer(200, "", &text)
+        http::format_response(200, "", &text)
     }
 
     /// Bytes a second that it writes of the answer to a request, if that is large.
@@ -345,7 +345,7 @@
                 }
                 Err(_) => (Outcome::Reset, work),
             },
-            () = http::closed(stream) => {
+            () = http::wait_until_closed(stream) => {
                 let left = self.inner().server.drop_work(self.shared.now(), attempt);
                 self.inner().waiting.remove(&attempt);
                 self.changed.notify_one();
--- a/crates/testbed/src/cluster/transfers.rs
+++ b/crates/testbed/src/cluster/transfers.rs
@@ -1,7 +1,7 @@
 //! Large requests and responses at a client's pace: slow uploads, slow readers, and requests that are written ahead.
 
 use super::clients::{App, Open, SLACK, WATCH};
-use super::http::{self, Message, Side};
+use super::http::{self, Message, MessageKind};
 use super::record::{Moved, Observation, Shared, Try, TryEnd};
 use super::servers::upload;
 use super::slow_stream::pace;
@@ -53,7 +53,7 @@
             Written::Ended => return None,
         };
         let watched = shared.instant(done.deadline + SLACK + WATCH);
-        match timeout_at(watched, http::begun(&mut stream, &mut buffer)).await {
+        match timeout_at(watched, http::wait_for_bytes(&mut stream, &mut buffer)).await {
             Ok(Ok(true)) => done.moved.first = Some(shared.now()),
             Ok(_) => return None,
             Err(_) => return Some(TryEnd::Silent),
@@ -112,7 +112,7 @@
         loop {
             done.moved.read = buffer.len();
             done.moved.last = Some(self.shared.now());
-            match Message::take(buffer, Side::Answers) {
+            match Message::parse(buffer, MessageKind::Response) {
                 Ok(Some(answer)) => return Ok(answer),
                 Ok(None) => {}
                 Err(_) => return Err(TryEnd::Foreign),
@@ -153,7 +153,7 @@
         let watched = shared.instant(deadline + SLACK + WATCH);
         let answer = match is_closed {
             true => Ok(Err(ErrorKind::UnexpectedEof.into())),
-            false => timeout_at(watched, http::read(stream, buffer, Side::Answers)).await,
+            false => timeout_at(watched, http::read(stream, buffer, MessageKind::Response)).await,
         };
         let ended = shared.now();
         let (end, again, is_open) = match answer {
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -18,7 +18,7 @@
 //!   of it is counted in lines and bytes, the most of all processes.
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
-use crate::cluster::http::{self, Side};
+use crate::cluster::http::{self, MessageKind};
 use crate::cluster::outside;
 use crate::cluster::processes::Seat;
 use crate::cluster::record::Shared;
@@ -272,7 +272,7 @@
             LONG.as_millis()
         );
         open.0.write_all(text.as_bytes()).await?;
-        let answer = http::read(&mut open.0, &mut open.1, Side::Answers).await?;
+        let answer = http::read(&mut open.0, &mut open.1, MessageKind::Response).await?;
         let status = answer.status();
         if !answer.closes() {
             self.open = Some(open);
