--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -7,7 +7,7 @@
 use super::http::{self, Message, MessageKind};
 use super::processes::{Program, Seat};
 use super::record::{histogram, Shared, TOO_LATE};
-use super::servers::{author, body, name};
+use super::servers::{body, name, responding_server};
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
 use oakport_core::{EndpointState, Micros};
@@ -233,7 +233,7 @@
              X-Timeout: {time}u\r\nContent-Length: 1\r\n\r\n1"
         );
         let Ok(Ok(answer)) = timeout(left + SLACK, caller.ask(&text)).await else { return false };
-        let server = author(&answer.body, &named, None).filter(|_| answer.status() == 200);
+        let server = responding_server(&answer.body, &named, None).filter(|_| answer.status() == 200);
         server.is_some_and(|server| server / SERVERS == usize::from(id.hop))
     }
 
--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, Message, MessageKind};
 use super::record::{Moved, Observation, Shared, Try, TryEnd};
-use super::servers::author;
+use super::servers::responding_server;
 use super::slow_stream;
 use bytes::BytesMut;
 use oakport_core::Micros;
@@ -250,7 +250,7 @@
     pub(super) fn end_of(&self, answer: &Message, id: &str, bytes: Option<usize>) -> TryEnd {
         let told = answer.header("retry-after").and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
         match answer.status() {
-            200 => author(&answer.body, id, bytes).map_or(TryEnd::Foreign, TryEnd::Served),
+            200 => responding_server(&answer.body, id, bytes).map_or(TryEnd::Foreign, TryEnd::Served),
             429 | 503 => TryEnd::Refused((told.max(0.0) * 1e6) as Micros),
             status => TryEnd::Failed(status),
         }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -7,7 +7,7 @@
 use super::plan::Play;
 use super::processes::Seat;
 use super::record::Observation;
-use super::servers::Machine;
+use super::servers::TestServer;
 use super::site::{met, met_peers, Pair, Site};
 use oakport_core::{EndpointState, Micros};
 use oakport_simulator::scenario::{FaultKind, FaultSpec, LinkSpec};
@@ -151,21 +151,21 @@
         datagrams.turn(ways);
     }
 
-    fn strike(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
+    fn strike(self: &Arc<Self>, machine: &Arc<TestServer>, event: &FaultSpec) {
         match event.kind {
             FaultKind::Crash => {
                 machine.stop();
                 self.site.tell(machine, EndpointState::Removed);
             }
-            FaultKind::Slow => machine.fall_ill(|health| health.slowdown_factor = event.factor),
-            FaultKind::Hang => machine.fall_ill(|health| health.hung = true),
-            FaultKind::Error => machine.fall_ill(|health| health.errors = true),
-            FaultKind::Reset => machine.fall_ill(|health| health.resets = true),
-            _ => machine.fall_ill(|health| health.unreachable = true),
+            FaultKind::Slow => machine.change_health(|health| health.slowdown_factor = event.factor),
+            FaultKind::Hang => machine.change_health(|health| health.hung = true),
+            FaultKind::Error => machine.change_health(|health| health.errors = true),
+            FaultKind::Reset => machine.change_health(|health| health.resets = true),
+            _ => machine.change_health(|health| health.unreachable = true),
         }
     }
 
-    fn heal(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
+    fn heal(self: &Arc<Self>, machine: &Arc<TestServer>, event: &FaultSpec) {
         if event.kind == FaultKind::Crash || event.restart_cold {
             if event.kind != FaultKind::Crash {
                 machine.stop();
@@ -173,7 +173,7 @@
             machine.restart();
             self.site.tell(machine, EndpointState::Ready);
         } else {
-            machine.fall_ill(|health| *health = Default::default());
+            machine.change_health(|health| *health = Default::default());
         }
     }
 
@@ -196,7 +196,8 @@
                 let mut machines = fleet.site.machines();
                 // Without a socket the fleet has one server less.
                 let next =
-                    Machine::start(&fleet.site.shared, machines.len(), machine.zone, "second", started).ok();
+                    TestServer::start(&fleet.site.shared, machines.len(), machine.zone, "second", started)
+                        .ok();
                 machines.extend(next.clone());
                 drop(machines);
                 if let Some(next) = next {
@@ -231,7 +232,7 @@
 }
 
 /// A server does something wrong on its connections from now on, or no more.
-fn set_quirk(machine: &Machine, what: FaultKind, after: Option<Micros>) {
+fn set_quirk(machine: &TestServer, what: FaultKind, after: Option<Micros>) {
     machine.change_quirks(|quirks| match what {
         FaultKind::ExtraResponses => quirks.extra_response_after = after,
         _ => quirks.closes_idle_after = after,
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -37,7 +37,7 @@
 use oakport_simulator::scenario::FaultKind;
 use processes::{Peer, Seat};
 use record::Shared;
-use servers::Machine;
+use servers::TestServer;
 use site::Site;
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
     let day = &shared.day;
     let site = Site::start(&shared).await.map_err(odd)?;
     // It is in no list; whoever sends there has invented it.
-    let decoy = Machine::start(&shared, DECOY, 0, "none", 0).map_err(odd)?;
+    let decoy = TestServer::start(&shared, DECOY, 0, "none", 0).map_err(odd)?;
     let mut play = play.clone();
     for program in [&mut play.program, &mut play.second] {
         program.environment.push((forwarder::DECOY.to_owned(), decoy.address.to_string()));
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -52,7 +52,7 @@
 }
 
 /// A server.
-pub struct Machine {
+pub struct TestServer {
     /// By its place in the fleet.
     pub number: usize,
     /// Its zone, by its place in the scenario.
@@ -70,7 +70,7 @@
 /// Counts the attempts of a play.
 static ATTEMPTS: AtomicU64 = AtomicU64::new(0);
 
-impl Machine {
+impl TestServer {
     /// Starts a server; `started` 0: it has run for long and is warm.
     pub fn start(
         shared: &Arc<Shared>,
@@ -88,7 +88,7 @@
             open: 0,
             luck: random::stream(shared.seed, StreamId::Policy(1_000_000 + number)),
         };
-        let machine = Arc::new(Machine {
+        let machine = Arc::new(TestServer {
             number,
             zone,
             release: release.to_owned(),
@@ -130,13 +130,13 @@
     }
 
     /// It runs, and is not told to drain.
-    pub fn takes(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let inner = self.inner();
         inner.server.up && !inner.server.draining
     }
 
     /// Something is wrong with it from now on, or nothing any more.
-    pub fn fall_ill(&self, change: impl FnOnce(&mut Health)) {
+    pub fn change_health(&self, change: impl FnOnce(&mut Health)) {
         let mut inner = self.inner();
         inner.server.advance(self.shared.now());
         change(&mut inner.server.health);
@@ -460,7 +460,7 @@
 }
 
 /// The server whose answer to this try a body is.
-pub fn author(found: &[u8], id: &str, bytes: Option<usize>) -> Option<usize> {
+pub fn responding_server(found: &[u8], id: &str, bytes: Option<usize>) -> Option<usize> {
     let text = std::str::from_utf8(found).ok()?;
     let number = text.strip_prefix("s-")?.split(' ').next()?.parse().ok()?;
     (text == body(&name(number), id, bytes)).then_some(number)
@@ -468,13 +468,13 @@
 
 /// An open connection in a server's count.
 struct Counted<'a> {
-    machine: &'a Machine,
+    machine: &'a TestServer,
     /// How many are open with it.
     of: usize,
 }
 
 impl<'a> Counted<'a> {
-    fn new(machine: &'a Machine) -> Self {
+    fn new(machine: &'a TestServer) -> Self {
         let mut inner = machine.inner();
         inner.open += 1;
         Counted { machine, of: inner.open }
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -3,7 +3,7 @@
 use super::discovery::{Agent, Member};
 use super::links::Relay;
 use super::record::Shared;
-use super::servers::Machine;
+use super::servers::TestServer;
 use oakport_core::EndpointState;
 use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::{FaultKind, FaultSpec, Group, Scenario};
@@ -20,7 +20,7 @@
 
 /// Servers, agents and the relays between.
 pub struct Site {
-    machines: Mutex<Vec<Arc<Machine>>>,
+    machines: Mutex<Vec<Arc<TestServer>>>,
     /// Between those parties that events name, and none elsewhere.
     pub relays: BTreeMap<Pair, Arc<Relay>>,
     /// The agent of each proxy.
@@ -79,7 +79,7 @@
         let day = &shared.day;
         let (mut machines, mut agents, mut relays) = (Vec::new(), Vec::new(), BTreeMap::new());
         for number in 0..day.servers {
-            machines.push(Machine::start(shared, number, shared.zone(number), "first", 0)?);
+            machines.push(TestServer::start(shared, number, shared.zone(number), "first", 0)?);
         }
         for proxy in 0..day.balancers {
             agents.push(Agent::start(shared, proxy).await?);
@@ -107,7 +107,7 @@
     }
 
     /// All servers, those that have gone included.
-    pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<Machine>>> {
+    pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<TestServer>>> {
         self.machines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// A server as a proxy's list has it.
-    fn member(&self, proxy: usize, machine: &Machine, state: EndpointState) -> Member {
+    fn member(&self, proxy: usize, machine: &TestServer, state: EndpointState) -> Member {
         let relay = self.relays.get(&(proxy, Some(machine.number)));
         Member {
             state,
@@ -138,7 +138,7 @@
     }
 
     /// News of a server go to all agents, to each after a while of its own.
-    pub fn tell(&self, machine: &Machine, state: EndpointState) {
+    pub fn tell(&self, machine: &TestServer, state: EndpointState) {
         let delay = self.shared.day.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = random::jitter(delay, 0.5, &mut *self.luck());
@@ -152,11 +152,11 @@
     }
 
     /// The servers that an event meets.
-    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
+    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<TestServer>> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let machines = self.machines();
-        let mut met: Vec<_> = machines.iter().filter(|m| m.takes()).cloned().collect();
+        let mut met: Vec<_> = machines.iter().filter(|m| m.is_ready()).cloned().collect();
         drop(machines);
         match zone {
             Some(zone) => met.retain(|machine| machine.zone == zone),
