--- a/crates/testbed/src/cluster/cold.rs
+++ b/crates/testbed/src/cluster/cold.rs
@@ -1,37 +1,38 @@
-//! What a cold server bears: N requests of mean work in the time that the settings name, N being what they allow
-//! it then, and what chance explains, 2 root of N + 2 (`docs/test-cluster.md`).
+//! The load that a cold server withstands: N requests of mean work within the overload window, where N is
+//! what the settings allow at its warmth, plus an allowance for random variation of 2 √N + 2
+//! (`docs/test-cluster.md`).
 
 use oakport_core::Micros;
 use oakport_simulator::scenario::Scenario;
 use std::collections::VecDeque;
 
-/// Requests of mean work that a server of this warmth bears within the fall time.
-pub fn bound(day: &Scenario, warmth: f64) -> f64 {
-    let (share, work) = day.classes.iter().fold((0.0, 0.0), |(share, work), class| {
+/// Requests of mean work that a server of this warmth withstands within the overload window.
+pub fn bound(scenario: &Scenario, warmth: f64) -> f64 {
+    let (share, work) = scenario.classes.iter().fold((0.0, 0.0), |(share, work), class| {
         (share + class.share, work + class.share * class.work as f64)
     });
-    let server = &day.server;
+    let server = &scenario.server;
     let allowed =
         server.cold_overload_factor * server.cores * warmth * server.cold_overload_window as f64 * share
             / work;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// What came within the last span of this length.
+/// A sliding window of timed items.
 #[derive(Debug, Default)]
 pub struct Window<T>(VecDeque<(Micros, T)>);
 
 impl<T> Window<T> {
-    /// One more has come; all that came within the span up to then.
-    pub fn push(&mut self, at: Micros, what: T, span: Micros) -> impl ExactSizeIterator<Item = &T> {
-        self.0.push_back((at, what));
-        while self.0.front().is_some_and(|(old, _)| old + span < at) {
+    /// Adds an item, drops those older than `span`, and returns the rest, the new one included.
+    pub fn push(&mut self, at: Micros, item: T, span: Micros) -> impl ExactSizeIterator<Item = &T> {
+        self.0.push_back((at, item));
+        while self.0.front().is_some_and(|(added_at, _)| added_at + span < at) {
             self.0.pop_front();
         }
-        self.0.iter().map(|(_, what)| what)
+        self.0.iter().map(|(_, item)| item)
     }
 
-    /// Nothing has come yet.
+    /// Removes all items.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/testbed/src/cluster/crowd.rs
+++ b/crates/testbed/src/cluster/crowd.rs
@@ -1,4 +1,5 @@
-//! A crowd of clients that ask nothing: half are idle, the others send a request that they never complete.
+//! A crowd of clients that send no complete request: half are idle, the others send a request byte by byte
+//! and never finish it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,18 +8,18 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// What a slow client sends, a byte at a time.
+/// What a slow client sends, byte by byte.
 const INCOMPLETE_REQUEST: &[u8] = b"GET /card-check HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: 0";
-/// Between two bytes of a slow client.
+/// Interval between two bytes of a slow client.
 const BYTE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The connections of a crowd, which close when this is dropped.
+/// The open connections; dropping it closes them.
 pub struct Crowd {
     _clients: JoinSet<()>,
 }
 
 impl Crowd {
-    /// Opens so many connections to each of these addresses.
+    /// Opens `connections` connections to each address.
     pub fn open(addresses: &[SocketAddr], connections: usize) -> Self {
         let mut clients = JoinSet::new();
         for &address in addresses {
@@ -30,7 +31,7 @@
     }
 }
 
-/// One connection, until its proxy closes it or the crowd leaves.
+/// Runs one connection until its proxy closes it or the crowd is dropped.
 async fn client(address: SocketAddr, is_idle: bool) {
     let Ok(mut stream) = TcpStream::connect(address).await else { return };
     if is_idle {
