--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -204,7 +204,7 @@
         if !entries.is_empty() {
             let now = self.shared.now();
             let at = known.told_at.map_or(now, |at| at.max(now));
-            self.shared.record(Observation::ListSent { proxy: self.proxy, at, entries });
+            self.shared.record(Observation::ListNotified { proxy: self.proxy, at, entries });
         }
     }
 
@@ -241,7 +241,11 @@
 
     fn told(&self, entries: Vec<ListEntry>) {
         if !entries.is_empty() {
-            self.shared.record(Observation::ListSent { proxy: self.proxy, at: self.shared.now(), entries });
+            self.shared.record(Observation::ListNotified {
+                proxy: self.proxy,
+                at: self.shared.now(),
+                entries,
+            });
         }
     }
 
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -137,8 +137,8 @@
     attempts: HashMap<u64, Attempt>,
     tries: Vec<Try>,
     ended_requests: Vec<(usize, Micros, TryEnd)>,
-    /// Endpoint states sent to a proxy, by proxy and server.
-    sent_states: HashMap<(usize, usize), Vec<(Micros, EndpointState)>>,
+    /// Endpoint states that a proxy was notified of, by proxy and server.
+    notified_states: HashMap<(usize, usize), Vec<(Micros, EndpointState)>>,
     /// When a proxy was first notified of a server's process, by proxy, server and start of the process.
     start_notices: HashMap<(usize, usize, Micros), Micros>,
     /// Attempts that arrived at cold servers, by server and start of its process.
@@ -170,7 +170,7 @@
         attempts: HashMap::new(),
         tries: Vec::new(),
         ended_requests: Vec::new(),
-        sent_states: HashMap::new(),
+        notified_states: HashMap::new(),
         start_notices: HashMap::new(),
         cold_arrivals: BTreeMap::new(),
         cold_load: ColdLoad::default(),
@@ -191,7 +191,7 @@
         evidence.add(observation, &mut violations);
     }
     // A change that a silent watch misses is recorded before the time from which it counts.
-    evidence.sent_states.values_mut().for_each(|states| states.sort_by_key(|(at, _)| *at));
+    evidence.notified_states.values_mut().for_each(|states| states.sort_by_key(|(at, _)| *at));
     for (rule, at, description) in violations {
         evidence.add_violation(rule, at, description);
     }
@@ -254,9 +254,9 @@
                     format!("proxy {proxy} sent a response without a pending request"),
                 ));
             }
-            Observation::ListSent { proxy, at, entries } => {
+            Observation::ListNotified { proxy, at, entries } => {
                 for ListEntry { server, state, started } in entries {
-                    self.sent_states.entry((proxy, server)).or_default().push((at, state));
+                    self.notified_states.entry((proxy, server)).or_default().push((at, state));
                     let since = self.start_notices.entry((proxy, server, started)).or_insert(at);
                     *since = at.min(*since);
                 }
@@ -469,20 +469,20 @@
         let grace = self.shared.scenario.discovery.drain_grace + LATE_TOLERANCE_US;
         let mut found = Vec::new();
         let left = self
-            .sent_states
+            .notified_states
             .iter()
             .filter(|(_, states)| states.iter().any(|(_, state)| *state != EndpointState::Ready));
         self.last_attempt_after_notice = left.map(|(pair, _)| (*pair, 0)).collect();
         for attempt in self.attempts.values() {
             let proxy = self.shared.arrivals[attempt.request].proxy;
-            let states = self.sent_states.get(&(proxy, attempt.server)).map_or(&[][..], Vec::as_slice);
+            let states = self.notified_states.get(&(proxy, attempt.server)).map_or(&[][..], Vec::as_slice);
             let before = &states[..states.partition_point(|(at, _)| *at <= attempt.first)];
             let subject = format!("request {}, proxy {proxy}, server {}", attempt.request, attempt.server);
             if before.is_empty() {
                 found.push((
                     attempt.first,
                     "listed",
-                    format!("{subject}: not in any list sent to the proxy"),
+                    format!("{subject}: the proxy had not been notified of this server"),
                 ));
                 continue;
             }
--- a/crates/testbed/src/cluster/process_faults.rs
+++ b/crates/testbed/src/cluster/process_faults.rs
@@ -81,7 +81,7 @@
             match signal {
                 SignalSpec::Hup => seat.reload(),
                 SignalSpec::HupInvalid => {
-                    // If the invalid file cannot be written, the process keeps its settings, which is what
+                    // If the file cannot be read or written, the process keeps its settings, which is what
                     // this signal tests.
                     let _ = seat.reload_invalid(pause / 2).await;
                 }
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -61,7 +61,8 @@
     pub number: u32,
     /// When the request was first written.
     pub sent: Micros,
-    /// When it was written again on a new connection because the first, a reused one, had ended.
+    /// When the request was written again on a new connection, because the reused one had ended. For a
+    /// pipelined try: when its connection ended without a response.
     pub resent: Option<Micros>,
     /// When the client gives up.
     pub deadline: Micros,
@@ -154,8 +155,8 @@
     RequestEnded { request: usize, at: Micros, end: TryEnd },
     /// A client received a response without a pending request.
     UnsolicitedResponse { proxy: usize, at: Micros },
-    /// A proxy was sent the endpoint list or a change of it.
-    ListSent { proxy: usize, at: Micros, entries: Vec<ListEntry> },
+    /// From `at` on, a proxy counts as notified of these entries of the endpoint list.
+    ListNotified { proxy: usize, at: Micros, entries: Vec<ListEntry> },
     /// A proxy requested the endpoint list.
     ListRequested { proxy: usize, at: Micros },
     /// A proxy's request for the endpoint list was answered.
