--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -4,10 +4,10 @@
 use super::discovery::{Agent, Member};
 use super::gate::{address, Party};
 use super::hops::cpu;
-use super::http::{self, Message, Side};
+use super::http::{self, Message, MessageKind};
 use super::processes::{Program, Seat};
-use super::record::{histogram, Shared, TOO_LATE};
-use super::servers::{author, body, name};
+use super::record::{histogram, Shared, MAX_TIMER_LATENESS_US};
+use super::servers::{body, name, responding_server};
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
 use oakport_core::{EndpointState, Micros};
@@ -109,7 +109,7 @@
 impl Outcome {
     /// The rig itself was too late to tell what is late, or failed for that, as in a day of the fleet.
     pub fn too_late(&self) -> bool {
-        self.late.value_at_quantile(0.99) > TOO_LATE
+        self.late.value_at_quantile(0.99) > MAX_TIMER_LATENESS_US
     }
 }
 
@@ -196,7 +196,7 @@
 
     async fn exchange(&self, (mut stream, mut buffer): Open, text: &str) -> std::io::Result<Message> {
         stream.write_all(text.as_bytes()).await?;
-        let answer = http::read(&mut stream, &mut buffer, Side::Answers).await?;
+        let answer = http::read(&mut stream, &mut buffer, MessageKind::Response).await?;
         if buffer.is_empty() && !answer.closes() {
             lock(&self.resting).push((stream, buffer));
         }
@@ -233,7 +233,7 @@
              X-Timeout: {time}u\r\nContent-Length: 1\r\n\r\n1"
         );
         let Ok(Ok(answer)) = timeout(left + SLACK, caller.ask(&text)).await else { return false };
-        let server = author(&answer.body, &named, None).filter(|_| answer.status() == 200);
+        let server = responding_server(&answer.body, &named, None).filter(|_| answer.status() == 200);
         server.is_some_and(|server| server / SERVERS == usize::from(id.hop))
     }
 
@@ -257,25 +257,30 @@
         // It only saves time.
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
-        while matches!(timeout(self.idle, http::begun(&mut stream, &mut buffer)).await, Ok(Ok(true))) {
-            let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await else { return };
+        while matches!(timeout(self.idle, http::wait_for_bytes(&mut stream, &mut buffer)).await, Ok(Ok(true)))
+        {
+            let Ok(message) = http::read(&mut stream, &mut buffer, MessageKind::Request).await else {
+                return;
+            };
             let text = match message.header("x-request-id").map(Id::read) {
-                None => http::answer(404, "", ""),
+                None => http::format_response(404, "", ""),
                 Some(id) => match id.filter(|id| usize::from(id.hop) == hop) {
-                    None => http::answer(400, "", ""),
+                    None => http::format_response(400, "", ""),
                     Some(id) => {
                         lock(&self.arrivals).entry(id).or_default().push(server);
                         let left = message.header("x-timeout").and_then(time_left).unwrap_or(DEADLINE);
                         let called = tokio::select! {
                             called = self.call_on(id, left) => called,
                             // Whoever called has given up, and with it all behind.
-                            () = http::closed(&stream) => return,
+                            () = http::wait_until_closed(&stream) => return,
                         };
                         match called {
-                            true => {
-                                http::answer(200, "", &body(&name(hop * SERVERS + server), &id.text(), None))
-                            }
-                            false => http::answer(500, "", ""),
+                            true => http::format_response(
+                                200,
+                                "",
+                                &body(&name(hop * SERVERS + server), &id.text(), None),
+                            ),
+                            false => http::format_response(500, "", ""),
                         }
                     }
                 },
@@ -325,7 +330,7 @@
         for number in hop * SERVERS..(hop + 1) * SERVERS {
             let listener = TcpListener::bind(address(Party::Server, number)).await.map_err(odd)?;
             let address = listener.local_addr().map_err(odd)?;
-            let zone = shared.day.zones[0].clone();
+            let zone = shared.scenario.zones[0].clone();
             let member = Member {
                 state: EndpointState::Ready,
                 address,
@@ -342,7 +347,7 @@
         parties.push(Hop { proxy: Caller::new(seat.address), servers });
         seats.push(seat);
     }
-    let idle = Duration::from_micros(shared.day.server.idle_timeout);
+    let idle = Duration::from_micros(shared.scenario.server.idle_timeout);
     let chain = Arc::new(Chain { hops: parties, arrivals: Mutex::default(), idle });
     let mut accepting = JoinSet::new();
     for (listener, hop, server) in listeners {
@@ -357,7 +362,7 @@
     };
     let mut outcomes = Vec::new();
     for (number, pace) in (0..).zip([WARM_UP].iter().chain(paces)) {
-        let moments = moments(&shared.day, seed, pace);
+        let moments = moments(&shared.scenario, seed, pace);
         let (before, begin) = (mean(cpu), Instant::now());
         let (ways, late) = ask(&chain, number, moments).await;
         let cpu_share = (mean(cpu) - before) / begin.elapsed().as_secs_f64();
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery: an agent beside each proxy, which answers at once with what it has been sent.
 
 use super::gate::{address, Party};
-use super::http::{self, Side};
-use super::record::{Seen, Shared, Word};
+use super::http::{self, MessageKind};
+use super::record::{ListEntry, Observation, Shared};
 use super::servers::name;
 use bytes::BytesMut;
 use oakport_core::{EndpointState, Micros};
@@ -53,8 +53,8 @@
 
 impl Member {
     /// What is told of it, by its number.
-    fn word(&self, server: usize) -> Word {
-        Word { server, state: self.state, started: self.started }
+    fn word(&self, server: usize) -> ListEntry {
+        ListEntry { server, state: self.state, started: self.started }
     }
 }
 
@@ -199,17 +199,17 @@
             return;
         }
         let new = known.members.iter().filter(|(_, (_, index))| *index > known.told);
-        let entries: Vec<Word> = new.map(|(&server, (member, _))| member.word(server)).collect();
+        let entries: Vec<ListEntry> = new.map(|(&server, (member, _))| member.word(server)).collect();
         known.told = known.index;
         if !entries.is_empty() {
             let now = self.shared.now();
             let at = known.told_at.map_or(now, |at| at.max(now));
-            self.shared.saw(Seen::Told { proxy: self.proxy, at, entries });
+            self.shared.record(Observation::ListNotified { proxy: self.proxy, at, entries });
         }
     }
 
     /// What it holds, as a whole list, or as changes since a version; and what that tells.
-    fn list(&self, since: Option<u64>) -> (Value, Vec<Word>) {
+    fn list(&self, since: Option<u64>) -> (Value, Vec<ListEntry>) {
         let known = self.known();
         let since = since.filter(|since| *since >= known.whole_from);
         let wanted = |(member, index): &&(Member, u64)| match since {
@@ -239,9 +239,13 @@
         (json!({"index": known.index, "snapshot": since.is_none(), "endpoints": endpoints}), told)
     }
 
-    fn told(&self, entries: Vec<Word>) {
+    fn told(&self, entries: Vec<ListEntry>) {
         if !entries.is_empty() {
-            self.shared.saw(Seen::Told { proxy: self.proxy, at: self.shared.now(), entries });
+            self.shared.record(Observation::ListNotified {
+                proxy: self.proxy,
+                at: self.shared.now(),
+                entries,
+            });
         }
     }
 
@@ -262,9 +266,9 @@
 
     async fn connection(self: Arc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
-        while let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await {
-            self.shared.saw(Seen::Asked { proxy: self.proxy, at: self.shared.now() });
-            let path = message.first.1;
+        while let Ok(message) = http::read(&mut stream, &mut buffer, MessageKind::Request).await {
+            self.shared.record(Observation::ListRequested { proxy: self.proxy, at: self.shared.now() });
+            let path = message.start_line.1;
             let figure = |key: &str| {
                 let (_, query) = path.split_once('?')?;
                 query
@@ -280,16 +284,16 @@
                 let silent = tokio::select! {
                     _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)) => false,
                     _ = hushed.changed() => true,
-                    () = http::closed(&stream) => return,
+                    () = http::wait_until_closed(&stream) => return,
                 };
                 if silent {
-                    http::closed(&stream).await;
+                    http::wait_until_closed(&stream).await;
                     return;
                 }
             }
-            if *self.mode.borrow() == Mode::Silent && self.shared.day.discovery.poll_interval.is_some() {
+            if *self.mode.borrow() == Mode::Silent && self.shared.scenario.discovery.poll_interval.is_some() {
                 // A service that stands still swallows what it is asked; an agent answers once it goes on.
-                http::closed(&stream).await;
+                http::wait_until_closed(&stream).await;
                 return;
             }
             let mode = {
@@ -299,17 +303,22 @@
                         Ok(mode) => *mode,
                         Err(_) => return,
                     },
-                    () = http::closed(&stream) => return,
+                    () = http::wait_until_closed(&stream) => return,
                 }
             };
             let (text, told) = match mode {
-                Mode::Unavailable => (http::answer(503, "", ""), Vec::new()),
-                _ if !path.starts_with("/catalog/members") => (http::answer(404, "", ""), Vec::new()),
+                Mode::Unavailable => (http::format_response(503, "", ""), Vec::new()),
+                _ if !path.starts_with("/catalog/members") => {
+                    (http::format_response(404, "", ""), Vec::new())
+                }
                 _ => {
                     let (list, told) = self.list(since);
                     // Whoever asks has noticed that its watch was silent.
                     self.known().told_at = None;
-                    (http::answer(200, "Content-Type: application/json\r\n", &list.to_string()), told)
+                    (
+                        http::format_response(200, "Content-Type: application/json\r\n", &list.to_string()),
+                        told,
+                    )
                 }
             };
             if stream.write_all(text.as_bytes()).await.is_err() {
@@ -317,7 +326,7 @@
             }
             self.written.fetch_add(text.len() as u64, Ordering::Relaxed);
             if mode == Mode::Well {
-                self.shared.saw(Seen::Answered { proxy: self.proxy, at: self.shared.now() });
+                self.shared.record(Observation::ListAnswered { proxy: self.proxy, at: self.shared.now() });
             }
             self.told(told);
         }
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -3,7 +3,7 @@
 use super::discovery::{Agent, Member};
 use super::links::Relay;
 use super::record::Shared;
-use super::servers::Machine;
+use super::servers::TestServer;
 use oakport_core::EndpointState;
 use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::{FaultKind, FaultSpec, Group, Scenario};
@@ -20,7 +20,7 @@
 
 /// Servers, agents and the relays between.
 pub struct Site {
-    machines: Mutex<Vec<Arc<Machine>>>,
+    machines: Mutex<Vec<Arc<TestServer>>>,
     /// Between those parties that events name, and none elsewhere.
     pub relays: BTreeMap<Pair, Arc<Relay>>,
     /// The agent of each proxy.
@@ -76,10 +76,10 @@
 impl Site {
     /// Starts all, and tells the agents of all servers.
     pub async fn start(shared: &Arc<Shared>) -> std::io::Result<Self> {
-        let day = &shared.day;
+        let day = &shared.scenario;
         let (mut machines, mut agents, mut relays) = (Vec::new(), Vec::new(), BTreeMap::new());
         for number in 0..day.servers {
-            machines.push(Machine::start(shared, number, shared.zone(number), "first", 0)?);
+            machines.push(TestServer::start(shared, number, shared.zone(number), "first", 0)?);
         }
         for proxy in 0..day.balancers {
             agents.push(Agent::start(shared, proxy).await?);
@@ -94,7 +94,9 @@
         let luck = Mutex::new(random::stream(shared.seed, StreamId::Faults));
         let site = Site { machines: Mutex::new(machines), relays, agents, luck, shared: Arc::clone(shared) };
         for (proxy, agent) in site.agents.iter().enumerate() {
-            if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.poll_interval.is_some() {
+            if site.relays.contains_key(&(proxy, None))
+                || site.shared.scenario.discovery.poll_interval.is_some()
+            {
                 agent.far();
             }
         }
@@ -107,7 +109,7 @@
     }
 
     /// All servers, those that have gone included.
-    pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<Machine>>> {
+    pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<TestServer>>> {
         self.machines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -126,20 +128,20 @@
     }
 
     /// A server as a proxy's list has it.
-    fn member(&self, proxy: usize, machine: &Machine, state: EndpointState) -> Member {
+    fn member(&self, proxy: usize, machine: &TestServer, state: EndpointState) -> Member {
         let relay = self.relays.get(&(proxy, Some(machine.number)));
         Member {
             state,
             address: relay.map_or(machine.address, |relay| relay.address()),
-            zone: self.shared.day.zones[machine.zone].clone(),
+            zone: self.shared.scenario.zones[machine.zone].clone(),
             release: machine.release.clone(),
             started: machine.started(),
         }
     }
 
     /// News of a server go to all agents, to each after a while of its own.
-    pub fn tell(&self, machine: &Machine, state: EndpointState) {
-        let delay = self.shared.day.discovery.delay;
+    pub fn tell(&self, machine: &TestServer, state: EndpointState) {
+        let delay = self.shared.scenario.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = random::jitter(delay, 0.5, &mut *self.luck());
             let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, machine, state));
@@ -152,11 +154,11 @@
     }
 
     /// The servers that an event meets.
-    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
-        let zones = &self.shared.day.zones;
+    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<TestServer>> {
+        let zones = &self.shared.scenario.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let machines = self.machines();
-        let mut met: Vec<_> = machines.iter().filter(|m| m.takes()).cloned().collect();
+        let mut met: Vec<_> = machines.iter().filter(|m| m.is_ready()).cloned().collect();
         drop(machines);
         match zone {
             Some(zone) => met.retain(|machine| machine.zone == zone),
@@ -167,7 +169,7 @@
 
     /// The proxies that an event meets.
     pub fn met_proxies(&self, event: &FaultSpec) -> Vec<usize> {
-        let zones = &self.shared.day.zones;
+        let zones = &self.shared.scenario.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let mut met: Vec<usize> = (0..self.agents.len()).collect();
         match zone {
