--- a/crates/testbed/src/cluster/transfers.rs
+++ b/crates/testbed/src/cluster/transfers.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at};
 
-/// Longest pause within a large response (the test cluster's page, "Hard days").
+/// Longest pause within a large response (DAYS, "Hard days").
 const MAX_RESPONSE_PAUSE: Duration = Duration::from_micros(2_000_000 + LATE_TOLERANCE_US);
 /// Most bytes that a slow client writes or reads at once.
 const CHUNK_BYTES: usize = 8 * 1024;
