--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -2,9 +2,9 @@
 //! before they answer. The same calls go the same way without the proxies, between the others.
 
 use super::discovery::{Agent, Member};
-use super::gate::{address, Party};
 use super::hops::cpu;
 use super::http::{self, Message, Side};
+use super::listener::{address, Role};
 use super::processes::{Program, Seat};
 use super::record::{histogram, Shared, TOO_LATE};
 use super::servers::{author, body, name};
@@ -323,7 +323,7 @@
         let agent = Agent::start(&shared, hop).await.map_err(odd)?;
         let mut servers = Vec::new();
         for number in hop * SERVERS..(hop + 1) * SERVERS {
-            let listener = TcpListener::bind(address(Party::Server, number)).await.map_err(odd)?;
+            let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(odd)?;
             let address = listener.local_addr().map_err(odd)?;
             let zone = shared.day.zones[0].clone();
             let member = Member {
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: an agent beside each proxy, which answers at once with what it has been sent.
 
-use super::gate::{address, Party};
 use super::http::{self, Side};
+use super::listener::{address, Role};
 use super::record::{Seen, Shared, Word};
 use super::servers::name;
 use bytes::BytesMut;
@@ -96,7 +96,7 @@
 impl Agent {
     /// Starts the agent of a proxy, which knows no server yet.
     pub async fn start(shared: &Arc<Shared>, proxy: usize) -> std::io::Result<Arc<Self>> {
-        let listener = TcpListener::bind(address(Party::Agent, proxy)).await?;
+        let listener = TcpListener::bind(address(Role::Agent, proxy)).await?;
         let agent = Arc::new(Agent {
             proxy,
             address: listener.local_addr()?,
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -1,8 +1,8 @@
 //! What a hop costs: the same requests to the same servers by several ways, in turn.
 
-use super::gate::{address, held, hold, Party};
 use super::http::{self, Side};
 use super::links::Relay;
+use super::listener::{address, bound_address, reserve, Role};
 use super::outside;
 use super::processes::{Program, Seat};
 use super::record::{histogram, Shared};
@@ -140,8 +140,8 @@
 impl Told {
     /// The program, told to listen for operators, and the place.
     fn by(program: &Program, number: usize) -> std::io::Result<(Program, Told)> {
-        let holder = hold(address(Party::Proxy, number))?;
-        let operator = held(&holder)?;
+        let holder = reserve(address(Role::Proxy, number))?;
+        let operator = bound_address(&holder)?;
         let mut program = program.clone();
         program.environment.push(("RELAY_OPERATOR".to_owned(), operator.to_string()));
         Ok((program, Told { operator, _holder: holder }))
--- a/crates/testbed/src/cluster/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -1,7 +1,7 @@
 //! Relays between two named parties, and what they do to what passes.
 
-use super::gate::{address, gone, Gate, Party};
 use super::http;
+use super::listener::{address, wait_for_reset, Role, SwitchableListener};
 use oakport_core::Micros;
 use oakport_simulator::random::{self, StreamId};
 use oakport_simulator::scenario::LinkSpec;
@@ -46,19 +46,19 @@
 
 /// A relay of connections to one target.
 pub struct Relay {
-    gate: Gate,
+    gate: SwitchableListener,
     ways: watch::Sender<Both>,
 }
 
 impl Relay {
     /// Starts a relay that passes all on.
     pub fn start(target: SocketAddr) -> Result<Arc<Self>> {
-        let gate = Gate::new(address(Party::Relay, RELAYS.fetch_add(1, Ordering::Relaxed)))?;
+        let gate = SwitchableListener::new(address(Role::Relay, RELAYS.fetch_add(1, Ordering::Relaxed)))?;
         let relay = Arc::new(Relay { gate, ways: watch::Sender::new(Both::default()) });
         let taking = Arc::clone(&relay);
         tokio::spawn(async move {
-            let taken = |stream, life| {
-                tokio::spawn(Arc::clone(&taking).connection(stream, target, life));
+            let taken = |stream, generation| {
+                tokio::spawn(Arc::clone(&taking).connection(stream, target, generation));
             };
             taking.gate.serve(taken).await;
         });
@@ -82,13 +82,13 @@
         self.ways.send_replace(both);
     }
 
-    async fn connection(self: Arc<Self>, near: TcpStream, target: SocketAddr, life: u32) {
-        let mut phase = self.gate.watch();
+    async fn connection(self: Arc<Self>, near: TcpStream, target: SocketAddr, generation: u32) {
+        let mut state = self.gate.watch();
         let far = tokio::select! {
             // One that is up is reset below, on both sides.
             biased;
             far = TcpStream::connect(target) => far,
-            () = gone(&mut phase, life) => return http::reset(near),
+            () = wait_for_reset(&mut state, generation) => return http::reset(near),
         };
         // The target refuses: the one side sees a reset where it would have seen that.
         let Ok(far) = far else { return http::reset(near) };
@@ -103,7 +103,7 @@
         };
         let whole = tokio::select! {
             ends = passed => ends.is_ok(),
-            () = gone(&mut phase, life) => false,
+            () = wait_for_reset(&mut state, generation) => false,
         };
         if !whole {
             // A side that was reset resets the other.
@@ -180,7 +180,7 @@
         let (mut sockets, mut doors) = (Vec::new(), Vec::new());
         for _ in &ends {
             let socket =
-                UdpSocket::bind(address(Party::Relay, RELAYS.fetch_add(1, Ordering::Relaxed))).await?;
+                UdpSocket::bind(address(Role::Relay, RELAYS.fetch_add(1, Ordering::Relaxed))).await?;
             doors.push(socket.local_addr()?);
             sockets.push(Arc::new(socket));
         }
--- a/crates/testbed/src/cluster/gate.rs
+++ b/crates/testbed/src/cluster/listener.rs
@@ -14,27 +14,27 @@
 
 /// Where a gate stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Phase {
+pub struct ListenerState {
     up: bool,
     silent: bool,
     /// Counts the times that it was closed.
-    pub life: u32,
+    pub generation: u32,
 }
 
 /// A listener's address and what it does with those who come.
-pub struct Gate {
+pub struct SwitchableListener {
     /// Where it listens.
     pub address: SocketAddr,
     /// Keeps the port while nobody listens there.
     _holder: Socket,
     /// Takes connections from the beginning, though `serve` comes later.
     first: Mutex<Option<TcpListener>>,
-    phase: watch::Sender<Phase>,
+    state: watch::Sender<ListenerState>,
 }
 
 /// Parties have addresses of their own, by their kind and number.
 #[derive(Clone, Copy, Debug)]
-pub enum Party {
+pub enum Role {
     /// Servers.
     Server = 1,
     /// Proxies.
@@ -46,13 +46,13 @@
 }
 
 /// An address of this machine for a party, with a port that the kernel chooses.
-pub fn address(party: Party, number: usize) -> SocketAddr {
+pub fn address(party: Role, number: usize) -> SocketAddr {
     let number = number as u16;
     SocketAddr::from((Ipv4Addr::new(127, party as u8, (number >> 8) as u8, (number & 0xff) as u8), 0))
 }
 
 /// A socket that keeps an address while others may listen there.
-pub fn hold(address: SocketAddr) -> Result<Socket> {
+pub fn reserve(address: SocketAddr) -> Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -60,73 +60,75 @@
 }
 
 /// Where a held socket is bound.
-pub fn held(socket: &Socket) -> Result<SocketAddr> {
+pub fn bound_address(socket: &Socket) -> Result<SocketAddr> {
     let address = socket.local_addr()?.as_socket();
     address.ok_or_else(|| std::io::Error::other("no address of IPv4"))
 }
 
 /// Listens at an address that is held.
 fn listen(address: SocketAddr) -> Result<TcpListener> {
-    let socket = hold(address)?;
+    let socket = reserve(address)?;
     socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
 }
 
-impl Gate {
+impl SwitchableListener {
     /// Takes an address; who comes before `serve` waits for it.
     pub fn new(address: SocketAddr) -> Result<Self> {
-        let holder = hold(address)?;
-        let phase = watch::Sender::new(Phase { up: true, silent: false, life: 0 });
-        let address = held(&holder)?;
+        let holder = reserve(address)?;
+        let state = watch::Sender::new(ListenerState { up: true, silent: false, generation: 0 });
+        let address = bound_address(&holder)?;
         let first = Mutex::new(Some(listen(address)?));
-        Ok(Gate { address, _holder: holder, first, phase })
+        Ok(SwitchableListener { address, _holder: holder, first, state })
     }
 
     /// Nothing passes, and new connections never come up; or it is as before.
     pub fn silence(&self, silent: bool) {
-        self.phase.send_if_modified(|phase| std::mem::replace(&mut phase.silent, silent) != silent);
+        self.state.send_if_modified(|state| std::mem::replace(&mut state.silent, silent) != silent);
     }
 
     /// New connections are refused, and those that are open end.
     pub fn close(&self) {
-        self.phase.send_modify(|phase| *phase = Phase { up: false, silent: false, life: phase.life + 1 });
+        self.state.send_modify(|state| {
+            *state = ListenerState { up: false, silent: false, generation: state.generation + 1 }
+        });
     }
 
     /// Connections that are open end.
     pub fn reset(&self) {
-        self.phase.send_modify(|phase| phase.life += 1);
+        self.state.send_modify(|state| state.generation += 1);
     }
 
     /// New connections are refused, or taken again; those that are open stay.
     pub fn refuse(&self, refuses: bool) {
-        self.phase.send_if_modified(|phase| std::mem::replace(&mut phase.up, !refuses) == refuses);
+        self.state.send_if_modified(|state| std::mem::replace(&mut state.up, !refuses) == refuses);
     }
 
     /// Connections are taken again.
     pub fn open(&self) {
-        self.phase.send_modify(|phase| phase.up = true);
+        self.state.send_modify(|state| state.up = true);
     }
 
     /// To see it change.
-    pub fn watch(&self) -> watch::Receiver<Phase> {
-        self.phase.subscribe()
+    pub fn watch(&self) -> watch::Receiver<ListenerState> {
+        self.state.subscribe()
     }
 
     /// Takes connections while it is open, for ever.
     pub async fn serve(&self, taken: impl Fn(TcpStream, u32)) {
-        let mut phase = self.phase.subscribe();
+        let mut state = self.state.subscribe();
         let mut listener = self.first.lock().unwrap_or_else(PoisonError::into_inner).take();
         loop {
-            let now = *phase.borrow_and_update();
+            let now = *state.borrow_and_update();
             if !now.up {
                 listener = None;
             } else if listener.is_none() {
                 listener = listen(self.address).ok();
             }
             let Some(open) = listener.as_ref().filter(|_| !now.silent) else {
-                let fillers = listener.as_ref().map(|l| deafen(l, self.address));
-                if phase.changed().await.is_err() {
+                let fillers = listener.as_ref().map(|l| fill_accept_queue(l, self.address));
+                if state.changed().await.is_err() {
                     return;
                 }
                 drop(fillers);
@@ -137,25 +139,25 @@
                 continue;
             };
             tokio::select! {
-                came = open.accept() => if let Ok((stream, _)) = came { taken(stream, now.life) },
-                changed = phase.changed() => if changed.is_err() { return },
+                came = open.accept() => if let Ok((stream, _)) = came { taken(stream, now.generation) },
+                changed = state.changed() => if changed.is_err() { return },
             }
         }
     }
 }
 
 /// Waits while nothing comes through.
-pub async fn heard(mut phase: watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|phase| !phase.silent).await;
+pub async fn wait_until_not_silent(mut state: watch::Receiver<ListenerState>) {
+    let _ = state.wait_for(|state| !state.silent).await;
 }
 
-/// Waits until what was open at this life has ended.
-pub async fn gone(phase: &mut watch::Receiver<Phase>, life: u32) {
-    let _ = phase.wait_for(|phase| phase.life != life).await;
+/// Waits until what was open at this generation has ended.
+pub async fn wait_for_reset(state: &mut watch::Receiver<ListenerState>, generation: u32) {
+    let _ = state.wait_for(|state| state.generation != generation).await;
 }
 
 /// Fills the queue of a listener that takes nobody.
-fn deafen(listener: &TcpListener, address: SocketAddr) -> tokio::task::JoinSet<()> {
+fn fill_accept_queue(listener: &TcpListener, address: SocketAddr) -> tokio::task::JoinSet<()> {
     let mut fillers = tokio::task::JoinSet::new();
     // Without it connections come up and are as silent as the rest.
     let _ = SockRef::from(listener).listen(0);
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -1,7 +1,7 @@
 //! The proxies as processes: started as the platform starts them, met by signals, and never left behind.
 
 use super::discovery::Agent;
-use super::gate::{address, held, hold, Party};
+use super::listener::{address, bound_address, reserve, Role};
 use super::record::{Seen, Shared, Signal};
 use nix::sys::signal::{kill, Signal as Number};
 use nix::unistd::Pid;
@@ -82,9 +82,9 @@
         let mut all = Vec::new();
         for n in 0..number {
             // The port is this proxy's alone: nobody else has its address.
-            let place = std::net::UdpSocket::bind(address(Party::Proxy, n))?.local_addr()?;
-            let holder = hold(address(Party::Proxy, n))?;
-            let operator = held(&holder)?;
+            let place = std::net::UdpSocket::bind(address(Role::Proxy, n))?.local_addr()?;
+            let holder = reserve(address(Role::Proxy, n))?;
+            let operator = bound_address(&holder)?;
             all.push(Peer { address: place, advertise: place, seeds: Vec::new(), operator, _holder: holder });
         }
         Peer::know(&mut all, seeds);
@@ -133,13 +133,13 @@
         logs: Option<&Path>,
     ) -> std::io::Result<Self> {
         const BACKLOG: i32 = 1_024;
-        let holder = hold(address(Party::Proxy, number))?;
+        let holder = reserve(address(Role::Proxy, number))?;
         if inherits {
             holder.listen(BACKLOG)?;
         }
         Ok(Seat {
             number,
-            address: held(&holder)?,
+            address: bound_address(&holder)?,
             holder,
             inherits,
             agent: Arc::clone(agent),
@@ -165,8 +165,8 @@
     /// # Errors
     /// A socket cannot be had.
     pub fn operated(&mut self) -> std::io::Result<SocketAddr> {
-        let holder = hold(address(Party::Proxy, self.number))?;
-        let operator = held(&holder)?;
+        let holder = reserve(address(Role::Proxy, self.number))?;
+        let operator = bound_address(&holder)?;
         self.operator = Some((operator, holder));
         Ok(operator)
     }
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -1,8 +1,8 @@
 //! Servers on sockets: the model's server, with its cores, slots and cold start, behind a listener of its own.
 
 use super::cold::{self, Window};
-use super::gate::{address, gone, heard, Gate, Party};
 use super::http::{self, Side};
+use super::listener::{address, wait_for_reset, wait_until_not_silent, Role, SwitchableListener};
 use super::record::{Seen, Shared};
 use super::slow_stream;
 use bytes::BytesMut;
@@ -61,7 +61,7 @@
     pub release: String,
     /// Where it listens.
     pub address: SocketAddr,
-    gate: Gate,
+    gate: SwitchableListener,
     inner: Mutex<Inner>,
     changed: Notify,
     shared: Arc<Shared>,
@@ -79,7 +79,7 @@
         release: &str,
         started: Micros,
     ) -> std::io::Result<Arc<Self>> {
-        let gate = Gate::new(address(Party::Server, number))?;
+        let gate = SwitchableListener::new(address(Role::Server, number))?;
         let inner = Inner {
             server: Server::new(&shared.day.server, zone, started),
             quirks: Quirks::default(),
@@ -233,7 +233,7 @@
         loop {
             let began = tokio::select! {
                 began = tokio::time::timeout(self.idle_time(), http::begun(&mut stream, &mut buffer)) => began,
-                () = gone(&mut phase, life) => {
+                () = wait_for_reset(&mut phase, life) => {
                     last.into_iter().for_each(|attempt| self.broke_off(attempt));
                     return http::reset(stream);
                 }
@@ -244,7 +244,7 @@
             let first = self.shared.now();
             let message = tokio::select! {
                 message = http::read(&mut stream, &mut buffer, Side::Asks) => message,
-                () = gone(&mut phase, life) => return http::reset(stream),
+                () = wait_for_reset(&mut phase, life) => return http::reset(stream),
             };
             let Ok(message) = message else { return };
             let id = message.header("x-request-id").and_then(|id| self.shared.of_id(id));
@@ -261,7 +261,7 @@
             let work = self.shared.arrivals[request].work;
             let (outcome, wasted) = tokio::select! {
                 done = self.serve(&mut stream, attempt, request) => done,
-                () = gone(&mut phase, life) => (Outcome::Reset, work),
+                () = wait_for_reset(&mut phase, life) => (Outcome::Reset, work),
             };
             self.shared.saw(Seen::Ended { attempt, outcome, wasted });
             let text = match outcome {
@@ -271,12 +271,12 @@
                 _ => return http::reset(stream),
             };
             tokio::select! {
-                () = heard(self.gate.watch()) => {}
-                () = gone(&mut phase, life) => return http::reset(stream),
+                () = wait_until_not_silent(self.gate.watch()) => {}
+                () = wait_for_reset(&mut phase, life) => return http::reset(stream),
             }
             let given = tokio::select! {
                 given = give(&mut stream, text.as_bytes(), self.give_rate(request)) => given,
-                () = gone(&mut phase, life) => {
+                () = wait_for_reset(&mut phase, life) => {
                     self.broke_off(attempt);
                     return http::reset(stream);
                 }
@@ -314,7 +314,7 @@
     /// What comes of an attempt, and the work that was done for nobody.
     async fn serve(&self, stream: &mut TcpStream, attempt: u64, request: usize) -> (Outcome, f64) {
         let (work, proxy) = (self.shared.arrivals[request].work, self.shared.arrivals[request].proxy);
-        heard(self.gate.watch()).await;
+        wait_until_not_silent(self.gate.watch()).await;
         let network = &self.shared.day.network;
         let way = if self.shared.zone(proxy) == self.zone {
             network.delay_within_zone
