--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -3,7 +3,7 @@
 use super::clients::App;
 use super::crowd::Crowd;
 use super::discovery::Mode;
-use super::links::{Both, Datagrams};
+use super::links::{DatagramRelay, LinkFaults};
 use super::plan::Play;
 use super::processes::Seat;
 use super::record::Seen;
@@ -32,7 +32,7 @@
     /// The application beside each.
     pub apps: Vec<Arc<App>>,
     /// What is between the proxies as peers, if anything is.
-    pub datagrams: Option<Datagrams>,
+    pub datagrams: Option<DatagramRelay>,
     /// How it is played.
     pub play: Play,
 }
@@ -112,7 +112,7 @@
                     FaultKind::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
                     _ => event.link,
                 };
-                let mut ways: BTreeMap<Pair, Both> = BTreeMap::new();
+                let mut ways: BTreeMap<Pair, LinkFaults> = BTreeMap::new();
                 for (pair, way) in met(&self.site.shared.day, &event) {
                     let both = ways.entry(pair).or_default();
                     both[way] = spec;
@@ -130,10 +130,10 @@
         }
     }
 
-    fn turn(&self, ways: &BTreeMap<Pair, Both>) {
+    fn turn(&self, ways: &BTreeMap<Pair, LinkFaults>) {
         for (pair, both) in ways {
             if let Some(relay) = self.site.relays.get(pair) {
-                relay.turn(*both);
+                relay.set_faults(*both);
             }
         }
     }
@@ -141,14 +141,14 @@
     /// What is between these proxies from now on.
     fn turn_peers(&self, met: &[(usize, usize)], spec: Option<LinkSpec>) {
         let Some(datagrams) = &self.datagrams else { return };
-        let mut ways = datagrams.now();
+        let mut ways = datagrams.faults();
         for way in met {
             match spec {
                 Some(spec) => ways.insert(*way, spec),
                 None => ways.remove(way),
             };
         }
-        datagrams.turn(ways);
+        datagrams.set_faults(ways);
     }
 
     fn strike(self: &Arc<Self>, machine: &Arc<Machine>, event: &FaultSpec) {
--- a/crates/testbed/src/cluster/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -30,10 +30,10 @@
 static RELAYS: AtomicUsize = AtomicUsize::new(0);
 
 /// What both directions of a link do: from whoever connects to the target, and back.
-pub type Both = [LinkSpec; 2];
+pub type LinkFaults = [LinkSpec; 2];
 
-/// When the copies of a datagram come, as time after it was sent: settled by the seed and the datagram's number alone.
-pub fn copies(spec: &LinkSpec, seed: u64, number: u64) -> Vec<Micros> {
+/// When the delivery_delays of a datagram come, as time after it was sent: settled by the seed and the datagram's number alone.
+pub fn delivery_delays(spec: &LinkSpec, seed: u64, number: u64) -> Vec<Micros> {
     let mut random = random::stream(seed ^ number.rotate_left(32), StreamId::Noise);
     // All is drawn for each, so that a share that differs changes nothing else.
     let [drop, duplicate, reorder] = [(); 3].map(|()| random.gen::<f64>());
@@ -47,14 +47,14 @@
 /// A relay of connections to one target.
 pub struct Relay {
     gate: SwitchableListener,
-    ways: watch::Sender<Both>,
+    ways: watch::Sender<LinkFaults>,
 }
 
 impl Relay {
     /// Starts a relay that passes all on.
     pub fn start(target: SocketAddr) -> Result<Arc<Self>> {
         let gate = SwitchableListener::new(address(Role::Relay, RELAYS.fetch_add(1, Ordering::Relaxed)))?;
-        let relay = Arc::new(Relay { gate, ways: watch::Sender::new(Both::default()) });
+        let relay = Arc::new(Relay { gate, ways: watch::Sender::new(LinkFaults::default()) });
         let taking = Arc::clone(&relay);
         tokio::spawn(async move {
             let taken = |stream, generation| {
@@ -71,7 +71,7 @@
     }
 
     /// What it does from now on.
-    pub fn turn(&self, both: Both) {
+    pub fn set_faults(&self, both: LinkFaults) {
         let refuses = both.iter().any(|way| way.refuse);
         // A connection needs both directions to come up.
         self.gate.silence(!refuses && both.iter().any(|way| way.stall));
@@ -121,7 +121,12 @@
 }
 
 /// Passes one direction on, until its end.
-async fn pump(from: &TcpStream, to: &TcpStream, mut ways: watch::Receiver<Both>, way: usize) -> Result<()> {
+async fn pump(
+    from: &TcpStream,
+    to: &TcpStream,
+    mut ways: watch::Receiver<LinkFaults>,
+    way: usize,
+) -> Result<()> {
     let mut under_way: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut ended = false;
     loop {
@@ -162,16 +167,16 @@
 }
 
 /// What each way from one party to another does; a way that is not named passes all on.
-pub type Ways = BTreeMap<(usize, usize), LinkSpec>;
+pub type DatagramFaults = BTreeMap<(usize, usize), LinkSpec>;
 
 /// A relay of datagrams between parties: each is known to the others by a door of the relay.
-pub struct Datagrams {
-    ways: watch::Sender<Ways>,
+pub struct DatagramRelay {
+    ways: watch::Sender<DatagramFaults>,
     /// Where each is found by the others.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
 }
 
-impl Datagrams {
+impl DatagramRelay {
     /// Starts a relay that passes all on between parties that send from these addresses.
     ///
     /// # Errors
@@ -184,20 +189,20 @@
             doors.push(socket.local_addr()?);
             sockets.push(Arc::new(socket));
         }
-        let ways = watch::Sender::new(Ways::new());
+        let ways = watch::Sender::new(DatagramFaults::new());
         for to in 0..ends.len() {
             tokio::spawn(carry(sockets.clone(), ends.clone(), to, ways.subscribe(), seed));
         }
-        Ok(Datagrams { ways, doors })
+        Ok(DatagramRelay { ways, addresses: doors })
     }
 
     /// What it does from now on.
-    pub fn turn(&self, ways: Ways) {
+    pub fn set_faults(&self, ways: DatagramFaults) {
         self.ways.send_replace(ways);
     }
 
     /// What it does now.
-    pub fn now(&self) -> Ways {
+    pub fn faults(&self) -> DatagramFaults {
         self.ways.borrow().clone()
     }
 }
@@ -207,7 +212,7 @@
     doors: Vec<Arc<UdpSocket>>,
     ends: Vec<SocketAddr>,
     to: usize,
-    mut ways: watch::Receiver<Ways>,
+    mut ways: watch::Receiver<DatagramFaults>,
     seed: u64,
 ) {
     let mut numbers = vec![0u64; ends.len()];
@@ -222,7 +227,7 @@
         let Some(from) = ends.iter().position(|end| *end == source) else { continue };
         let spec = ways.borrow().get(&(from, to)).copied().unwrap_or_default();
         let way = seed ^ ((from as u64) << 16 | to as u64);
-        for after in copies(&spec, way, numbers[from]) {
+        for after in delivery_delays(&spec, way, numbers[from]) {
             let (datagram, door, end) = (room[..length].to_vec(), Arc::clone(&doors[from]), ends[to]);
             let at = Instant::now() + Duration::from_micros(after);
             if after == 0 {
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -32,7 +32,7 @@
 
 use clients::App;
 use events::Fleet;
-use links::Datagrams;
+use links::DatagramRelay;
 use oakport_core::Micros;
 use oakport_simulator::scenario::FaultKind;
 use processes::{Peer, Seat};
@@ -71,9 +71,10 @@
         peers = Peer::all(day.balancers, SEEDS).map_err(odd)?;
         // Without a fault between proxies they reach each other directly.
         if day.events.iter().any(|event| !site::met_peers(day, event).is_empty()) {
-            let relay =
-                Datagrams::start(play.seed, peers.iter().map(|p| p.address).collect()).await.map_err(odd)?;
-            peers.iter_mut().zip(&relay.doors).for_each(|(peer, door)| peer.advertise = *door);
+            let relay = DatagramRelay::start(play.seed, peers.iter().map(|p| p.address).collect())
+                .await
+                .map_err(odd)?;
+            peers.iter_mut().zip(&relay.addresses).for_each(|(peer, door)| peer.advertise = *door);
             Peer::know(&mut peers, SEEDS);
             datagrams = Some(relay);
         }
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link, seen by a probe on both sides of it.
 
 use oakport_simulator::scenario::LinkSpec;
-use oakport_testbed::cluster::links::{copies, Datagrams, Relay};
+use oakport_testbed::cluster::links::{delivery_delays, DatagramRelay, Relay};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -76,7 +76,7 @@
         let mut near =
             timeout(LONG, TcpStream::connect(relay.address())).await.expect("in time").expect("it takes");
         let (mut far, _) = timeout(LONG, listener.accept()).await.expect("in time").expect("a connection");
-        relay.turn(both);
+        relay.set_faults(both);
         if both[0].reset {
             assert!(is_reset(&mut near).await && is_reset(&mut far).await, "{name}");
             continue;
@@ -99,7 +99,7 @@
         };
         becomes(&relay, wanted, name).await;
         // When it is over, what was held comes, and connections come up.
-        relay.turn([NONE, NONE]);
+        relay.set_faults([NONE, NONE]);
         for (way, spec) in both.iter().enumerate() {
             let to = if way == 0 { &mut far } else { &mut near };
             assert!(!spec.stall || comes(to, LONG).await, "{name}, way {way}: what was held");
@@ -126,18 +126,18 @@
         let one = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let ends = [&one, &other].map(|socket| socket.local_addr().expect("its address"));
-        let relay = Datagrams::start(seed, ends.to_vec()).await.expect("a relay");
-        relay.turn([((0, 1), spec)].into());
+        let relay = DatagramRelay::start(seed, ends.to_vec()).await.expect("a relay");
+        relay.set_faults([((0, 1), spec)].into());
         let asked = Instant::now();
         let (mut due, mut came, mut back, mut room) = (Vec::new(), Vec::new(), Vec::new(), [0; 8]);
         for number in 0..SENT {
-            one.send_to(&number.to_be_bytes(), relay.doors[1]).await.expect("a datagram");
-            other.send_to(&number.to_be_bytes(), relay.doors[0]).await.expect("a datagram");
-            due.extend(copies(&spec, seed ^ 1, number).iter().map(|_| number));
+            one.send_to(&number.to_be_bytes(), relay.addresses[1]).await.expect("a datagram");
+            other.send_to(&number.to_be_bytes(), relay.addresses[0]).await.expect("a datagram");
+            due.extend(delivery_delays(&spec, seed ^ 1, number).iter().map(|_| number));
             tokio::time::sleep(Duration::from_millis(1)).await;
             // Left alone they would overrun the sockets' queues.
             while let Ok((_, from)) = other.try_recv_from(&mut room) {
-                assert_eq!(from, relay.doors[0], "{name}: it comes from the door of the other");
+                assert_eq!(from, relay.addresses[0], "{name}: it comes from the door of the other");
                 came.push(u64::from_be_bytes(room));
             }
             while one.try_recv_from(&mut room).is_ok() {
@@ -160,7 +160,7 @@
         assert_eq!(came, due, "{name}");
         assert_eq!(in_order, spec.reorder == 0.0, "{name}");
     }
-    let shares = |spec: LinkSpec| (0..10_000).map(|n| copies(&spec, 1, n).len()).sum::<usize>();
+    let shares = |spec: LinkSpec| (0..10_000).map(|n| delivery_delays(&spec, 1, n).len()).sum::<usize>();
     assert!((6_800..7_200).contains(&shares(LinkSpec { drop: 0.3, ..NONE })));
     assert!((12_800..13_200).contains(&shares(LinkSpec { duplicate: 0.3, ..NONE })));
 }
