--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -333,7 +333,7 @@
                 release: "first".to_owned(),
                 started: 0,
             };
-            agent.news(number, member);
+            agent.update(number, member);
             servers.push(Caller::new(address));
             listeners.push((listener, hop, number % SERVERS));
         }
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -29,7 +29,7 @@
 pub enum Mode {
     /// It answers.
     #[default]
-    Well,
+    Available,
     /// It takes the question and says nothing.
     Silent,
     /// It answers 503.
@@ -118,7 +118,7 @@
     }
 
     /// It has been sent news of a server. Old news of a process that another has followed are passed over.
-    pub fn news(&self, server: usize, member: Member) {
+    pub fn update(&self, server: usize, member: Member) {
         let mut known = self.known();
         if known.members.get(&server).is_some_and(|(old, _)| {
             old.started > member.started
@@ -130,12 +130,12 @@
     }
 
     /// It has been sent news of many servers as one, whatever it had of them.
-    pub fn news_of_many(&self, members: impl IntoIterator<Item = (usize, Member)>) {
+    pub fn update_all(&self, members: impl IntoIterator<Item = (usize, Member)>) {
         self.set(&mut self.known(), members);
     }
 
     /// The same, and it begins anew: its proxy is told the whole list, whatever version that has.
-    pub fn begin_anew(&self, members: impl IntoIterator<Item = (usize, Member)>) {
+    pub fn replace_all(&self, members: impl IntoIterator<Item = (usize, Member)>) {
         let mut known = self.known();
         known.whole_from = known.index + 1;
         self.set(&mut known, members);
@@ -147,18 +147,18 @@
     }
 
     /// Waits until its proxy says, with its next call, that it has this version.
-    pub async fn taken(&self, version: u64) {
+    pub async fn wait_for_acknowledgement(&self, version: u64) {
         // The sender is this agent's own, so that it cannot be gone.
         let _ = self.has.subscribe().wait_for(|has| has.is_some_and(|has| has >= version)).await;
     }
 
     /// Bytes that were written to its proxy since its start.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
     /// For a while it tells of a server what is not so, or stops doing so.
-    pub fn pretend(&self, server: usize, state: EndpointState) {
+    pub fn override_state(&self, server: usize, state: EndpointState) {
         let mut known = self.known();
         if let Some((member, _)) = known.members.get(&server).cloned() {
             self.set(&mut known, [(server, Member { state, ..member })]);
@@ -174,18 +174,18 @@
     }
 
     /// What it does when it is asked, from now on.
-    pub fn turn(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
         self.count(&mut self.known());
     }
 
     /// A relay is between it and its proxy, or it stands for a service that all share: only what is written there counts as told.
-    pub fn far(&self) {
+    pub fn set_remote(&self) {
         self.near.store(false, Ordering::Relaxed);
     }
 
     /// All open watches fall silent, for ever.
-    pub fn hush(&self) {
+    pub fn silence_watches(&self) {
         let mut known = self.known();
         if known.watches > 0 {
             known.told_at = Some((self.shared.now() + SILENCE).max(known.over + AFTER_WAIT));
@@ -195,7 +195,7 @@
 
     /// Counts as told what it has, while it answers: at once, or when silent watches were to be noticed.
     fn count(&self, known: &mut Known) {
-        if *self.mode.borrow() != Mode::Well || !self.near.load(Ordering::Relaxed) {
+        if *self.mode.borrow() != Mode::Available || !self.near.load(Ordering::Relaxed) {
             return;
         }
         let new = known.members.iter().filter(|(_, (_, index))| *index > known.told);
@@ -246,7 +246,7 @@
     }
 
     /// The list for a process that starts; it counts as told.
-    pub fn hand_over(&self) -> Value {
+    pub fn initial_list(&self) -> Value {
         let (list, told) = self.list(None);
         self.told(told);
         list
@@ -316,7 +316,7 @@
                 return;
             }
             self.written.fetch_add(text.len() as u64, Ordering::Relaxed);
-            if mode == Mode::Well {
+            if mode == Mode::Available {
                 self.shared.saw(Seen::Answered { proxy: self.proxy, at: self.shared.now() });
             }
             self.told(told);
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -89,20 +89,21 @@
                     _ => Mode::Unavailable,
                 };
                 let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                met.iter().for_each(|&proxy| self.site.agents[proxy].turn(mode));
+                met.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(mode));
                 self.site.shared.until(end).await;
-                met.iter().for_each(|&proxy| self.site.agents[proxy].turn(Mode::Well));
+                met.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(Mode::Available));
             }
             FaultKind::WatchesSilent => {
                 let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                met.iter().for_each(|&proxy| self.site.agents[proxy].hush());
+                met.iter().for_each(|&proxy| self.site.agents[proxy].silence_watches());
             }
             FaultKind::ListDiffers => {
                 let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
                 let hidden = self.site.met_servers(&event);
                 for (state, until) in [(EndpointState::Removed, end), (EndpointState::Ready, end)] {
                     for machine in &hidden {
-                        met.iter().for_each(|&proxy| self.site.agents[proxy].pretend(machine.number, state));
+                        met.iter()
+                            .for_each(|&proxy| self.site.agents[proxy].override_state(machine.number, state));
                     }
                     self.site.shared.until(until).await;
                 }
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -188,7 +188,7 @@
             "name": format!("n{}", self.number), "listen": self.address, "discovery": self.discovery,
             "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.agent.hand_over(),
+            "known": self.agent.initial_list(),
             "settings": settings(&self.shared, self.number),
         });
         if let Some(peers) = &self.peers {
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -95,12 +95,12 @@
         let site = Site { machines: Mutex::new(machines), relays, agents, luck, shared: Arc::clone(shared) };
         for (proxy, agent) in site.agents.iter().enumerate() {
             if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.poll_interval.is_some() {
-                agent.far();
+                agent.set_remote();
             }
         }
         for machine in site.machines().iter() {
             for (proxy, agent) in site.agents.iter().enumerate() {
-                agent.news(machine.number, site.member(proxy, machine, EndpointState::Ready));
+                agent.update(machine.number, site.member(proxy, machine, EndpointState::Ready));
             }
         }
         Ok(site)
@@ -146,7 +146,7 @@
             let number = machine.number;
             tokio::spawn(async move {
                 sleep(Duration::from_micros(after)).await;
-                agent.news(number, member);
+                agent.update(number, member);
             });
         }
     }
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -196,13 +196,13 @@
         seat.ready().await.map_err(odd)?;
         let pid = seat.pid().ok_or_else(|| odd("the process has ended"))?;
         let process = Process { shared, agent, seat, pid, operator };
-        process.agent.taken(0).await;
+        process.agent.wait_for_acknowledgement(0).await;
         process.in_force(0, Instant::now()).await?;
         Ok(process)
     }
 
     fn spent(&self) -> Result<Spent, Stopped> {
-        Ok(Spent { cpu_s: outside::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.written() })
+        Ok(Spent { cpu_s: outside::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.bytes_written() })
     }
 
     /// A server as the list has it.
@@ -224,7 +224,7 @@
 
     /// Waits until the process has taken what the agent has, by its next call.
     async fn taken(&self) -> Result<(), Stopped> {
-        let taken = timeout(NEVER, self.agent.taken(self.agent.version())).await;
+        let taken = timeout(NEVER, self.agent.wait_for_acknowledgement(self.agent.version())).await;
         taken.map_err(|_| Stopped::NotRun(format!("a list was not taken within {NEVER:?}")))
     }
 
@@ -261,8 +261,8 @@
     /// until it is in force, and how many the process then lacks. Of one server both ways count, as both
     /// change one.
     async fn leave(&self, size: usize, servers: &[usize], times: usize) -> Result<[f64; 4], Stopped> {
-        let gone = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Removed));
-        let back = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Ready));
+        let gone = || self.agent.update_all(self.members(servers.iter().copied(), EndpointState::Removed));
+        let back = || self.agent.update_all(self.members(servers.iter().copied(), EndpointState::Ready));
         let mut spent = Vec::new();
         for _ in 0..times {
             spent.push(self.cost(gone).await?);
@@ -311,10 +311,10 @@
         let all = process.members(0..size, EndpointState::Ready);
         if start % 2 == 0 {
             let begin = Instant::now();
-            process.agent.begin_anew(all);
+            process.agent.replace_all(all);
             slowest = slowest.max(process.in_force(size, begin).await?);
         } else {
-            spent.push(process.cost(|| process.agent.begin_anew(all)).await?);
+            spent.push(process.cost(|| process.agent.replace_all(all)).await?);
         }
         last = Some(process);
     }
@@ -328,7 +328,7 @@
 
     let mut spent = Vec::new();
     for _ in 0..extent.large {
-        spent.push(process.cost(|| process.agent.begin_anew([])).await?);
+        spent.push(process.cost(|| process.agent.replace_all([])).await?);
     }
     tell("again.cpu_s", mean(&spent)[0]);
 
@@ -357,7 +357,7 @@
         let server = restart * size / extent.restarts;
         for state in STEPS {
             beat.tick().await;
-            let change = || process.agent.news_of_many([(server, process.member(server, state))]);
+            let change = || process.agent.update_all([(server, process.member(server, state))]);
             spent.push(process.cost(change).await?);
         }
     }
