--- a/crates/testbed/src/cluster/ending.rs
+++ b/crates/testbed/src/cluster/ending.rs
@@ -24,7 +24,7 @@
 
     /// Proxies die at once, and start again one after the other until the end.
     pub(super) async fn kill(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
-        let met = self.site.met_proxies(event);
+        let met = self.site.affected_proxies(event);
         let step = event.duration / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (place, proxy) in met.into_iter().enumerate() {
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -8,7 +8,7 @@
 use super::processes::Seat;
 use super::record::Seen;
 use super::servers::Machine;
-use super::site::{met, met_peers, Pair, Site};
+use super::site::{affected_links, affected_peer_links, Link, Site};
 use oakport_core::{EndpointState, Micros};
 use oakport_simulator::scenario::{FaultKind, FaultSpec, LinkSpec};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
             | FaultKind::Error
             | FaultKind::Reset
             | FaultKind::Silent => {
-                let met = self.site.met_servers(&event);
+                let met = self.site.affected_servers(&event);
                 met.iter().for_each(|machine| self.strike(machine, &event));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|machine| self.heal(machine, &event));
@@ -65,20 +65,20 @@
             | FaultKind::Stall
             | FaultKind::Signals => {
                 let mut all = JoinSet::new();
-                for proxy in self.site.met_proxies(&event) {
+                for proxy in self.site.affected_proxies(&event) {
                     all.spawn(Arc::clone(&self).meet(proxy, event.clone(), end));
                 }
                 while all.join_next().await.is_some() {}
             }
             FaultKind::Crowd => {
-                let met = self.site.met_proxies(&event);
+                let met = self.site.affected_proxies(&event);
                 let addresses: Vec<_> = met.iter().map(|&proxy| self.apps[proxy].address()).collect();
                 let crowd = Crowd::open(&addresses, event.connections);
                 self.site.shared.until(end).await;
                 drop(crowd);
             }
             FaultKind::ExtraResponses | FaultKind::ClosesIdle => {
-                let met = self.site.met_servers(&event);
+                let met = self.site.affected_servers(&event);
                 met.iter().for_each(|machine| set_quirk(machine, event.kind, Some(event.after)));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|machine| set_quirk(machine, event.kind, None));
@@ -88,18 +88,18 @@
                     FaultKind::ListSilent => Mode::Silent,
                     _ => Mode::Unavailable,
                 };
-                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
+                let met = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
                 met.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(mode));
                 self.site.shared.until(end).await;
                 met.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(Mode::Available));
             }
             FaultKind::WatchesSilent => {
-                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
+                let met = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
                 met.iter().for_each(|&proxy| self.site.agents[proxy].silence_watches());
             }
             FaultKind::ListDiffers => {
-                let met = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                let hidden = self.site.met_servers(&event);
+                let met = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
+                let hidden = self.site.affected_servers(&event);
                 for (state, until) in [(EndpointState::Removed, end), (EndpointState::Ready, end)] {
                     for machine in &hidden {
                         met.iter()
@@ -113,8 +113,8 @@
                     FaultKind::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
                     _ => event.link,
                 };
-                let mut ways: BTreeMap<Pair, LinkFaults> = BTreeMap::new();
-                for (pair, way) in met(&self.site.shared.day, &event) {
+                let mut ways: BTreeMap<Link, LinkFaults> = BTreeMap::new();
+                for (pair, way) in affected_links(&self.site.shared.day, &event) {
                     let both = ways.entry(pair).or_default();
                     both[way] = spec;
                     if !event.one_way {
@@ -122,7 +122,7 @@
                     }
                 }
                 self.turn(&ways);
-                let peers = met_peers(&self.site.shared.day, &event);
+                let peers = affected_peer_links(&self.site.shared.day, &event);
                 self.turn_peers(&peers, Some(spec));
                 self.site.shared.until(end).await;
                 self.turn_peers(&peers, None);
@@ -131,7 +131,7 @@
         }
     }
 
-    fn turn(&self, ways: &BTreeMap<Pair, LinkFaults>) {
+    fn turn(&self, ways: &BTreeMap<Link, LinkFaults>) {
         for (pair, both) in ways {
             if let Some(relay) = self.site.relays.get(pair) {
                 relay.set_faults(*both);
@@ -156,7 +156,7 @@
         match event.kind {
             FaultKind::Crash => {
                 machine.stop();
-                self.site.tell(machine, EndpointState::Removed);
+                self.site.announce(machine, EndpointState::Removed);
             }
             FaultKind::Slow => machine.fall_ill(|health| health.slowdown_factor = event.factor),
             FaultKind::Hang => machine.fall_ill(|health| health.hung = true),
@@ -172,7 +172,7 @@
                 machine.stop();
             }
             machine.restart();
-            self.site.tell(machine, EndpointState::Ready);
+            self.site.announce(machine, EndpointState::Ready);
         } else {
             machine.fall_ill(|health| *health = Default::default());
         }
@@ -180,7 +180,7 @@
 
     /// Servers drain one after the other, and others start in their place.
     async fn release(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
-        let met = self.site.met_servers(event);
+        let met = self.site.affected_servers(event);
         let step = event.duration / met.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (place, machine) in met.into_iter().enumerate() {
@@ -189,10 +189,10 @@
                 let at = begin + step * place as Micros;
                 fleet.site.shared.until(at).await;
                 machine.drain();
-                fleet.site.tell(&machine, EndpointState::Draining);
+                fleet.site.announce(&machine, EndpointState::Draining);
                 fleet.site.shared.until(at + DRAIN).await;
                 machine.stop();
-                fleet.site.tell(&machine, EndpointState::Removed);
+                fleet.site.announce(&machine, EndpointState::Removed);
                 let started = fleet.site.shared.now();
                 let mut machines = fleet.site.machines();
                 // Without a socket the fleet has one server less.
@@ -201,7 +201,7 @@
                 machines.extend(next.clone());
                 drop(machines);
                 if let Some(next) = next {
-                    fleet.site.tell(&next, EndpointState::Ready);
+                    fleet.site.announce(&next, EndpointState::Ready);
                 }
             });
         }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -70,7 +70,7 @@
     if day.peers {
         peers = Peer::all(day.balancers, SEEDS).map_err(odd)?;
         // Without a fault between proxies they reach each other directly.
-        if day.events.iter().any(|event| !site::met_peers(day, event).is_empty()) {
+        if day.events.iter().any(|event| !site::affected_peer_links(day, event).is_empty()) {
             let relay = DatagramRelay::start(play.seed, peers.iter().map(|p| p.address).collect())
                 .await
                 .map_err(odd)?;
@@ -126,7 +126,7 @@
     for app in &fleet.apps {
         app.close();
     }
-    let verdict = judge::judge(&shared, &fleet.site.sorts());
+    let verdict = judge::judge(&shared, &fleet.site.zones_and_releases());
     for seat in &fleet.seats {
         seat.lock().await.end(Duration::ZERO).await;
     }
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -16,13 +16,13 @@
 use tokio::time::sleep;
 
 /// A proxy, and the server that it reaches through a relay; none: its agent of discovery.
-pub type Pair = (usize, Option<usize>);
+pub type Link = (usize, Option<usize>);
 
 /// Servers, agents and the relays between.
 pub struct Site {
     machines: Mutex<Vec<Arc<Machine>>>,
     /// Between those parties that events name, and none elsewhere.
-    pub relays: BTreeMap<Pair, Arc<Relay>>,
+    pub relays: BTreeMap<Link, Arc<Relay>>,
     /// The agent of each proxy.
     pub agents: Vec<Arc<Agent>>,
     luck: Mutex<Pcg64>,
@@ -31,7 +31,7 @@
 }
 
 /// Which pairs a cut meets, and which way: 0 from the proxy, 1 to it.
-pub fn met(day: &Scenario, event: &FaultSpec) -> Vec<(Pair, usize)> {
+pub fn affected_links(day: &Scenario, event: &FaultSpec) -> Vec<(Link, usize)> {
     let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let zone = |number: usize| number % day.zones.len();
@@ -49,7 +49,7 @@
 }
 
 /// Which ways between two proxies an event meets.
-pub fn met_peers(day: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
+pub fn affected_peer_links(day: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
     let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
     let of = |group: &Group| {
@@ -65,9 +65,10 @@
 }
 
 /// All pairs that need a relay in this day.
-fn pairs(day: &Scenario) -> Vec<Pair> {
+fn pairs(day: &Scenario) -> Vec<Link> {
     let events = day.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
-    let mut pairs: Vec<Pair> = events.flat_map(|event| met(day, event)).map(|(pair, _)| pair).collect();
+    let mut pairs: Vec<Link> =
+        events.flat_map(|event| affected_links(day, event)).map(|(pair, _)| pair).collect();
     pairs.sort();
     pairs.dedup();
     pairs
@@ -116,7 +117,7 @@
     }
 
     /// Zone and release of each server.
-    pub fn sorts(&self) -> Vec<(usize, String)> {
+    pub fn zones_and_releases(&self) -> Vec<(usize, String)> {
         self.machines().iter().map(|m| (m.zone, m.release.clone())).collect()
     }
 
@@ -138,7 +139,7 @@
     }
 
     /// News of a server go to all agents, to each after a while of its own.
-    pub fn tell(&self, machine: &Machine, state: EndpointState) {
+    pub fn announce(&self, machine: &Machine, state: EndpointState) {
         let delay = self.shared.day.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = random::jitter(delay, 0.5, &mut *self.luck());
@@ -152,7 +153,7 @@
     }
 
     /// The servers that an event meets.
-    pub fn met_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
+    pub fn affected_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let machines = self.machines();
@@ -166,7 +167,7 @@
     }
 
     /// The proxies that an event meets.
-    pub fn met_proxies(&self, event: &FaultSpec) -> Vec<usize> {
+    pub fn affected_proxies(&self, event: &FaultSpec) -> Vec<usize> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let mut met: Vec<usize> = (0..self.agents.len()).collect();
