--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -5,7 +5,7 @@
 use super::hops::cpu;
 use super::http::{self, Message, Side};
 use super::listener::{address, Role};
-use super::processes::{Program, Seat};
+use super::processes::{Program, ProxySupervisor};
 use super::record::{histogram, Shared, TOO_LATE};
 use super::servers::{author, body, name};
 use bytes::BytesMut;
@@ -337,7 +337,7 @@
             servers.push(Caller::new(address));
             listeners.push((listener, hop, number % SERVERS));
         }
-        let mut seat = Seat::new(&shared, &agent, hop, agent.address, false, None).map_err(odd)?;
+        let mut seat = ProxySupervisor::new(&shared, &agent, hop, agent.address, false, None).map_err(odd)?;
         seat.start(program)?;
         parties.push(Hop { proxy: Caller::new(seat.address), servers });
         seats.push(seat);
@@ -351,7 +351,7 @@
     for seat in &mut seats {
         seat.ready().await?;
     }
-    let processes: Vec<u32> = seats.iter().filter_map(Seat::pid).collect();
+    let processes: Vec<u32> = seats.iter().filter_map(ProxySupervisor::pid).collect();
     let mean = |figure: fn(u32) -> f64| {
         processes.iter().map(|pid| figure(*pid)).sum::<f64>() / processes.len().max(1) as f64
     };
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -135,7 +135,7 @@
     }
 
     /// The same, and it begins anew: its proxy is told the whole list, whatever version that has.
-    pub fn replace_all(&self, members: impl IntoIterator<Item = (usize, Member)>) {
+    pub fn update_all_as_snapshot(&self, members: impl IntoIterator<Item = (usize, Member)>) {
         let mut known = self.known();
         known.whole_from = known.index + 1;
         self.set(&mut known, members);
--- a/crates/testbed/src/cluster/ending.rs
+++ b/crates/testbed/src/cluster/ending.rs
@@ -65,7 +65,7 @@
                 let old = seat.start(&self.play.second);
                 if seat.ready().await.is_ok() {
                     if let Ok(Some(old)) = old {
-                        seat.relieve(old, self.time_to_kill()).await;
+                        seat.retire(old, self.time_to_kill()).await;
                     }
                 }
             }
@@ -84,7 +84,7 @@
                     let _ = seat.reload_invalid(pause / 2).await;
                 }
                 SignalSpec::Term => {
-                    seat.tell();
+                    seat.terminate();
                     told_at = told_at.or(Some(Instant::now()));
                 }
             }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -5,7 +5,7 @@
 use super::discovery::Mode;
 use super::links::{DatagramRelay, LinkFaults};
 use super::plan::Play;
-use super::processes::Seat;
+use super::processes::ProxySupervisor;
 use super::record::Seen;
 use super::servers::Machine;
 use super::site::{affected_links, affected_peer_links, Link, Site};
@@ -28,7 +28,7 @@
     /// Those that are not oakport.
     pub site: Site,
     /// The processes.
-    pub seats: Vec<Mutex<Seat>>,
+    pub seats: Vec<Mutex<ProxySupervisor>>,
     /// The application beside each.
     pub apps: Vec<Arc<App>>,
     /// What is between the proxies as peers, if anything is.
@@ -209,7 +209,7 @@
     }
 
     /// Starts a process again; one that cannot is seen by the judge.
-    pub(super) async fn start(&self, seat: &mut Seat) {
+    pub(super) async fn start(&self, seat: &mut ProxySupervisor) {
         if seat.start(&self.play.program).is_ok() {
             // What is not ready in its time is seen by its clients.
             let _ = seat.ready().await;
@@ -224,7 +224,7 @@
             self.site.shared.saw(Seen::Connections { at: self.site.shared.now(), open });
             for seat in &self.seats {
                 if let Ok(mut seat) = seat.try_lock() {
-                    seat.look();
+                    seat.check_exit();
                 }
             }
         }
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -3,8 +3,8 @@
 use super::http::{self, Side};
 use super::links::Relay;
 use super::listener::{address, bound_address, reserve, Role};
-use super::outside;
-use super::processes::{Program, Seat};
+use super::process_stats;
+use super::processes::{Program, ProxySupervisor};
 use super::record::{histogram, Shared};
 use super::site::Site;
 use bytes::BytesMut;
@@ -149,7 +149,7 @@
 
     /// Its counts so far. None: a build that does not count them.
     async fn counts(&self) -> Option<(u64, u64)> {
-        let figures = outside::dump(self.operator).await.ok()?;
+        let figures = process_stats::admin_report(self.operator).await.ok()?;
         let of = |name: &str| figures["connections"][name].as_u64();
         Some((of("opened")?, of("waits")?))
     }
@@ -214,9 +214,14 @@
 }
 
 /// A process of a program, ready.
-async fn seated(shared: &Arc<Shared>, site: &Site, number: usize, program: &Program) -> Result<Seat, String> {
+async fn seated(
+    shared: &Arc<Shared>,
+    site: &Site,
+    number: usize,
+    program: &Program,
+) -> Result<ProxySupervisor, String> {
     let agent = &site.agents[0];
-    let seat = Seat::new(shared, agent, number, agent.address, false, None);
+    let seat = ProxySupervisor::new(shared, agent, number, agent.address, false, None);
     let mut seat = seat.map_err(|e| format!("the rig's sockets: {e}"))?;
     seat.start(program)?;
     seat.ready().await?;
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -16,9 +16,9 @@
 pub mod links;
 mod listener;
 mod membership;
-pub mod outside;
 mod peers;
 mod plan;
+pub mod process_stats;
 pub(crate) mod processes;
 pub(crate) mod record;
 mod servers;
@@ -35,7 +35,7 @@
 use links::DatagramRelay;
 use oakport_core::Micros;
 use oakport_simulator::scenario::FaultKind;
-use processes::{Peer, Seat};
+use processes::{Peer, ProxySupervisor};
 use record::Shared;
 use servers::Machine;
 use site::Site;
@@ -86,9 +86,10 @@
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = play.logs.as_deref();
         let mut seat =
-            Seat::new(&shared, agent, number, site.discovery_of(number), inherits, logs).map_err(odd)?;
+            ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits, logs)
+                .map_err(odd)?;
         if let Some(peer) = peers.next() {
-            seat.among(peer);
+            seat.set_peer(peer);
         }
         seat.start(&play.program)?;
         seats.push(seat);
--- a/crates/testbed/src/cluster/peers.rs
+++ b/crates/testbed/src/cluster/peers.rs
@@ -1,6 +1,6 @@
 //! Asks proxies what they hold of their peers, again and again.
 
-use super::outside;
+use super::process_stats;
 use super::record::{Held, Seen, Shared, Standing};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 }
 
 async fn ask(operator: SocketAddr) -> Option<Held> {
-    let report = outside::dump(operator).await.ok()?;
+    let report = process_stats::admin_report(operator).await.ok()?;
     let peers = report.get("peers")?;
     let member = |m: &Value| {
         let number = m["name"].as_str()?.strip_prefix('n')?.parse().ok()?;
--- a/crates/testbed/src/cluster/outside.rs
+++ b/crates/testbed/src/cluster/process_stats.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Memory {
     /// Now.
-    pub now: u64,
+    pub current: u64,
     /// The most since its start.
-    pub most: u64,
+    pub peak: u64,
 }
 
 /// What memory a process holds.
@@ -44,14 +44,14 @@
         let kb = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok());
         kb.map(|kb| kb * KB).ok_or_else(|| odd(name, &text))
     };
-    Ok(Memory { now: field("VmRSS")?, most: field("VmHWM")? })
+    Ok(Memory { current: field("VmRSS")?, peak: field("VmHWM")? })
 }
 
 /// What a process tells operators.
 ///
 /// # Errors
 /// It does not answer, or with what is no report.
-pub async fn dump(operator: SocketAddr) -> Result<Value> {
+pub async fn admin_report(operator: SocketAddr) -> Result<Value> {
     let mut stream = TcpStream::connect(operator).await?;
     stream.write_all(b"DUMP\n").await?;
     let mut text = String::new();
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -99,7 +99,7 @@
 }
 
 /// Where the processes of one proxy run.
-pub struct Seat {
+pub struct ProxySupervisor {
     /// Its number.
     pub number: usize,
     /// Where clients connect.
@@ -122,7 +122,7 @@
     starts: u32,
 }
 
-impl Seat {
+impl ProxySupervisor {
     /// A seat with no process. With `inherits` the rig listens and processes take its listener over.
     pub fn new(
         shared: &Arc<Shared>,
@@ -137,7 +137,7 @@
         if inherits {
             holder.listen(BACKLOG)?;
         }
-        Ok(Seat {
+        Ok(ProxySupervisor {
             number,
             address: bound_address(&holder)?,
             holder,
@@ -156,7 +156,7 @@
     }
 
     /// Its processes are peers of others from now on.
-    pub fn among(&mut self, peers: Peer) {
+    pub fn set_peer(&mut self, peers: Peer) {
         self.peers = Some(peers);
     }
 
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     /// A socket cannot be had.
-    pub fn operated(&mut self) -> std::io::Result<SocketAddr> {
+    pub fn enable_admin(&mut self) -> std::io::Result<SocketAddr> {
         let holder = reserve(address(Role::Proxy, self.number))?;
         let operator = bound_address(&holder)?;
         self.operator = Some((operator, holder));
@@ -172,7 +172,7 @@
     }
 
     /// Its file is other than the site's from the next start on.
-    pub fn differs(&mut self, other: fn(&mut Value)) {
+    pub fn set_config_override(&mut self, other: fn(&mut Value)) {
         self.other = other;
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// The file of the process that was started last.
-    pub fn file(&self) -> PathBuf {
+    pub fn config_path(&self) -> PathBuf {
         self.folder.path().join(format!("config-{}.json", self.starts))
     }
 
@@ -217,7 +217,7 @@
     pub fn start(&mut self, program: &Program) -> Result<Option<Child>, String> {
         let odd = |e: std::io::Error| format!("{}: cannot be started: {e}", program.path.display());
         self.starts += 1;
-        let file = self.file();
+        let file = self.config_path();
         std::fs::write(&file, self.configuration().to_string()).map_err(odd)?;
         let mut command = if self.inherits {
             let mut command = Command::new("/bin/sh");
@@ -310,15 +310,15 @@
     /// # Errors
     /// The file cannot be read or written.
     pub async fn reload_invalid(&self, pause: Duration) -> std::io::Result<()> {
-        let text = std::fs::read(self.file())?;
-        std::fs::write(self.file(), &text[..text.len() / 2])?;
+        let text = std::fs::read(self.config_path())?;
+        std::fs::write(self.config_path(), &text[..text.len() / 2])?;
         self.reload();
         sleep(pause).await;
-        std::fs::write(self.file(), &text)
+        std::fs::write(self.config_path(), &text)
     }
 
     /// Tells the process to end.
-    pub fn tell(&self) {
+    pub fn terminate(&self) {
         self.saw(Signal::Told);
         self.signal(self.child.as_ref(), Number::SIGTERM);
     }
@@ -334,7 +334,7 @@
 
     /// Tells a process that another has relieved to end, and waits for it. The seat is never without a process, so that
     /// nothing is excused by this end.
-    pub async fn relieve(&self, old: Child, most: Duration) {
+    pub async fn retire(&self, old: Child, most: Duration) {
         self.saw_relieved(false);
         self.signal(Some(&old), Number::SIGTERM);
         if finish(old, most).await {
@@ -347,7 +347,7 @@
     }
 
     /// Notes an end that nobody had asked for.
-    pub fn look(&mut self) {
+    pub fn check_exit(&mut self) {
         if self.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|ended| ended.is_some())) {
             self.child = None;
             self.saw(Signal::Crashed);
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -17,8 +17,8 @@
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use crate::cluster::discovery::{Agent, Member};
-use crate::cluster::outside;
-use crate::cluster::processes::Seat;
+use crate::cluster::process_stats;
+use crate::cluster::processes::ProxySupervisor;
 use crate::cluster::record::Shared;
 use oakport_core::EndpointState;
 use oakport_simulator::scenario::Scenario;
@@ -171,7 +171,7 @@
 struct Process {
     shared: Arc<Shared>,
     agent: Arc<Agent>,
-    seat: Seat,
+    seat: ProxySupervisor,
     pid: u32,
     operator: SocketAddr,
 }
@@ -189,9 +189,9 @@
         let day = Scenario::parse(SITE).map_err(odd)?;
         let shared = Arc::new(Shared::new(day, point.seed));
         let agent = Agent::start(&shared, 0).await.map_err(odd)?;
-        let mut seat = Seat::new(&shared, &agent, 0, agent.address, false, None).map_err(odd)?;
-        let operator = seat.operated().map_err(odd)?;
-        seat.differs(way.file());
+        let mut seat = ProxySupervisor::new(&shared, &agent, 0, agent.address, false, None).map_err(odd)?;
+        let operator = seat.enable_admin().map_err(odd)?;
+        seat.set_config_override(way.file());
         seat.start(&point.program).map_err(odd)?;
         seat.ready().await.map_err(odd)?;
         let pid = seat.pid().ok_or_else(|| odd("the process has ended"))?;
@@ -202,7 +202,7 @@
     }
 
     fn spent(&self) -> Result<Spent, Stopped> {
-        Ok(Spent { cpu_s: outside::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.bytes_written() })
+        Ok(Spent { cpu_s: process_stats::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.bytes_written() })
     }
 
     /// A server as the list has it.
@@ -231,7 +231,8 @@
     /// Asks the process until it tells this number of servers: milliseconds since the change.
     async fn in_force(&self, servers: usize, since: Instant) -> Result<f64, Stopped> {
         loop {
-            let listed = outside::dump(self.operator).await.map_err(odd)?["hosts_listed"].as_u64();
+            let listed =
+                process_stats::admin_report(self.operator).await.map_err(odd)?["hosts_listed"].as_u64();
             if listed == Some(servers as u64) {
                 return Ok(since.elapsed().as_secs_f64() * 1e3);
             }
@@ -244,7 +245,7 @@
 
     /// Servers that the process tells to have.
     async fn listed(&self) -> Result<f64, Stopped> {
-        let report = outside::dump(self.operator).await.map_err(odd)?;
+        let report = process_stats::admin_report(self.operator).await.map_err(odd)?;
         report["hosts_listed"].as_f64().ok_or_else(|| odd("no hosts_listed"))
     }
 
@@ -311,10 +312,10 @@
         let all = process.members(0..size, EndpointState::Ready);
         if start % 2 == 0 {
             let begin = Instant::now();
-            process.agent.replace_all(all);
+            process.agent.update_all_as_snapshot(all);
             slowest = slowest.max(process.in_force(size, begin).await?);
         } else {
-            spent.push(process.cost(|| process.agent.replace_all(all)).await?);
+            spent.push(process.cost(|| process.agent.update_all_as_snapshot(all)).await?);
         }
         last = Some(process);
     }
@@ -324,11 +325,11 @@
     tell("whole.bytes", bytes);
     tell("whole.ms_in_force", slowest);
     tell("whole.listed", process.listed().await?);
-    tell("whole.memory_bytes", outside::memory(process.pid).map_err(odd)?.now as f64);
+    tell("whole.memory_bytes", process_stats::memory(process.pid).map_err(odd)?.current as f64);
 
     let mut spent = Vec::new();
     for _ in 0..extent.large {
-        spent.push(process.cost(|| process.agent.replace_all([])).await?);
+        spent.push(process.cost(|| process.agent.update_all_as_snapshot([])).await?);
     }
     tell("again.cpu_s", mean(&spent)[0]);
 
@@ -366,7 +367,7 @@
     tell("day.cpu_share", quiet[0] + cpu_s);
     tell("day.bytes_per_s", quiet[1] + bytes);
     tell("day.listed", process.listed().await?);
-    tell("memory_bytes", outside::memory(process.pid).map_err(odd)?.most as f64);
+    tell("memory_bytes", process_stats::memory(process.pid).map_err(odd)?.peak as f64);
     process.seat.end(Duration::ZERO).await;
     Ok(figures)
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -19,8 +19,8 @@
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
 use crate::cluster::http::{self, Side};
-use crate::cluster::outside;
-use crate::cluster::processes::Seat;
+use crate::cluster::process_stats;
+use crate::cluster::processes::ProxySupervisor;
 use crate::cluster::record::Shared;
 use crate::cluster::site::Site;
 use bytes::BytesMut;
@@ -149,7 +149,7 @@
 
 /// A process and what is known of it.
 struct Proxy {
-    seat: Seat,
+    seat: ProxySupervisor,
     operator: SocketAddr,
     /// Its file at the start.
     file: Value,
@@ -210,7 +210,7 @@
     /// Replaces the file and sends the signal. The moment before.
     fn change(&self, settings: Settings) -> io::Result<Instant> {
         let begin = Instant::now();
-        let (file, new) = (self.seat.file(), self.seat.file().with_extension("new"));
+        let (file, new) = (self.seat.config_path(), self.seat.config_path().with_extension("new"));
         std::fs::write(&new, settings.file(&self.file).to_string())?;
         std::fs::rename(&new, &file)?;
         self.seat.reload();
@@ -218,7 +218,7 @@
     }
 
     async fn report(&self) -> Result<Value, Stopped> {
-        outside::dump(self.operator).await.map_err(odd)
+        process_stats::admin_report(self.operator).await.map_err(odd)
     }
 
     async fn count(&self, figure: &str) -> Result<u64, Stopped> {
@@ -376,11 +376,11 @@
             let mut batch = Vec::new();
             for number in proxies.len()..(proxies.len() + BATCH).min(point.size) {
                 let (agent, logs) = (&site.agents[number], logs.path());
-                let mut seat =
-                    Seat::new(&shared, agent, number, agent.address, false, Some(logs)).map_err(odd)?;
-                let operator = seat.operated().map_err(odd)?;
+                let mut seat = ProxySupervisor::new(&shared, agent, number, agent.address, false, Some(logs))
+                    .map_err(odd)?;
+                let operator = seat.enable_admin().map_err(odd)?;
                 seat.start(&point.program).map_err(odd)?;
-                let text = std::fs::read_to_string(seat.file()).map_err(odd)?;
+                let text = std::fs::read_to_string(seat.config_path()).map_err(odd)?;
                 let file = serde_json::from_str(&text).map_err(odd)?;
                 batch.push(Proxy { seat, operator, file, log: logs.join(format!("n{number}-1.log")) });
             }
@@ -416,7 +416,7 @@
 
     /// What a change costs one process in processor time, and how long the longest call takes meanwhile.
     async fn cost(&self, proxy: &Proxy, settings: Settings) -> Result<[f64; 2], Stopped> {
-        let spent = || outside::cpu_s(proxy.seat.pid().unwrap_or(0)).map_err(odd);
+        let spent = || process_stats::cpu_s(proxy.seat.pid().unwrap_or(0)).map_err(odd);
         let mut client = Client::new(proxy.seat.address, &self.ids);
         client.ask(CLASS).await.map_err(odd)?;
         sleep(CALM).await;
@@ -581,8 +581,8 @@
     }
 
     applications.shutdown().await;
-    let memory = fleet.proxies.iter().filter_map(|proxy| outside::memory(proxy.seat.pid()?).ok());
-    figures.insert("memory_bytes".to_owned(), memory.map(|memory| memory.most).max().unwrap_or(0) as f64);
+    let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.seat.pid()?).ok());
+    figures.insert("memory_bytes".to_owned(), memory.map(|memory| memory.peak).max().unwrap_or(0) as f64);
     figures.insert("calls.asked".to_owned(), calls.asked.load(Ordering::Relaxed) as f64);
     figures.insert("calls.failed".to_owned(), calls.failed.load(Ordering::Relaxed) as f64);
     figures.insert("pause_ms".to_owned(), fleet.pause.as_secs_f64() * 1e3);
