--- a/crates/testbed/src/cluster/ending.rs
+++ b/crates/testbed/src/cluster/ending.rs
@@ -62,7 +62,7 @@
             }
             _ => {
                 let mut seat = self.seats[proxy].lock().await;
-                let old = seat.start(&self.play.second);
+                let old = seat.start(&self.play.replacement);
                 if seat.ready().await.is_ok() {
                     if let Ok(Some(old)) = old {
                         seat.retire(old, self.time_to_kill()).await;
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -4,9 +4,9 @@
 use super::crowd::Crowd;
 use super::discovery::Mode;
 use super::links::{DatagramRelay, LinkFaults};
-use super::plan::Play;
 use super::processes::ProxySupervisor;
 use super::record::Seen;
+use super::run_config::RunConfig;
 use super::servers::Machine;
 use super::site::{affected_links, affected_peer_links, Link, Site};
 use oakport_core::{EndpointState, Micros};
@@ -34,7 +34,7 @@
     /// What is between the proxies as peers, if anything is.
     pub datagrams: Option<DatagramRelay>,
     /// How it is played.
-    pub play: Play,
+    pub play: RunConfig,
 }
 
 impl Fleet {
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -17,18 +17,18 @@
 mod listener;
 mod membership;
 mod peers;
-mod plan;
 pub mod process_stats;
 pub(crate) mod processes;
 pub(crate) mod record;
+mod run_config;
 mod servers;
 pub(crate) mod site;
 mod slow_stream;
 mod transfers;
 
 pub use judge::{Second, Verdict, RULES};
-pub use plan::{Play, Progress, Tell};
 pub use processes::Program;
+pub use run_config::{Progress, ProgressCallback, RunConfig};
 
 use clients::App;
 use events::Fleet;
@@ -55,15 +55,15 @@
 ///
 /// # Errors
 /// The fleet could not be started, and why.
-pub async fn play(play: &Play, tell: &Tell<'_>) -> Result<Verdict, String> {
+pub async fn run(play: &RunConfig, tell: &ProgressCallback<'_>) -> Result<Verdict, String> {
     let odd = |e: std::io::Error| format!("the rig's sockets: {e}");
-    let shared = Arc::new(Shared::new(play.day.clone(), play.seed));
+    let shared = Arc::new(Shared::new(play.scenario.clone(), play.seed));
     let day = &shared.day;
     let site = Site::start(&shared).await.map_err(odd)?;
     // It is in no list; whoever sends there has invented it.
     let decoy = Machine::start(&shared, DECOY, 0, "none", 0).map_err(odd)?;
     let mut play = play.clone();
-    for program in [&mut play.program, &mut play.second] {
+    for program in [&mut play.program, &mut play.replacement] {
         program.environment.push((forwarder::DECOY.to_owned(), decoy.address.to_string()));
     }
     let (mut peers, mut datagrams) = (Vec::new(), None);
@@ -101,7 +101,7 @@
     let seats = seats.into_iter().map(Mutex::new).collect();
     let fleet = Arc::new(Fleet { site, seats, apps, datagrams, play });
     shared.begin_day();
-    tell(Progress::Begun);
+    tell(Progress::Started);
     let mut tasks = JoinSet::new();
     let mut requests = JoinSet::new();
     for number in 0..day.events.len() {
@@ -135,7 +135,7 @@
 }
 
 /// Tells how far the day is, for ever.
-async fn tell_progress(shared: &Shared, tell: &Tell<'_>) {
+async fn tell_progress(shared: &Shared, tell: &ProgressCallback<'_>) {
     let mut marks: Vec<(Micros, String)> = Vec::new();
     for event in &shared.day.events {
         let place = event.zone.as_ref().map_or(String::new(), |zone| format!(" {zone}"));
--- a/crates/testbed/src/cluster/plan.rs
+++ b/crates/testbed/src/cluster/run_config.rs
@@ -7,27 +7,27 @@
 
 /// How a day is to be played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct RunConfig {
     /// The day.
-    pub day: Scenario,
+    pub scenario: Scenario,
     /// For all that is drawn.
     pub seed: u64,
     /// What the proxies are.
     pub program: Program,
     /// What those are that relieve them.
-    pub second: Program,
+    pub replacement: Program,
     /// Where their logs go.
     pub logs: Option<PathBuf>,
 }
 
 /// Something that can be told while a day is played.
-pub type Tell<'a> = dyn Fn(Progress<'_>) + Sync + 'a;
+pub type ProgressCallback<'a> = dyn Fn(Progress<'_>) + Sync + 'a;
 
 /// How far a day is.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress<'a> {
     /// The fleet stands, and requests begin.
-    Begun,
+    Started,
     /// Something begins, or is over, at this time of the day.
     Event(Micros, &'a str),
     /// So much of the day is over, and so many requests have been served and not.
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,6 @@
 //! `oakport-testbed compare`: two programs on the same day, play by play.
 
-use crate::cluster::{Play, Program, Verdict};
+use crate::cluster::{Program, RunConfig, Verdict};
 use crate::fleet::{played, read, Ended, Stop, UNLIMITED};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
@@ -74,7 +74,13 @@
             let play = |path: &PathBuf, day: &Scenario| {
                 let program = Program::oakport(&lab, path);
                 played(
-                    &Play { day: day.clone(), seed, second: program.clone(), program, logs: None },
+                    &RunConfig {
+                        scenario: day.clone(),
+                        seed,
+                        replacement: program.clone(),
+                        program,
+                        logs: None,
+                    },
                     UNLIMITED,
                 )
             };
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,6 +1,6 @@
 //! `oakport-testbed demo`: a small fleet in three zones while parts of it fail, shown live, with a report.
 
-use crate::cluster::{Play, Progress};
+use crate::cluster::{Progress, RunConfig};
 use crate::fleet::{table, told, write, Ended, Programs, Stop, UNLIMITED};
 use crate::report;
 use clap::Args;
@@ -57,10 +57,10 @@
             day.rate,
             day.purpose
         );
-        let play = Play { day, seed: self.seed, program, second, logs: None };
+        let play = RunConfig { scenario: day, seed: self.seed, program, replacement: second, logs: None };
         let shown = Mutex::new((0, [0, 0]));
         let tell = |progress: Progress<'_>| match progress {
-            Progress::Begun => println!("all proxies are ready"),
+            Progress::Started => println!("all proxies are ready"),
             Progress::Event(at, text) => println!("{:5.1} s  * {text}", at as f64 / 1e6),
             Progress::At(at, ended) => {
                 // One thread tells; a poisoned lock could only follow its panic.
@@ -76,7 +76,10 @@
         };
         let verdict = told(&play, &tell, UNLIMITED)?;
         print!("{}", table(&verdict, false));
-        write(&self.out, &report::html("oakport demo", &play.day, self.seed, &verdict).map_err(Stop::Bad)?)?;
+        write(
+            &self.out,
+            &report::html("oakport demo", &play.scenario, self.seed, &verdict).map_err(Stop::Bad)?,
+        )?;
         println!("the report with its plots: {}", self.out.display());
         Ok(Ended::of(&verdict))
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `oakport-testbed fleet`: days with real processes on loopback, judged.
 
 use crate::cluster::forwarder::Broken;
-use crate::cluster::{self, Play, Program, Progress, Tell, Verdict};
+use crate::cluster::{self, Program, Progress, ProgressCallback, RunConfig, Verdict};
 use crate::report;
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
@@ -137,10 +137,16 @@
         for (name, day) in days {
             println!("{name} (seed {}): {}", self.seed, day.purpose);
             let (program, second) = (program.clone(), second.clone());
-            let play = Play { day, seed: self.seed, program, second, logs: self.logs.clone() };
+            let play = RunConfig {
+                scenario: day,
+                seed: self.seed,
+                program,
+                replacement: second,
+                logs: self.logs.clone(),
+            };
             let verdict = played(&play, UNLIMITED)?;
             if let Some(folder) = &self.report {
-                let page = report::html(&name, &play.day, self.seed, &verdict).map_err(Stop::Bad)?;
+                let page = report::html(&name, &play.scenario, self.seed, &verdict).map_err(Stop::Bad)?;
                 write(&folder.join(format!("{name}.html")), &page)?;
             }
             print!("{}", table(&verdict, self.seconds));
@@ -173,15 +179,18 @@
 ///
 /// # Errors
 /// It cannot be played, takes longer than `most`, or Ctrl-C.
-pub fn played(play: &Play, most: Duration) -> Result<Verdict, Stop> {
+pub fn played(play: &RunConfig, most: Duration) -> Result<Verdict, Stop> {
     let shown = std::io::stderr().is_terminal();
-    let bar =
-        if shown { indicatif::ProgressBar::new(play.day.duration) } else { indicatif::ProgressBar::hidden() };
+    let bar = if shown {
+        indicatif::ProgressBar::new(play.scenario.duration)
+    } else {
+        indicatif::ProgressBar::hidden()
+    };
     if let Ok(style) = indicatif::ProgressStyle::with_template("{bar:40} {percent}% {msg}") {
         bar.set_style(style);
     }
     let tell = |progress: Progress<'_>| match progress {
-        Progress::Begun => bar.set_message("the fleet stands"),
+        Progress::Started => bar.set_message("the fleet stands"),
         Progress::Event(at, text) => bar.set_message(format!("{} s: {text}", at / 1_000_000)),
         Progress::At(at, _) => bar.set_position(at),
     };
@@ -194,12 +203,12 @@
 ///
 /// # Errors
 /// It cannot be played, takes longer than `most`, or Ctrl-C.
-pub fn told(play: &Play, tell: &Tell<'_>, most: Duration) -> Result<Verdict, Stop> {
+pub fn told(play: &RunConfig, tell: &ProgressCallback<'_>, most: Duration) -> Result<Verdict, Stop> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Stop::Bad(format!("runtime: {e}")))?;
     runtime.block_on(async {
         tokio::select! {
-            verdict = cluster::play(play, tell) => verdict.map_err(Stop::Bad),
+            verdict = cluster::run(play, tell) => verdict.map_err(Stop::Bad),
             _ = tokio::signal::ctrl_c() => Err(Stop::Interrupted),
             () = tokio::time::sleep(most) => Err(Stop::Bad(format!("it had not ended after {most:?}"))),
         }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -2,7 +2,7 @@
 
 mod plan;
 
-use crate::cluster::{Play, Program, Verdict};
+use crate::cluster::{Program, RunConfig, Verdict};
 use crate::fleet::{played, write, Ended, Programs, Stop};
 use clap::Args;
 use comfy_table::{presets, Table};
@@ -107,7 +107,8 @@
         let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
         let most = duration(day.duration) + MAX_OVERTIME;
         let (program, second) = (program.clone(), second.clone());
-        let play = Play { day, seed, program, second, logs: Some(folder.clone()) };
+        let play =
+            RunConfig { scenario: day, seed, program, replacement: second, logs: Some(folder.clone()) };
         let began = Instant::now();
         let verdict = played(&play, most);
         let seconds = began.elapsed().as_secs_f64();
--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -3,7 +3,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use oakport_simulator::scenario::Scenario;
-use oakport_testbed::cluster::{self, Play, Program, Progress};
+use oakport_testbed::cluster::{self, Program, Progress, RunConfig};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -89,12 +89,12 @@
     let day = std::fs::read_to_string(lab_root().join("scenarios/fleet/small.toml")).expect("the small day");
     let program = Program::forwarder(lab, None);
     let day = Scenario::parse(&day).expect("a good day");
-    let play = Play { day, seed: 1, second: program.clone(), program, logs: None };
+    let play = RunConfig { scenario: day, seed: 1, replacement: program.clone(), program, logs: None };
     let before = descriptors();
     let mut there = Vec::new();
     for round in 0..2 {
         let panics = |progress: Progress<'_>| {
-            if matches!(progress, Progress::Begun) {
+            if matches!(progress, Progress::Started) {
                 panic!("on purpose");
             }
         };
@@ -102,7 +102,7 @@
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
             // Whoever panics takes all with it.
-            let _ = runtime.block_on(cluster::play(&play, &panics));
+            let _ = runtime.block_on(cluster::run(&play, &panics));
         }));
         assert!(played.is_err(), "round {round}");
         there.push(descriptors());
