--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -35,7 +35,7 @@
 /// Before the first call of a pace, so that the thread that keeps the time stands.
 const LEAD: Duration = Duration::from_millis(5);
 /// Opens connections, and is not kept.
-const WARM_UP: Pace = Pace { rate: 100.0, length: 500_000 };
+const WARM_UP: LoadStep = LoadStep { rate: 100.0, duration: 500_000 };
 /// What the proxies are told of the site. Calls may not run twice, so that each is to pass each hop once. Six
 /// callers of a service are those of 6,300 processes that call one of 1,000 services each.
 const DAY: &str = r#"
@@ -55,7 +55,7 @@
 
 /// How calls come from one service to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum CallPath {
     /// By a proxy, which chooses the server.
     Proxies,
     /// Straight to the server that the proxy had chosen for its like.
@@ -64,60 +64,60 @@
 
 /// So many calls a second, for so long, each way.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LoadStep {
     /// Calls a second.
     pub rate: f64,
     /// How long.
-    pub length: Micros,
+    pub duration: Micros,
 }
 
-impl Pace {
+impl LoadStep {
     /// How long it takes with both ways.
-    pub fn lasts(&self) -> Duration {
-        Duration::from_micros(self.length + LAG)
+    pub fn total_duration(&self) -> Duration {
+        Duration::from_micros(self.duration + LAG)
     }
 }
 
 /// What became of the calls of one way.
 #[derive(Clone, Debug)]
-pub struct Trip {
+pub struct PathResult {
     /// Calls.
-    pub asked: usize,
+    pub sent: usize,
     /// Those that came back with the answer that a server of the first service made for them.
     pub answered: usize,
     /// From the moment at which a call was to be sent until its answer was whole, in microseconds.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
     /// Arrivals at servers, over all hops.
     pub arrivals: usize,
     /// Hops at which a call has arrived exactly once, over all calls.
-    pub once: usize,
+    pub arrived_once: usize,
 }
 
 /// What a pace gave.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct StepResult {
     /// With the proxies.
-    pub proxies: Trip,
+    pub proxies: PathResult,
     /// Without.
-    pub direct: Trip,
+    pub direct: PathResult,
     /// Share of a core that a proxy's process took, as the mean of all.
     pub cpu_share: f64,
     /// How much later than planned calls were sent, in microseconds.
     pub late: Histogram<u64>,
 }
 
-impl Outcome {
+impl StepResult {
     /// The rig itself was too late to tell what is late, or failed for that, as in a day of the fleet.
-    pub fn too_late(&self) -> bool {
+    pub fn is_load_generator_late(&self) -> bool {
         self.late.value_at_quantile(0.99) > TOO_LATE
     }
 }
 
 /// What a chain gave.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct ChainResult {
     /// For each pace.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<StepResult>,
     /// Memory of a proxy's process in the end, as the mean of all.
     pub memory_bytes: f64,
     /// The proxies' processes, which have ended.
@@ -128,7 +128,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Id {
     pace: u8,
-    way: Way,
+    way: CallPath,
     call: u32,
     hop: u8,
 }
@@ -141,8 +141,8 @@
     fn read(text: &str) -> Option<Self> {
         let part = |from, to| u32::from_str_radix(text.get(from..to)?, 16).ok();
         let way = match part(2, 4)? {
-            0 => Way::Proxies,
-            1 => Way::Direct,
+            0 => CallPath::Proxies,
+            1 => CallPath::Direct,
             _ => return None,
         };
         let id = Id { pace: part(0, 2)? as u8, way, call: part(4, 12)?, hop: part(12, 14)? as u8 };
@@ -224,8 +224,8 @@
     async fn call(&self, id: Id, left: Duration) -> bool {
         let Some(hop) = self.hops.get(usize::from(id.hop)) else { return false };
         let caller = match id.way {
-            Way::Proxies => &hop.proxy,
-            Way::Direct => &hop.servers[self.chosen(id)],
+            CallPath::Proxies => &hop.proxy,
+            CallPath::Direct => &hop.servers[self.chosen(id)],
         };
         let (named, time) = (id.text(), left.as_micros());
         let text = format!(
@@ -240,7 +240,7 @@
     /// The server that the proxy had chosen for the like of this call; another if it had come to none.
     fn chosen(&self, id: Id) -> usize {
         let arrivals = lock(&self.arrivals);
-        let like = arrivals.get(&Id { way: Way::Proxies, ..id });
+        let like = arrivals.get(&Id { way: CallPath::Proxies, ..id });
         like.and_then(|servers| servers.last()).copied().unwrap_or(id.call as usize % SERVERS)
     }
 
@@ -292,13 +292,19 @@
     }
 
     /// What became of the calls of a pace by one way.
-    fn trip(&self, pace: u8, way: Way, asked: usize, times: Histogram<u64>) -> Trip {
+    fn trip(&self, pace: u8, way: CallPath, asked: usize, times: Histogram<u64>) -> PathResult {
         let arrivals = lock(&self.arrivals);
         let own = arrivals.iter().filter(|(id, _)| (id.pace, id.way) == (pace, way));
-        let mut trip = Trip { asked, answered: times.len() as usize, times, arrivals: 0, once: 0 };
+        let mut trip = PathResult {
+            sent: asked,
+            answered: times.len() as usize,
+            latencies: times,
+            arrivals: 0,
+            arrived_once: 0,
+        };
         for (_, servers) in own {
             trip.arrivals += servers.len();
-            trip.once += usize::from(servers.len() == 1);
+            trip.arrived_once += usize::from(servers.len() == 1);
         }
         trip
     }
@@ -314,7 +320,12 @@
 ///
 /// # Errors
 /// A party cannot be started.
-pub async fn play(program: &Program, hops: usize, paces: &[Pace], seed: u64) -> Result<Played, String> {
+pub async fn run(
+    program: &Program,
+    hops: usize,
+    paces: &[LoadStep],
+    seed: u64,
+) -> Result<ChainResult, String> {
     let odd = |e: std::io::Error| format!("the rig's sockets: {e}");
     let day = Scenario::parse(DAY).map_err(|e| e.to_string())?;
     let shared = Arc::new(Shared::new(day, seed));
@@ -362,33 +373,33 @@
         let (ways, late) = ask(&chain, number, moments).await;
         let cpu_share = (mean(cpu) - before) / begin.elapsed().as_secs_f64();
         let [proxies, direct] = ways.map(|(way, asked, times)| chain.trip(number, way, asked, times));
-        outcomes.push(Outcome { proxies, direct, cpu_share, late });
+        outcomes.push(StepResult { proxies, direct, cpu_share, late });
     }
     outcomes.remove(0);
     let memory_bytes = mean(memory);
     for seat in &mut seats {
         seat.end(Duration::ZERO).await;
     }
-    Ok(Played { outcomes, memory_bytes, processes })
+    Ok(ChainResult { outcomes, memory_bytes, processes })
 }
 
 /// A moment, and the call that is to be sent then.
-type Moment = (Duration, Way, u32);
+type Moment = (Duration, CallPath, u32);
 
 /// When calls are to be sent, in order. Both ways take turns: what else the machine does meets them alike.
-fn moments(day: &Scenario, seed: u64, pace: &Pace) -> Vec<Moment> {
-    let day = Scenario { rate: pace.rate, duration: pace.length, ..day.clone() };
+fn moments(day: &Scenario, seed: u64, pace: &LoadStep) -> Vec<Moment> {
+    let day = Scenario { rate: pace.rate, duration: pace.duration, ..day.clone() };
     let mut moments = Vec::new();
     for (call, arrival) in (0..).zip(Arrivals::generate_all(&day, seed)) {
-        moments.push((Duration::from_micros(arrival.at), Way::Proxies, call));
-        moments.push((Duration::from_micros(arrival.at + LAG), Way::Direct, call));
+        moments.push((Duration::from_micros(arrival.at), CallPath::Proxies, call));
+        moments.push((Duration::from_micros(arrival.at + LAG), CallPath::Direct, call));
     }
     moments.sort_unstable();
     moments
 }
 
 /// What was sent by a way, and the times of what was answered.
-type Sent = (Way, usize, Histogram<u64>);
+type Sent = (CallPath, usize, Histogram<u64>);
 
 /// Sends calls at their moments, whatever has become of the earlier ones; and tells by how much the moments
 /// were missed.
@@ -406,7 +417,8 @@
         }
     });
     let micros = |span: Duration| (span.as_micros() as u64).max(1);
-    let (mut ways, mut late) = ([Way::Proxies, Way::Direct].map(|way| (way, 0, histogram())), histogram());
+    let (mut ways, mut late) =
+        ([CallPath::Proxies, CallPath::Direct].map(|way| (way, 0, histogram())), histogram());
     let mut calls = JoinSet::new();
     while let Some((planned, way, call)) = due.recv().await {
         late.saturating_record(micros(planned.elapsed()));
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -64,7 +64,7 @@
 
 /// A way from the client to the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Route {
     /// Straight to one server.
     Direct,
     /// By a relay of the cluster, without a fault.
@@ -77,18 +77,18 @@
     Other,
 }
 
-impl Way {
+impl Route {
     /// All, in their order.
-    pub const ALL: [Way; 5] = [Way::Direct, Way::Relay, Way::Forwarder, Way::Oakport, Way::Other];
+    pub const ALL: [Route; 5] = [Route::Direct, Route::Relay, Route::Forwarder, Route::Oakport, Route::Other];
 
     /// For people.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Direct => "direct",
-            Way::Relay => "relay",
-            Way::Forwarder => "forwarder",
-            Way::Oakport => "oakport",
-            Way::Other => "other",
+            Route::Direct => "direct",
+            Route::Relay => "relay",
+            Route::Forwarder => "forwarder",
+            Route::Oakport => "oakport",
+            Route::Other => "other",
         }
     }
 }
@@ -232,7 +232,7 @@
 ///
 /// # Errors
 /// A party cannot be started, does not answer, or does not tell its figures.
-pub async fn steady(oakport: &Program, rate: f64) -> Result<Cost, String> {
+pub async fn measure_connections(oakport: &Program, rate: f64) -> Result<Cost, String> {
     let odd = |e: std::io::Error| format!("the rig's sockets: {e}");
     let mut day = Scenario::parse(DAY).map_err(|e| e.to_string())?;
     day.servers = STEADY_SERVERS;
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,6 +1,6 @@
 //! `oakport-testbed overhead`: what a hop through oakport costs, beside none, a relay and a forwarder that picks at random.
 
-use crate::cluster::hops::{self, Cost, Sample, Way};
+use crate::cluster::hops::{self, Cost, Route, Sample};
 use crate::cluster::Program;
 use crate::fleet::Stop;
 use clap::Args;
@@ -48,7 +48,7 @@
             let measured = hops::measure(&oakport, other.as_ref(), &forwarder, self.rounds).await?;
             let mut steady = Vec::new();
             for rate in STEADY {
-                steady.push((rate, hops::steady(&oakport, rate).await?));
+                steady.push((rate, hops::measure_connections(&oakport, rate).await?));
             }
             Ok((measured, steady))
         };
@@ -73,7 +73,7 @@
 
 /// What is not as expected.
 fn broken(rounds: &[Vec<Sample>], steady: &[(f64, Cost)]) -> Vec<String> {
-    let oakport = Way::Oakport as usize;
+    let oakport = Route::Oakport as usize;
     let hops = [("p50", added(rounds, oakport, |s| s.p50)), ("p99", added(rounds, oakport, |s| s.p99))];
     let hops = hops.into_iter().zip(ADDED).filter(|((_, added), most)| added > most);
     let hops = hops.map(|((name, added), most)| format!("{added:.0} us added at {name}, at most {most:.0}"));
@@ -120,9 +120,9 @@
     let more = ["added", "waits/request", "connections/request"];
     table.load_preset(presets::NOTHING).set_header(head.into_iter().chain(more));
     let ways = rounds.first().map_or(0, Vec::len);
-    for (place, way) in Way::ALL.into_iter().enumerate().take(ways) {
+    for (place, way) in Route::ALL.into_iter().enumerate().take(ways) {
         let of = |part: fn(&Sample) -> f64| median(rounds.iter().map(|r| part(&r[place])).collect());
-        let against = |other: Way, part: fn(&Sample) -> f64| {
+        let against = |other: Route, part: fn(&Sample) -> f64| {
             let ratios: Vec<f64> =
                 rounds.iter().map(|r| part(&r[place]) / part(&r[other as usize])).collect();
             let least = ratios.iter().copied().fold(f64::INFINITY, f64::min);
@@ -138,13 +138,13 @@
                 format!("{:.4}", median(told))
             }
         };
-        let cores = matches!(way, Way::Forwarder | Way::Oakport | Way::Other);
+        let cores = matches!(way, Route::Forwarder | Route::Oakport | Route::Other);
         table.add_row([
             way.name().to_owned(),
             format!("{:.0}", of(|s| s.rate)),
-            against(Way::Direct, |s| s.rate),
+            against(Route::Direct, |s| s.rate),
             if cores { format!("{:.0}", of(|s| s.per_core)) } else { "-".to_owned() },
-            if cores { against(Way::Forwarder, |s| s.per_core) } else { "-".to_owned() },
+            if cores { against(Route::Forwarder, |s| s.per_core) } else { "-".to_owned() },
             format!("{:.0}", of(|s| s.p50)),
             added(|s| s.p50),
             format!("{:.0}", of(|s| s.p99)),
--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -1,12 +1,14 @@
 //! Passing calls on: what a chain of proxies adds to a call beside the same chain without them.
 
 use super::point::{Bound, Figures, Part, Point, Stopped};
-use crate::cluster::chain::{self, Outcome, Pace, Played};
+use crate::cluster::chain::{self, ChainResult, LoadStep, StepResult};
 use std::time::{Duration, Instant};
 
 /// Calls a second of a process: 310,000 by 6,300 processes, and five times that.
-const RATES: [(&str, Pace); 2] =
-    [("at_49", Pace { rate: 49.0, length: 9_000_000 }), ("at_245", Pace { rate: 245.0, length: 6_000_000 })];
+const RATES: [(&str, LoadStep); 2] = [
+    ("at_49", LoadStep { rate: 49.0, duration: 9_000_000 }),
+    ("at_245", LoadStep { rate: 245.0, duration: 6_000_000 }),
+];
 /// To start the chain and to warm it up.
 const START: Duration = Duration::from_secs(2);
 
@@ -35,14 +37,14 @@
         return Err(Stopped::NotRun(format!("each hop is a process; at most {DEEPEST}")));
     }
     let paces = RATES.map(|(_, pace)| pace);
-    let takes = paces.iter().map(Pace::lasts).sum::<Duration>() + START;
+    let takes = paces.iter().map(LoadStep::total_duration).sum::<Duration>() + START;
     if Instant::now() + takes > point.until {
         return Err(Stopped::NotRun(format!("it takes {} s, and less is left", takes.as_secs())));
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Stopped::Odd(format!("runtime: {e}")))?;
     let played = runtime.block_on(async {
-        let played = chain::play(&point.program, point.size, &paces, point.seed);
+        let played = chain::run(&point.program, point.size, &paces, point.seed);
         tokio::select! {
             played = played => played.map_err(Stopped::Odd),
             () = tokio::time::sleep_until(point.until.into()) => {
@@ -51,23 +53,23 @@
             _ = tokio::signal::ctrl_c() => Err(Stopped::Odd("interrupted".to_owned())),
         }
     })?;
-    if played.outcomes.iter().any(Outcome::too_late) {
+    if played.outcomes.iter().any(StepResult::is_load_generator_late) {
         let why = "the rig itself was too late to judge: more than 20 ms at p99; give it idle cores";
         return Err(Stopped::NotRun(why.to_owned()));
     }
     Ok(figures(&played))
 }
 
-fn figures(played: &Played) -> Figures {
+fn figures(played: &ChainResult) -> Figures {
     let mut figures = Figures::from([("memory_bytes".to_owned(), played.memory_bytes)]);
-    for ((rate, _), Outcome { proxies, direct, cpu_share, late }) in RATES.iter().zip(&played.outcomes) {
+    for ((rate, _), StepResult { proxies, direct, cpu_share, late }) in RATES.iter().zip(&played.outcomes) {
         let mut tell = |name: &str, value: f64| figures.insert(format!("{rate}.{name}"), value);
-        let failed = |trip: &chain::Trip| 1.0 - trip.answered as f64 / (trip.asked as f64).max(1.0);
+        let failed = |trip: &chain::PathResult| 1.0 - trip.answered as f64 / (trip.sent as f64).max(1.0);
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-            let time = |trip: &chain::Trip| trip.times.value_at_quantile(quantile) as f64;
+            let time = |trip: &chain::PathResult| trip.latencies.value_at_quantile(quantile) as f64;
             tell(&format!("added_{name}_us"), time(proxies) - time(direct));
         }
-        tell("direct_p99_us", direct.times.value_at_quantile(0.99) as f64);
+        tell("direct_p99_us", direct.latencies.value_at_quantile(0.99) as f64);
         tell("sent_late_p99_us", late.value_at_quantile(0.99) as f64);
         tell("cpu_share", *cpu_share);
         tell("failed_share", failed(proxies));
