--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -1,5 +1,5 @@
-//! A chain of calls: each hop is a proxy and a service behind it, whose servers call on into the next hop
-//! before they answer. The same calls go the same way without the proxies, between the others.
+//! A chain of services: each hop is a proxy in front of a service, whose servers call the next hop before they
+//! answer. Each call is repeated without the proxies, straight to the same servers, for comparison.
 
 use super::discovery::{Agent, Member};
 use super::hops::cpu;
@@ -24,21 +24,21 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Servers of each service: as many as the operators' fleet has for each of its services.
+/// Servers per service, as in the operators' fleet.
 pub const SERVERS: usize = 6;
-/// Longest wait of a client for its answer.
-const DEADLINE: Duration = Duration::from_secs(3);
-/// An answer that is later than its deadline by less than this is waited for.
-const SLACK: Duration = Duration::from_millis(50);
-/// A call without proxies begins so long after its like with them, when the servers of that are known.
-const LAG: Micros = 500_000;
-/// Before the first call of a pace, so that the thread that keeps the time stands.
-const LEAD: Duration = Duration::from_millis(5);
-/// Opens connections, and is not kept.
+/// Client timeout of a call that enters the chain.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Extra time beyond its deadline for which a caller still waits for a response.
+const DEADLINE_SLACK: Duration = Duration::from_millis(50);
+/// Delay of a direct call after the same call through the proxies, so that the servers it went to are known.
+const DIRECT_DELAY_US: Micros = 500_000;
+/// Delay before the first call of a load step, so that the timer thread is running by then.
+const START_DELAY: Duration = Duration::from_millis(5);
+/// Opens the connections; its result is discarded.
 const WARM_UP: LoadStep = LoadStep { rate: 100.0, duration: 500_000 };
-/// What the proxies are told of the site. Calls may not run twice, so that each is to pass each hop once. Six
-/// callers of a service are those of 6,300 processes that call one of 1,000 services each.
-const DAY: &str = r#"
+/// Scenario from which the proxies' settings are derived. Calls are not idempotent, so each must pass each hop
+/// exactly once. Six balancers call one service, as with 6,300 processes that call one of 1,000 services each.
+const SCENARIO: &str = r#"
 purpose = "a chain of calls"
 length = "1s"
 balancers = 6
@@ -53,195 +53,199 @@
 idempotency = "single_shot"
 "#;
 
-/// How calls come from one service to the next.
+/// Path of a call from one service to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPath {
-    /// By a proxy, which chooses the server.
+    /// Through a proxy, which selects the server.
     Proxies,
-    /// Straight to the server that the proxy had chosen for its like.
+    /// Straight to the server that the proxy selected for the same call.
     Direct,
 }
 
-/// So many calls a second, for so long, each way.
+/// A constant call rate for a fixed time, on each path.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadStep {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// How long.
+    /// Duration in microseconds.
     pub duration: Micros,
 }
 
 impl LoadStep {
-    /// How long it takes with both ways.
+    /// Duration including the delay of the direct calls.
     pub fn total_duration(&self) -> Duration {
-        Duration::from_micros(self.duration + LAG)
+        Duration::from_micros(self.duration + DIRECT_DELAY_US)
     }
 }
 
-/// What became of the calls of one way.
+/// Results of the calls on one path.
 #[derive(Clone, Debug)]
 pub struct PathResult {
-    /// Calls.
+    /// Calls sent.
     pub sent: usize,
-    /// Those that came back with the answer that a server of the first service made for them.
+    /// Calls answered with the response that a server of the first service made for them.
     pub answered: usize,
-    /// From the moment at which a call was to be sent until its answer was whole, in microseconds.
+    /// Time from the planned send time of a call to its complete response, in microseconds.
     pub latencies: Histogram<u64>,
-    /// Arrivals at servers, over all hops.
+    /// Arrivals at servers, summed over all hops.
     pub arrivals: usize,
-    /// Hops at which a call has arrived exactly once, over all calls.
+    /// Hops at which a call arrived exactly once, summed over all calls.
     pub arrived_once: usize,
 }
 
-/// What a pace gave.
+/// Results of a load step.
 #[derive(Clone, Debug)]
 pub struct StepResult {
-    /// With the proxies.
+    /// Calls through the proxies.
     pub proxies: PathResult,
-    /// Without.
+    /// Direct calls.
     pub direct: PathResult,
-    /// Share of a core that a proxy's process took, as the mean of all.
+    /// Fraction of a core used by a proxy process, averaged over all proxies.
     pub cpu_share: f64,
-    /// How much later than planned calls were sent, in microseconds.
+    /// Delay of sending a call after its planned time, in microseconds.
     pub late: Histogram<u64>,
 }
 
 impl StepResult {
-    /// The rig itself was too late to tell what is late, or failed for that, as in a day of the fleet.
+    /// Whether calls were sent too late for the measured latencies and failures to be meaningful. The limit is the
+    /// one of the cluster runs.
     pub fn is_load_generator_late(&self) -> bool {
         self.late.value_at_quantile(0.99) > TOO_LATE
     }
 }
 
-/// What a chain gave.
+/// Results of a run of the chain.
 #[derive(Clone, Debug)]
 pub struct ChainResult {
-    /// For each pace.
+    /// One result per load step.
     pub outcomes: Vec<StepResult>,
-    /// Memory of a proxy's process in the end, as the mean of all.
+    /// Memory of a proxy process at the end of the run, averaged over all proxies.
     pub memory_bytes: f64,
-    /// The proxies' processes, which have ended.
+    /// Process IDs of the proxies, all of which have exited.
     pub processes: Vec<u32>,
 }
 
-/// A call at one hop; each has an id of its own on the wire.
+/// Identifies a call at one hop; each has its own request ID on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Id {
-    pace: u8,
-    way: CallPath,
+    step: u8,
+    path: CallPath,
     call: u32,
     hop: u8,
 }
 
 impl Id {
     fn text(self) -> String {
-        format!("{:02x}{:02x}{:08x}{:02x}", self.pace, self.way as u8, self.call, self.hop)
+        format!("{:02x}{:02x}{:08x}{:02x}", self.step, self.path as u8, self.call, self.hop)
     }
 
     fn read(text: &str) -> Option<Self> {
         let part = |from, to| u32::from_str_radix(text.get(from..to)?, 16).ok();
-        let way = match part(2, 4)? {
+        let path = match part(2, 4)? {
             0 => CallPath::Proxies,
             1 => CallPath::Direct,
             _ => return None,
         };
-        let id = Id { pace: part(0, 2)? as u8, way, call: part(4, 12)?, hop: part(12, 14)? as u8 };
+        let id = Id { step: part(0, 2)? as u8, path, call: part(4, 12)?, hop: part(12, 14)? as u8 };
         (id.text() == text).then_some(id)
     }
 }
 
-/// An open connection, and what has been read of it.
-type Open = (TcpStream, BytesMut);
+/// An open connection and the bytes read from it so far.
+type Connection = (TcpStream, BytesMut);
 
-/// Calls an address, as the application beside a proxy does (PROTOCOL, "The application to its client
-/// proxy").
-struct Caller {
+/// HTTP client of one address that behaves like the application beside a proxy (PROTOCOL, "The application to
+/// its client proxy").
+struct HttpClient {
     address: SocketAddr,
-    resting: Mutex<Vec<Open>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // What is kept is whole after each step, so that another's panic spoils nothing.
+    // The guarded values are consistent after each statement, so a poisoned lock is safe to use.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Caller {
+impl HttpClient {
     fn new(address: SocketAddr) -> Self {
-        Caller { address, resting: Mutex::default() }
+        HttpClient { address, idle: Mutex::default() }
     }
 
-    /// A connection that rests and has not been closed meanwhile.
-    fn rested(&self) -> Option<Open> {
+    /// Takes an idle connection that the server has not closed.
+    fn take_idle(&self) -> Option<Connection> {
         loop {
-            let (stream, mut buffer) = lock(&self.resting).pop()?;
+            let (stream, mut buffer) = lock(&self.idle).pop()?;
             if stream.try_read_buf(&mut buffer).is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 return Some((stream, buffer));
             }
         }
     }
 
-    async fn ask(&self, text: &str) -> std::io::Result<Message> {
-        if let Some(open) = self.rested() {
+    async fn call(&self, text: &str) -> std::io::Result<Message> {
+        if let Some(open) = self.take_idle() {
             match self.exchange(open, text).await {
-                // Its end may have crossed the request: once more, on a new connection.
+                // The server may have closed the idle connection while the request was sent: retries once on a
+                // new connection.
                 Err(e) if e.kind() != ErrorKind::InvalidData => {}
                 done => return done,
             }
         }
         let stream = TcpStream::connect(self.address).await?;
-        // It only saves time.
+        // Best effort: TCP_NODELAY only reduces latency.
         let _ = stream.set_nodelay(true);
         self.exchange((stream, BytesMut::new()), text).await
     }
 
-    async fn exchange(&self, (mut stream, mut buffer): Open, text: &str) -> std::io::Result<Message> {
+    async fn exchange(&self, (mut stream, mut buffer): Connection, text: &str) -> std::io::Result<Message> {
         stream.write_all(text.as_bytes()).await?;
         let answer = http::read(&mut stream, &mut buffer, Side::Answers).await?;
         if buffer.is_empty() && !answer.closes() {
-            lock(&self.resting).push((stream, buffer));
+            lock(&self.idle).push((stream, buffer));
         }
         Ok(answer)
     }
 }
 
-/// The services of the chain, and what arrived there.
+/// The services of the chain, and a record of the calls that arrived.
 struct Chain {
     hops: Vec<Hop>,
-    /// The servers that each call came to at each hop, by their place in the service.
+    /// For each call at each hop, the indices within the service of the servers at which it arrived.
     arrivals: Mutex<BTreeMap<Id, Vec<usize>>>,
-    /// A server closes a connection that has been idle for this long.
-    idle: Duration,
+    /// Idle timeout of connections at the servers.
+    idle_timeout: Duration,
 }
 
-/// Who can be called at a hop.
+/// Clients of the proxy and of the servers of one hop.
 struct Hop {
-    proxy: Caller,
-    servers: Vec<Caller>,
+    proxy: HttpClient,
+    servers: Vec<HttpClient>,
 }
 
 impl Chain {
-    /// Calls into a hop. True if an answer came that one of its servers made for this call.
-    async fn call(&self, id: Id, left: Duration) -> bool {
+    /// Calls a hop. Returns true if the response was made for this call by a server of that hop.
+    async fn call(&self, id: Id, time_left: Duration) -> bool {
         let Some(hop) = self.hops.get(usize::from(id.hop)) else { return false };
-        let caller = match id.way {
+        let client = match id.path {
             CallPath::Proxies => &hop.proxy,
-            CallPath::Direct => &hop.servers[self.chosen(id)],
+            CallPath::Direct => &hop.servers[self.selected_server(id)],
         };
-        let (named, time) = (id.text(), left.as_micros());
+        let (request_id, time) = (id.text(), time_left.as_micros());
         let text = format!(
-            "POST /checkout HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {named}\r\n\
+            "POST /checkout HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {request_id}\r\n\
              X-Timeout: {time}u\r\nContent-Length: 1\r\n\r\n1"
         );
-        let Ok(Ok(answer)) = timeout(left + SLACK, caller.ask(&text)).await else { return false };
-        let server = author(&answer.body, &named, None).filter(|_| answer.status() == 200);
+        let Ok(Ok(answer)) = timeout(time_left + DEADLINE_SLACK, client.call(&text)).await else {
+            return false;
+        };
+        let server = author(&answer.body, &request_id, None).filter(|_| answer.status() == 200);
         server.is_some_and(|server| server / SERVERS == usize::from(id.hop))
     }
 
-    /// The server that the proxy had chosen for the like of this call; another if it had come to none.
-    fn chosen(&self, id: Id) -> usize {
+    /// Index of the server that the proxy selected for the same call, or any server if the call reached none.
+    fn selected_server(&self, id: Id) -> usize {
         let arrivals = lock(&self.arrivals);
-        let like = arrivals.get(&Id { way: CallPath::Proxies, ..id });
-        like.and_then(|servers| servers.last()).copied().unwrap_or(id.call as usize % SERVERS)
+        let through_proxy = arrivals.get(&Id { path: CallPath::Proxies, ..id });
+        through_proxy.and_then(|servers| servers.last()).copied().unwrap_or(id.call as usize % SERVERS)
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener, hop: usize, server: usize) {
@@ -252,12 +256,13 @@
         }
     }
 
-    /// One connection of a server, until it ends.
+    /// Serves one connection of a server until it ends.
     async fn serve(self: Arc<Self>, mut stream: TcpStream, hop: usize, server: usize) {
-        // It only saves time.
+        // Best effort: TCP_NODELAY only reduces latency.
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
-        while matches!(timeout(self.idle, http::begun(&mut stream, &mut buffer)).await, Ok(Ok(true))) {
+        while matches!(timeout(self.idle_timeout, http::begun(&mut stream, &mut buffer)).await, Ok(Ok(true)))
+        {
             let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await else { return };
             let text = match message.header("x-request-id").map(Id::read) {
                 None => http::answer(404, "", ""),
@@ -265,10 +270,11 @@
                     None => http::answer(400, "", ""),
                     Some(id) => {
                         lock(&self.arrivals).entry(id).or_default().push(server);
-                        let left = message.header("x-timeout").and_then(time_left).unwrap_or(DEADLINE);
+                        let time_left =
+                            message.header("x-timeout").and_then(parse_timeout).unwrap_or(CLIENT_TIMEOUT);
                         let called = tokio::select! {
-                            called = self.call_on(id, left) => called,
-                            // Whoever called has given up, and with it all behind.
+                            called = self.call_next_hop(id, time_left) => called,
+                            // The caller has given up, so the call to the next hop is cancelled too.
                             () = http::closed(&stream) => return,
                         };
                         match called {
@@ -286,56 +292,51 @@
         }
     }
 
-    /// What a server does for a call: it needs the next hop's answer, at the last hop nothing.
-    async fn call_on(&self, id: Id, left: Duration) -> bool {
-        usize::from(id.hop) + 1 == self.hops.len() || self.call(Id { hop: id.hop + 1, ..id }, left).await
+    /// Calls the next hop on behalf of a server; at the last hop there is nothing to call.
+    async fn call_next_hop(&self, id: Id, time_left: Duration) -> bool {
+        usize::from(id.hop) + 1 == self.hops.len() || self.call(Id { hop: id.hop + 1, ..id }, time_left).await
     }
 
-    /// What became of the calls of a pace by one way.
-    fn trip(&self, pace: u8, way: CallPath, asked: usize, times: Histogram<u64>) -> PathResult {
+    /// Collects the results of a load step on one path.
+    fn path_result(&self, step: u8, path: CallPath, sent: usize, latencies: Histogram<u64>) -> PathResult {
         let arrivals = lock(&self.arrivals);
-        let own = arrivals.iter().filter(|(id, _)| (id.pace, id.way) == (pace, way));
-        let mut trip = PathResult {
-            sent: asked,
-            answered: times.len() as usize,
-            latencies: times,
-            arrivals: 0,
-            arrived_once: 0,
-        };
-        for (_, servers) in own {
-            trip.arrivals += servers.len();
-            trip.arrived_once += usize::from(servers.len() == 1);
+        let of_path = arrivals.iter().filter(|(id, _)| (id.step, id.path) == (step, path));
+        let mut result =
+            PathResult { sent, answered: latencies.len() as usize, latencies, arrivals: 0, arrived_once: 0 };
+        for (_, servers) in of_path {
+            result.arrivals += servers.len();
+            result.arrived_once += usize::from(servers.len() == 1);
         }
-        trip
+        result
     }
 }
 
-/// A time as `X-Timeout` has it.
-fn time_left(text: &str) -> Option<Duration> {
-    let figure = |unit| text.strip_suffix(unit)?.parse().ok();
-    figure('m').map(Duration::from_millis).or_else(|| figure('u').map(Duration::from_micros))
+/// Parses the value of `X-Timeout`.
+fn parse_timeout(text: &str) -> Option<Duration> {
+    let value = |unit| text.strip_suffix(unit)?.parse().ok();
+    value('m').map(Duration::from_millis).or_else(|| value('u').map(Duration::from_micros))
 }
 
-/// Plays a chain of so many hops at each pace in turn.
+/// Runs a chain of `hops` hops through each load step in turn.
 ///
 /// # Errors
-/// A party cannot be started.
+/// Fails if a proxy, a server or a discovery agent cannot be started.
 pub async fn run(
     program: &Program,
     hops: usize,
-    paces: &[LoadStep],
+    steps: &[LoadStep],
     seed: u64,
 ) -> Result<ChainResult, String> {
-    let odd = |e: std::io::Error| format!("the rig's sockets: {e}");
-    let day = Scenario::parse(DAY).map_err(|e| e.to_string())?;
-    let shared = Arc::new(Shared::new(day, seed));
-    let (mut parties, mut seats, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
+    let socket_error = |e: std::io::Error| format!("cannot open a socket of the test cluster: {e}");
+    let scenario = Scenario::parse(SCENARIO).map_err(|e| e.to_string())?;
+    let shared = Arc::new(Shared::new(scenario, seed));
+    let (mut hop_clients, mut proxies, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
     for hop in 0..hops {
-        let agent = Agent::start(&shared, hop).await.map_err(odd)?;
+        let agent = Agent::start(&shared, hop).await.map_err(socket_error)?;
         let mut servers = Vec::new();
         for number in hop * SERVERS..(hop + 1) * SERVERS {
-            let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(odd)?;
-            let address = listener.local_addr().map_err(odd)?;
+            let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(socket_error)?;
+            let address = listener.local_addr().map_err(socket_error)?;
             let zone = shared.day.zones[0].clone();
             let member = Member {
                 state: EndpointState::Ready,
@@ -345,102 +346,109 @@
                 started: 0,
             };
             agent.update(number, member);
-            servers.push(Caller::new(address));
+            servers.push(HttpClient::new(address));
             listeners.push((listener, hop, number % SERVERS));
         }
-        let mut seat = ProxySupervisor::new(&shared, &agent, hop, agent.address, false, None).map_err(odd)?;
-        seat.start(program)?;
-        parties.push(Hop { proxy: Caller::new(seat.address), servers });
-        seats.push(seat);
+        let mut proxy =
+            ProxySupervisor::new(&shared, &agent, hop, agent.address, false, None).map_err(socket_error)?;
+        proxy.start(program)?;
+        hop_clients.push(Hop { proxy: HttpClient::new(proxy.address), servers });
+        proxies.push(proxy);
     }
-    let idle = Duration::from_micros(shared.day.server.idle_timeout);
-    let chain = Arc::new(Chain { hops: parties, arrivals: Mutex::default(), idle });
+    let idle_timeout = Duration::from_micros(shared.day.server.idle_timeout);
+    let chain = Arc::new(Chain { hops: hop_clients, arrivals: Mutex::default(), idle_timeout });
     let mut accepting = JoinSet::new();
     for (listener, hop, server) in listeners {
         accepting.spawn(Arc::clone(&chain).accept(listener, hop, server));
     }
-    for seat in &mut seats {
-        seat.ready().await?;
+    for proxy in &mut proxies {
+        proxy.ready().await?;
     }
-    let processes: Vec<u32> = seats.iter().filter_map(ProxySupervisor::pid).collect();
+    let processes: Vec<u32> = proxies.iter().filter_map(ProxySupervisor::pid).collect();
     let mean = |figure: fn(u32) -> f64| {
         processes.iter().map(|pid| figure(*pid)).sum::<f64>() / processes.len().max(1) as f64
     };
     let mut outcomes = Vec::new();
-    for (number, pace) in (0..).zip([WARM_UP].iter().chain(paces)) {
-        let moments = moments(&shared.day, seed, pace);
-        let (before, begin) = (mean(cpu), Instant::now());
-        let (ways, late) = ask(&chain, number, moments).await;
-        let cpu_share = (mean(cpu) - before) / begin.elapsed().as_secs_f64();
-        let [proxies, direct] = ways.map(|(way, asked, times)| chain.trip(number, way, asked, times));
+    for (number, step) in (0..).zip([WARM_UP].iter().chain(steps)) {
+        let calls = plan_calls(&shared.day, seed, step);
+        let (cpu_before, begin) = (mean(cpu), Instant::now());
+        let (paths, late) = send_calls(&chain, number, calls).await;
+        let cpu_share = (mean(cpu) - cpu_before) / begin.elapsed().as_secs_f64();
+        let [proxies, direct] =
+            paths.map(|(path, sent, latencies)| chain.path_result(number, path, sent, latencies));
         outcomes.push(StepResult { proxies, direct, cpu_share, late });
     }
     outcomes.remove(0);
-    let memory_bytes = mean(memory);
-    for seat in &mut seats {
-        seat.end(Duration::ZERO).await;
+    let memory_bytes = mean(resident_memory);
+    for proxy in &mut proxies {
+        proxy.end(Duration::ZERO).await;
     }
     Ok(ChainResult { outcomes, memory_bytes, processes })
 }
 
-/// A moment, and the call that is to be sent then.
-type Moment = (Duration, CallPath, u32);
-
-/// When calls are to be sent, in order. Both ways take turns: what else the machine does meets them alike.
-fn moments(day: &Scenario, seed: u64, pace: &LoadStep) -> Vec<Moment> {
-    let day = Scenario { rate: pace.rate, duration: pace.duration, ..day.clone() };
-    let mut moments = Vec::new();
-    for (call, arrival) in (0..).zip(Arrivals::generate_all(&day, seed)) {
-        moments.push((Duration::from_micros(arrival.at), CallPath::Proxies, call));
-        moments.push((Duration::from_micros(arrival.at + LAG), CallPath::Direct, call));
+/// The planned send time of a call, its path and its number.
+type PlannedCall = (Duration, CallPath, u32);
+
+/// Plans the calls of a load step, ordered by send time. The two paths alternate, so that other load on the machine
+/// affects both alike.
+fn plan_calls(scenario: &Scenario, seed: u64, step: &LoadStep) -> Vec<PlannedCall> {
+    let scenario = Scenario { rate: step.rate, duration: step.duration, ..scenario.clone() };
+    let mut calls = Vec::new();
+    for (call, arrival) in (0..).zip(Arrivals::generate_all(&scenario, seed)) {
+        calls.push((Duration::from_micros(arrival.at), CallPath::Proxies, call));
+        calls.push((Duration::from_micros(arrival.at + DIRECT_DELAY_US), CallPath::Direct, call));
     }
-    moments.sort_unstable();
-    moments
+    calls.sort_unstable();
+    calls
 }
 
-/// What was sent by a way, and the times of what was answered.
-type Sent = (CallPath, usize, Histogram<u64>);
-
-/// Sends calls at their moments, whatever has become of the earlier ones; and tells by how much the moments
-/// were missed.
-async fn ask(chain: &Arc<Chain>, pace: u8, moments: Vec<Moment>) -> ([Sent; 2], Histogram<u64>) {
-    let begin = Instant::now() + LEAD;
+/// A path, the number of calls sent on it, and the latencies of the answered ones.
+type PathLatencies = (CallPath, usize, Histogram<u64>);
+
+/// Sends calls at their planned latencies, independent of the completion of earlier ones (open loop). Also returns the
+/// delays after the planned latencies.
+async fn send_calls(
+    chain: &Arc<Chain>,
+    step: u8,
+    planned_calls: Vec<PlannedCall>,
+) -> ([PathLatencies; 2], Histogram<u64>) {
+    let begin = Instant::now() + START_DELAY;
     let (sender, mut due) = mpsc::unbounded_channel();
-    // The runtime's timers know whole milliseconds only, a thread's sleep does better.
+    // A thread's sleep is more precise than the runtime's timers, which have a resolution of 1 ms.
     std::thread::spawn(move || {
-        for (after, way, call) in moments {
+        for (after, path, call) in planned_calls {
             let planned = begin + after;
             std::thread::sleep(planned.saturating_duration_since(Instant::now()));
-            if sender.send((planned, way, call)).is_err() {
+            if sender.send((planned, path, call)).is_err() {
                 return;
             }
         }
     });
     let micros = |span: Duration| (span.as_micros() as u64).max(1);
-    let (mut ways, mut late) =
-        ([CallPath::Proxies, CallPath::Direct].map(|way| (way, 0, histogram())), histogram());
+    let (mut paths, mut late) =
+        ([CallPath::Proxies, CallPath::Direct].map(|path| (path, 0, histogram())), histogram());
     let mut calls = JoinSet::new();
-    while let Some((planned, way, call)) = due.recv().await {
+    while let Some((planned, path, call)) = due.recv().await {
         late.saturating_record(micros(planned.elapsed()));
-        ways[way as usize].1 += 1;
+        paths[path as usize].1 += 1;
         let chain = Arc::clone(chain);
         calls.spawn(async move {
-            let answered = chain.call(Id { pace, way, call, hop: 0 }, DEADLINE).await;
-            answered.then(|| (way, planned.elapsed()))
+            let answered = chain.call(Id { step, path, call, hop: 0 }, CLIENT_TIMEOUT).await;
+            answered.then(|| (path, planned.elapsed()))
         });
     }
     while let Some(done) = calls.join_next().await {
-        if let Ok(Some((way, took))) = done {
-            ways[way as usize].2.saturating_record(micros(took));
+        if let Ok(Some((path, took))) = done {
+            paths[path as usize].2.saturating_record(micros(took));
         }
     }
-    (ways, late)
+    (paths, late)
 }
 
-/// Bytes of memory that a process holds, those that it shares with others included; 0 if it has ended.
-fn memory(pid: u32) -> f64 {
+/// Resident memory of a process in bytes, including shared pages; 0 if the process has exited.
+fn resident_memory(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kilobytes = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<f64>().ok());
-    kilobytes.unwrap_or(0.0) * 1_024.0
+    let kib = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<f64>().ok());
+    kib.unwrap_or(0.0) * 1_024.0
 }
