--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -1,5 +1,5 @@
-//! A chain of services: each hop is a proxy in front of a service, whose servers call the next hop before they
-//! answer. Each call is repeated without the proxies, straight to the same servers, for comparison.
+//! A chain of services: each hop is a proxy in front of a service, whose servers call the next hop before
+//! they answer. Each call is repeated without the proxies, straight to the same servers, for comparison.
 
 use super::discovery::{Agent, Member};
 use super::hops::cpu;
@@ -36,8 +36,9 @@
 const START_DELAY: Duration = Duration::from_millis(5);
 /// Opens the connections; its result is discarded.
 const WARM_UP: LoadStep = LoadStep { rate: 100.0, duration: 500_000 };
-/// Scenario from which the proxies' settings are derived. Calls are not idempotent, so each must pass each hop
-/// exactly once. Six balancers call one service, as with 6,300 processes that call one of 1,000 services each.
+/// Scenario from which the proxies' settings are derived. Calls are not idempotent, so each must pass each
+/// hop exactly once. Six balancers call one service, as with 6,300 processes that call one of 1,000 services
+/// each.
 const SCENARIO: &str = r#"
 purpose = "a chain of calls"
 length = "1s"
@@ -107,8 +108,8 @@
 }
 
 impl StepResult {
-    /// Whether calls were sent too late for the measured latencies and failures to be meaningful. The limit is the
-    /// one of the cluster runs.
+    /// Whether calls were sent too late for the measured latencies and failures to be meaningful. The limit
+    /// is the one of the cluster runs.
     pub fn is_load_generator_late(&self) -> bool {
         self.late.value_at_quantile(0.99) > TOO_LATE
     }
@@ -184,8 +185,8 @@
     async fn call(&self, text: &str) -> std::io::Result<Message> {
         if let Some(open) = self.take_idle() {
             match self.exchange(open, text).await {
-                // The server may have closed the idle connection while the request was sent: retries once on a
-                // new connection.
+                // The server may have closed the idle connection while the request was sent: retries once on
+                // a new connection.
                 Err(e) if e.kind() != ErrorKind::InvalidData => {}
                 done => return done,
             }
@@ -389,8 +390,8 @@
 /// The planned send time of a call, its path and its number.
 type PlannedCall = (Duration, CallPath, u32);
 
-/// Plans the calls of a load step, ordered by send time. The two paths alternate, so that other load on the machine
-/// affects both alike.
+/// Plans the calls of a load step, ordered by send time. The two paths alternate, so that other load on the
+/// machine affects both alike.
 fn plan_calls(scenario: &Scenario, seed: u64, step: &LoadStep) -> Vec<PlannedCall> {
     let scenario = Scenario { rate: step.rate, duration: step.duration, ..scenario.clone() };
     let mut calls = Vec::new();
@@ -405,8 +406,8 @@
 /// A path, the number of calls sent on it, and the latencies of the answered ones.
 type PathLatencies = (CallPath, usize, Histogram<u64>);
 
-/// Sends calls at their planned latencies, independent of the completion of earlier ones (open loop). Also returns the
-/// delays after the planned latencies.
+/// Sends calls at their planned times, independent of the completion of earlier ones (open loop). Also
+/// returns the delays after the planned times.
 async fn send_calls(
     chain: &Arc<Chain>,
     step: u8,
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: an agent beside each proxy, which answers at once with what it has been sent.
+//! Discovery: one agent per proxy, which answers immediately with the endpoint list it currently holds.
 
 use super::http::{self, Side};
 use super::listener::{address, Role};
@@ -16,215 +16,228 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Longest that a call may wait (PROTOCOL, "Discovery").
-const LONGEST_WAIT: u64 = 60_000;
+/// Maximum wait of a watch (PROTOCOL, "Discovery").
+const MAX_WAIT_MS: u64 = 60_000;
 
-/// What a watch that fell silent misses counts as told so long after that, and not before so long after its wait
+/// Notification deadline of a change that a silent watch misses, counted from the start of the silence
 /// (PROTOCOL, "Figures").
-const SILENCE: Micros = 6_000_000;
-const AFTER_WAIT: Micros = 2_000_000;
+const SILENCE_DEADLINE_US: Micros = 6_000_000;
+/// The notification deadline is no earlier than this long after the end of the watch's wait.
+const WAIT_GRACE_US: Micros = 2_000_000;
 
-/// What an agent does when it is asked.
+/// How an agent handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// Answers requests.
     #[default]
     Available,
-    /// It takes the question and says nothing.
+    /// Accepts requests but does not answer them.
     Silent,
-    /// It answers 503.
+    /// Answers every request with 503.
     Unavailable,
 }
 
-/// A server as an agent knows it.
+/// A server as listed by an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Whether it is listed, drains, or is gone.
+    /// Ready, draining or removed.
     pub state: EndpointState,
-    /// Where this proxy reaches it.
+    /// Address at which this agent's proxy reaches the server.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// Zone name.
     pub zone: String,
-    /// The label of what runs there.
+    /// Release label of the server.
     pub release: String,
-    /// When its process started; 0: long ago.
+    /// Start time of the server process; 0 if it was running before the test began.
     pub started: Micros,
 }
 
 impl Member {
-    /// What is told of it, by its number.
-    fn word(&self, server: usize) -> Word {
+    /// The entry recorded for this server when a proxy is notified.
+    fn entry(&self, server: usize) -> Word {
         Word { server, state: self.state, started: self.started }
     }
 }
 
 #[derive(Default)]
-struct Known {
+struct ListState {
+    /// Current version of the list.
     index: u64,
-    /// Whoever has an older version than this is told the whole list.
-    whole_from: u64,
-    /// By the server's number, with the version at which it last changed.
+    /// A proxy with an older version than this receives a full snapshot.
+    snapshot_before: u64,
+    /// Members by server number, each with the version at which it last changed.
     members: BTreeMap<usize, (Member, u64)>,
-    /// The version up to which all is told.
-    told: u64,
-    /// Watches that are open, and when the longest wait among them is over.
-    watches: usize,
-    over: Micros,
-    /// While the watches are silent and none has come since: when what they miss counts as told.
-    told_at: Option<Micros>,
+    /// The version up to which all changes are recorded as notified.
+    notified_version: u64,
+    /// Number of open watches.
+    open_watches: usize,
+    /// When the longest wait among the open watches ends.
+    last_wait_end: Micros,
+    /// Notification deadline of changes missed by silent watches, until the proxy sends its next request.
+    notified_at: Option<Micros>,
 }
 
-/// The agent of one proxy.
+/// The discovery agent of one proxy.
 pub struct Agent {
     proxy: usize,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    known: Mutex<Known>,
+    list_state: Mutex<ListState>,
     version: watch::Sender<u64>,
     mode: watch::Sender<Mode>,
-    /// Counts the times that all open watches fell silent.
-    hushed: watch::Sender<u64>,
-    /// The version that its proxy last said it has.
-    has: watch::Sender<Option<u64>>,
-    /// Bytes that were written to its proxy.
-    written: AtomicU64,
-    /// It is on the proxy's own machine: nothing comes between, and what it has counts as told.
-    near: AtomicBool,
+    /// Incremented each time all open watches are made silent.
+    silencings: watch::Sender<u64>,
+    /// The version that the proxy sent with its last watch.
+    acknowledged: watch::Sender<Option<u64>>,
+    /// Bytes written to the proxy.
+    bytes_written: AtomicU64,
+    /// The agent runs on the proxy's machine with no fault between them: each change counts as notified at
+    /// once.
+    is_local: AtomicBool,
     shared: Arc<Shared>,
 }
 
 impl Agent {
-    /// Starts the agent of a proxy, which knows no server yet.
+    /// Starts the agent of a proxy with an empty list.
     pub async fn start(shared: &Arc<Shared>, proxy: usize) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind(address(Role::Agent, proxy)).await?;
         let agent = Arc::new(Agent {
             proxy,
             address: listener.local_addr()?,
-            known: Mutex::default(),
+            list_state: Mutex::default(),
             version: watch::Sender::new(0),
             mode: watch::Sender::default(),
-            hushed: watch::Sender::default(),
-            has: watch::Sender::default(),
-            written: AtomicU64::new(0),
-            near: AtomicBool::new(true),
+            silencings: watch::Sender::default(),
+            acknowledged: watch::Sender::default(),
+            bytes_written: AtomicU64::new(0),
+            is_local: AtomicBool::new(true),
             shared: Arc::clone(shared),
         });
         tokio::spawn(Arc::clone(&agent).accept(listener));
         Ok(agent)
     }
 
-    fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn list_state(&self) -> MutexGuard<'_, ListState> {
+        self.list_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// It has been sent news of a server. Old news of a process that another has followed are passed over.
+    /// Applies an update of one server. An update of a server process that was since restarted or removed is
+    /// ignored.
     pub fn update(&self, server: usize, member: Member) {
-        let mut known = self.known();
-        if known.members.get(&server).is_some_and(|(old, _)| {
+        let mut list_state = self.list_state();
+        if list_state.members.get(&server).is_some_and(|(old, _)| {
             old.started > member.started
                 || old.started == member.started && old.state == EndpointState::Removed
         }) {
             return;
         }
-        self.set(&mut known, [(server, member)]);
+        self.set(&mut list_state, [(server, member)]);
     }
 
-    /// It has been sent news of many servers as one, whatever it had of them.
+    /// Applies an update of several servers as one new version, without the check for outdated updates.
     pub fn update_all(&self, members: impl IntoIterator<Item = (usize, Member)>) {
-        self.set(&mut self.known(), members);
+        self.set(&mut self.list_state(), members);
     }
 
-    /// The same, and it begins anew: its proxy is told the whole list, whatever version that has.
+    /// Like `update_all`, and the proxy receives a full snapshot next, whichever version it has.
     pub fn update_all_as_snapshot(&self, members: impl IntoIterator<Item = (usize, Member)>) {
-        let mut known = self.known();
-        known.whole_from = known.index + 1;
-        self.set(&mut known, members);
+        let mut list_state = self.list_state();
+        list_state.snapshot_before = list_state.index + 1;
+        self.set(&mut list_state, members);
     }
 
-    /// The version of what it has.
+    /// Current version of the list.
     pub fn version(&self) -> u64 {
-        self.known().index
+        self.list_state().index
     }
 
-    /// Waits until its proxy says, with its next call, that it has this version.
+    /// Waits until a watch of the proxy confirms that it has this version.
     pub async fn wait_for_acknowledgement(&self, version: u64) {
-        // The sender is this agent's own, so that it cannot be gone.
-        let _ = self.has.subscribe().wait_for(|has| has.is_some_and(|has| has >= version)).await;
+        // Cannot fail: the agent owns the sender.
+        let _ = self
+            .acknowledged
+            .subscribe()
+            .wait_for(|acknowledged| acknowledged.is_some_and(|a| a >= version))
+            .await;
     }
 
-    /// Bytes that were written to its proxy since its start.
+    /// Bytes written to the proxy since the agent started.
     pub fn bytes_written(&self) -> u64 {
-        self.written.load(Ordering::Relaxed)
+        self.bytes_written.load(Ordering::Relaxed)
     }
 
-    /// For a while it tells of a server what is not so, or stops doing so.
+    /// Lists a server in another state than its actual one, or in its actual state again.
     pub fn override_state(&self, server: usize, state: EndpointState) {
-        let mut known = self.known();
-        if let Some((member, _)) = known.members.get(&server).cloned() {
-            self.set(&mut known, [(server, Member { state, ..member })]);
+        let mut list_state = self.list_state();
+        if let Some((member, _)) = list_state.members.get(&server).cloned() {
+            self.set(&mut list_state, [(server, Member { state, ..member })]);
         }
     }
 
-    fn set(&self, known: &mut Known, members: impl IntoIterator<Item = (usize, Member)>) {
-        known.index += 1;
-        let index = known.index;
-        known.members.extend(members.into_iter().map(|(server, member)| (server, (member, index))));
+    fn set(&self, list_state: &mut ListState, members: impl IntoIterator<Item = (usize, Member)>) {
+        list_state.index += 1;
+        let index = list_state.index;
+        list_state.members.extend(members.into_iter().map(|(server, member)| (server, (member, index))));
         self.version.send_replace(index);
-        self.count(known);
+        self.record_pending(list_state);
     }
 
-    /// What it does when it is asked, from now on.
+    /// Changes how requests are handled from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
-        self.count(&mut self.known());
+        self.record_pending(&mut self.list_state());
     }
 
-    /// A relay is between it and its proxy, or it stands for a service that all share: only what is written there counts as told.
+    /// Marks the agent as reached through a relay, or as a stand-in for a shared service: only what is
+    /// written to the proxy counts as notified.
     pub fn set_remote(&self) {
-        self.near.store(false, Ordering::Relaxed);
+        self.is_local.store(false, Ordering::Relaxed);
     }
 
-    /// All open watches fall silent, for ever.
+    /// Makes all open watches silent: they are never answered.
     pub fn silence_watches(&self) {
-        let mut known = self.known();
-        if known.watches > 0 {
-            known.told_at = Some((self.shared.now() + SILENCE).max(known.over + AFTER_WAIT));
+        let mut list_state = self.list_state();
+        if list_state.open_watches > 0 {
+            list_state.notified_at =
+                Some((self.shared.now() + SILENCE_DEADLINE_US).max(list_state.last_wait_end + WAIT_GRACE_US));
         }
-        self.hushed.send_modify(|times| *times += 1);
+        self.silencings.send_modify(|times| *times += 1);
     }
 
-    /// Counts as told what it has, while it answers: at once, or when silent watches were to be noticed.
-    fn count(&self, known: &mut Known) {
-        if *self.mode.borrow() != Mode::Available || !self.near.load(Ordering::Relaxed) {
+    /// Records pending changes as notified while the agent is available: now, or by the notification deadline
+    /// of silent watches.
+    fn record_pending(&self, list_state: &mut ListState) {
+        if *self.mode.borrow() != Mode::Available || !self.is_local.load(Ordering::Relaxed) {
             return;
         }
-        let new = known.members.iter().filter(|(_, (_, index))| *index > known.told);
-        let entries: Vec<Word> = new.map(|(&server, (member, _))| member.word(server)).collect();
-        known.told = known.index;
+        let new = list_state.members.iter().filter(|(_, (_, index))| *index > list_state.notified_version);
+        let entries: Vec<Word> = new.map(|(&server, (member, _))| member.entry(server)).collect();
+        list_state.notified_version = list_state.index;
         if !entries.is_empty() {
             let now = self.shared.now();
-            let at = known.told_at.map_or(now, |at| at.max(now));
+            let at = list_state.notified_at.map_or(now, |at| at.max(now));
             self.shared.saw(Seen::Told { proxy: self.proxy, at, entries });
         }
     }
 
-    /// What it holds, as a whole list, or as changes since a version; and what that tells.
+    /// The list as a full snapshot, or as the changes since a version; and the entries that it notifies the
+    /// proxy of.
     fn list(&self, since: Option<u64>) -> (Value, Vec<Word>) {
-        let known = self.known();
-        let since = since.filter(|since| *since >= known.whole_from);
-        let wanted = |(member, index): &&(Member, u64)| match since {
+        let list_state = self.list_state();
+        let since = since.filter(|since| *since >= list_state.snapshot_before);
+        let is_included = |(member, index): &&(Member, u64)| match since {
             Some(since) => *index > since,
             None => member.state != EndpointState::Removed,
         };
-        let (mut endpoints, mut told) = (Vec::new(), Vec::new());
-        for (&server, entry) in known.members.iter().filter(|(_, entry)| wanted(entry)) {
+        let (mut endpoints, mut notified) = (Vec::new(), Vec::new());
+        for (&server, entry) in list_state.members.iter().filter(|(_, entry)| is_included(entry)) {
             let member = &entry.0;
             let status = match member.state {
                 EndpointState::Ready => "up",
                 EndpointState::Draining => "draining",
                 EndpointState::Removed => "removed",
             };
-            told.push(member.word(server));
+            notified.push(member.entry(server));
             endpoints.push(json!({
                 "name": name(server), "address": member.address, "zone": member.zone, "type": member.release,
                 "group": 0, "status": status, "weight": 1.0,
@@ -232,23 +245,23 @@
             }));
         }
         if since.is_none() {
-            // A whole list tells also what is not in it.
-            let all = known.members.iter().map(|(&server, (member, _))| member.word(server));
-            told.extend(all.filter(|word| word.state == EndpointState::Removed));
+            // A snapshot also notifies the proxy of removals, by omission.
+            let all = list_state.members.iter().map(|(&server, (member, _))| member.entry(server));
+            notified.extend(all.filter(|word| word.state == EndpointState::Removed));
         }
-        (json!({"index": known.index, "snapshot": since.is_none(), "endpoints": endpoints}), told)
+        (json!({"index": list_state.index, "snapshot": since.is_none(), "endpoints": endpoints}), notified)
     }
 
-    fn told(&self, entries: Vec<Word>) {
+    fn record_notified(&self, entries: Vec<Word>) {
         if !entries.is_empty() {
             self.shared.saw(Seen::Told { proxy: self.proxy, at: self.shared.now(), entries });
         }
     }
 
-    /// The list for a process that starts; it counts as told.
+    /// The list for a starting proxy process; it counts as notified.
     pub fn initial_list(&self) -> Value {
-        let (list, told) = self.list(None);
-        self.told(told);
+        let (list, notified) = self.list(None);
+        self.record_notified(notified);
         list
     }
 
@@ -265,21 +278,21 @@
         while let Ok(message) = http::read(&mut stream, &mut buffer, Side::Asks).await {
             self.shared.saw(Seen::Asked { proxy: self.proxy, at: self.shared.now() });
             let path = message.first.1;
-            let figure = |key: &str| {
+            let parameter = |key: &str| {
                 let (_, query) = path.split_once('?')?;
                 query
                     .split('&')
                     .find_map(|pair| pair.strip_prefix(key)?.strip_prefix('=')?.parse::<u64>().ok())
             };
-            let since = figure("index");
+            let since = parameter("index");
             if let Some(since) = since {
-                self.has.send_replace(Some(since));
-                let wait = Duration::from_millis(figure("wait").unwrap_or(0).min(LONGEST_WAIT));
-                let (mut version, mut hushed) = (self.version.subscribe(), self.hushed.subscribe());
+                self.acknowledged.send_replace(Some(since));
+                let wait = Duration::from_millis(parameter("wait").unwrap_or(0).min(MAX_WAIT_MS));
+                let (mut version, mut silencings) = (self.version.subscribe(), self.silencings.subscribe());
                 let _watch = Watch::open(&self, wait);
                 let silent = tokio::select! {
                     _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)) => false,
-                    _ = hushed.changed() => true,
+                    _ = silencings.changed() => true,
                     () = http::closed(&stream) => return,
                 };
                 if silent {
@@ -288,7 +301,8 @@
                 }
             }
             if *self.mode.borrow() == Mode::Silent && self.shared.day.discovery.poll_interval.is_some() {
-                // A service that stands still swallows what it is asked; an agent answers once it goes on.
+                // A stalled shared service never answers the request; an agent answers once it is available
+                // again.
                 http::closed(&stream).await;
                 return;
             }
@@ -302,46 +316,47 @@
                     () = http::closed(&stream) => return,
                 }
             };
-            let (text, told) = match mode {
+            let (text, notified) = match mode {
                 Mode::Unavailable => (http::answer(503, "", ""), Vec::new()),
                 _ if !path.starts_with("/catalog/members") => (http::answer(404, "", ""), Vec::new()),
                 _ => {
-                    let (list, told) = self.list(since);
-                    // Whoever asks has noticed that its watch was silent.
-                    self.known().told_at = None;
-                    (http::answer(200, "Content-Type: application/json\r\n", &list.to_string()), told)
+                    let (list, notified) = self.list(since);
+                    // The proxy has sent a new request, so it has detected the silent watch.
+                    self.list_state().notified_at = None;
+                    (http::answer(200, "Content-Type: application/json\r\n", &list.to_string()), notified)
                 }
             };
             if stream.write_all(text.as_bytes()).await.is_err() {
                 return;
             }
-            self.written.fetch_add(text.len() as u64, Ordering::Relaxed);
+            self.bytes_written.fetch_add(text.len() as u64, Ordering::Relaxed);
             if mode == Mode::Available {
                 self.shared.saw(Seen::Answered { proxy: self.proxy, at: self.shared.now() });
             }
-            self.told(told);
+            self.record_notified(notified);
         }
     }
 }
 
-/// A watch that is open.
+/// An open watch; dropping it closes it.
 struct Watch<'a>(&'a Agent);
 
 impl<'a> Watch<'a> {
     fn open(agent: &'a Agent, wait: Duration) -> Self {
-        let mut known = agent.known();
-        known.watches += 1;
-        known.over = known.over.max(agent.shared.now() + wait.as_micros() as Micros);
+        let mut list_state = agent.list_state();
+        list_state.open_watches += 1;
+        list_state.last_wait_end =
+            list_state.last_wait_end.max(agent.shared.now() + wait.as_micros() as Micros);
         Watch(agent)
     }
 }
 
 impl Drop for Watch<'_> {
     fn drop(&mut self) {
-        let mut known = self.0.known();
-        known.watches -= 1;
-        if known.watches == 0 {
-            known.over = 0;
+        let mut list_state = self.0.list_state();
+        list_state.open_watches -= 1;
+        if list_state.open_watches == 0 {
+            list_state.last_wait_end = 0;
         }
     }
 }
