--- a/crates/testbed/src/cluster/forwarder.rs
+++ b/crates/testbed/src/cluster/forwarder.rs
@@ -1,5 +1,5 @@
-//! The lab's own forwarder: it sends each request to a server picked at random. It is the baseline of what a hop costs,
-//! and, with one of its switches, breaks one rule for the judge to find.
+//! The testbed's forwarder forwarder, which sends each request to a random server. It is the baseline for the
+//! cost of a hop and, with `--broken`, violates one rule so that the judge can be tested.
 
 use super::http::{self, Message, Side};
 use bytes::BytesMut;
@@ -16,45 +16,45 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The variable that tells where a server listens that no list names.
+/// Environment variable with the address of a server that is in no endpoint list.
 pub const DECOY: &str = "OAKPORT_LAB_DECOY";
-/// Servers that are tried for a request that none has taken.
-const TRIES: usize = 3;
-/// One in so many is met, where a switch does not meet all.
-const ONE_IN: u32 = 100;
-/// It gives a request up so long before its deadline, for its answer has a way to go.
-const EARLY: Duration = Duration::from_millis(30);
-/// For so long new connections still come after SIGTERM (PROTOCOL, "Figures").
-const STILL: Duration = Duration::from_millis(400);
-/// How long discovery may wait for news, in milliseconds.
-const WAIT: u64 = 20_000;
+/// Maximum attempts for a request that no server has processed.
+const MAX_ATTEMPTS: usize = 3;
+/// One request in this many is affected by a fault that does not affect all requests.
+const FAULT_INTERVAL: u32 = 100;
+/// A request is given up this long before its deadline, to leave time for the response to reach the client.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(30);
+/// How long new connections may still arrive after SIGTERM (PROTOCOL, "Figures").
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(400);
+/// Longest wait of a watch, in milliseconds.
+const WATCH_WAIT_MS: u64 = 20_000;
 
-/// What it does wrong.
+/// The rule that the forwarder violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Broken {
-    /// It answers each request in a hundred twice
+    /// Answers one request in a hundred twice
     AnswersTwice,
-    /// It loses one request in a hundred
+    /// Closes the connection without an answer to one request in a hundred
     Loses,
-    /// It sends what may not run again twice
+    /// Sends each non-idempotent request twice
     Repeats,
-    /// It sends to servers that drain, as long as they answer
+    /// Sends requests to draining servers, as long as they answer
     ToDrained,
-    /// It sends all to the server that started last
+    /// Sends all requests to the server that started last
     FloodsCold,
-    /// It picks among all servers alike, cold or not
+    /// Selects among all servers with equal probability, including those still warming up
     IgnoresCold,
-    /// It sends one request in a hundred to a server that no list names
+    /// Sends one request in a hundred to a server that is in no endpoint list
     ToUnlisted,
-    /// It cuts one body in a hundred and says nothing of it
+    /// Truncates one response body in a hundred and reports success
     CutsBodies,
-    /// It ends at once on SIGTERM
+    /// Exits immediately on SIGTERM
     IgnoresGrace,
 }
 
-/// A server as the list has it.
+/// A server in the endpoint list.
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedServer {
     address: SocketAddr,
     up: bool,
     since_ms: u64,
@@ -62,46 +62,54 @@
 
 struct Forwarder {
     broken: Option<Broken>,
-    list: RefCell<BTreeMap<String, Listed>>,
+    list: RefCell<BTreeMap<String, ListedServer>>,
     index: Cell<u64>,
-    cold_ms: u64,
-    idle: Duration,
-    resting: RefCell<HashMap<SocketAddr, Vec<(TcpStream, Instant)>>>,
+    warm_up_ms: u64,
+    max_idle: Duration,
+    idle_connections: RefCell<HashMap<SocketAddr, Vec<(TcpStream, Instant)>>>,
     random: RefCell<Pcg64>,
-    count: Cell<u32>,
-    open: Cell<usize>,
-    ending: tokio::sync::watch::Sender<bool>,
+    request_count: Cell<u32>,
+    open_connections: Cell<usize>,
+    shutting_down: tokio::sync::watch::Sender<bool>,
 }
 
-/// Serves by the environment that the platform gives, until SIGTERM.
+/// Serves, as configured by the platform's environment variables, until SIGTERM.
 ///
 /// # Errors
-/// The environment or the configuration is not as the platform's.
+/// Fails if an environment variable or the configuration file is missing or invalid.
 pub async fn run(broken: Option<Broken>) -> Result<(), String> {
-    let told = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
-    let text = std::fs::read_to_string(told("RELAY_CONFIG")?).map_err(|e| format!("RELAY_CONFIG: {e}"))?;
-    let config: Value = serde_json::from_str(&text).map_err(|e| format!("RELAY_CONFIG: {e}"))?;
+    let variable =
+        |name: &str| std::env::var(name).map_err(|_| format!("environment variable {name} is not set"));
+    let text = std::fs::read_to_string(variable("RELAY_CONFIG")?)
+        .map_err(|e| format!("cannot read the file named by RELAY_CONFIG: {e}"))?;
+    let config: Value = serde_json::from_str(&text)
+        .map_err(|e| format!("the file named by RELAY_CONFIG is not valid JSON: {e}"))?;
     let settings = &config["settings"];
-    let figure = |part: &str, key: &str| settings[part][key].as_u64().unwrap_or(0);
+    let setting = |section: &str, key: &str| settings[section][key].as_u64().unwrap_or(0);
     let seed = config["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok()).unwrap_or(0);
     let forwarder = Rc::new(Forwarder {
         broken,
         list: RefCell::default(),
         index: Cell::new(0),
-        cold_ms: figure("invariants", "cold_us") / 1_000,
-        idle: Duration::from_micros(figure("limits", "conn_idle_us") / 2),
-        resting: RefCell::default(),
+        warm_up_ms: setting("invariants", "cold_us") / 1_000,
+        max_idle: Duration::from_micros(setting("limits", "conn_idle_us") / 2),
+        idle_connections: RefCell::default(),
         random: RefCell::new(Pcg64::seed_from_u64(seed)),
-        count: Cell::new(0),
-        open: Cell::new(0),
-        ending: tokio::sync::watch::Sender::new(false),
+        request_count: Cell::new(0),
+        open_connections: Cell::new(0),
+        shutting_down: tokio::sync::watch::Sender::new(false),
     });
-    forwarder.learn(&config["known"]);
-    let listen: SocketAddr = told("RELAY_LISTEN")?.parse().map_err(|e| format!("RELAY_LISTEN: {e}"))?;
-    let discovery = told("RELAY_DISCOVERY")?.parse().map_err(|e| format!("RELAY_DISCOVERY: {e}"))?;
-    let listener = TcpListener::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
+    forwarder.apply_update(&config["known"]);
+    let listen: SocketAddr = variable("RELAY_LISTEN")?
+        .parse()
+        .map_err(|e| format!("RELAY_LISTEN is not a socket address: {e}"))?;
+    let discovery = variable("RELAY_DISCOVERY")?
+        .parse()
+        .map_err(|e| format!("RELAY_DISCOVERY is not a socket address: {e}"))?;
+    let listener = TcpListener::bind(listen).await.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
     tokio::task::spawn_local(Rc::clone(&forwarder).watch(discovery));
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+    let mut term =
+        signal(SignalKind::terminate()).map_err(|e| format!("cannot install the SIGTERM handler: {e}"))?;
     tokio::select! {
         () = forwarder.accept(&listener) => {}
         _ = term.recv() => {}
@@ -111,11 +119,11 @@
     }
     tokio::select! {
         () = forwarder.accept(&listener) => {}
-        () = sleep(STILL) => {}
+        () = sleep(SHUTDOWN_ACCEPT_TIME) => {}
     }
     drop(listener);
-    forwarder.ending.send_replace(true);
-    while forwarder.open.get() > 0 {
+    forwarder.shutting_down.send_replace(true);
+    while forwarder.open_connections.get() > 0 {
         sleep(Duration::from_millis(5)).await;
     }
     Ok(())
@@ -125,38 +133,38 @@
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                let own = Rc::clone(self);
-                own.open.set(own.open.get() + 1);
+                let forwarder = Rc::clone(self);
+                forwarder.open_connections.set(forwarder.open_connections.get() + 1);
                 tokio::task::spawn_local(async move {
-                    own.serve(stream).await;
-                    own.open.set(own.open.get() - 1);
+                    forwarder.serve(stream).await;
+                    forwarder.open_connections.set(forwarder.open_connections.get() - 1);
                 });
             }
         }
     }
 
-    /// Takes news of the list in.
-    fn learn(&self, news: &Value) {
-        self.index.set(news["index"].as_u64().unwrap_or(0));
+    /// Applies a snapshot or an update of the endpoint list.
+    fn apply_update(&self, update: &Value) {
+        self.index.set(update["index"].as_u64().unwrap_or(0));
         let mut list = self.list.borrow_mut();
         let drained = self.broken == Some(Broken::ToDrained);
-        if news["snapshot"].as_bool() == Some(true) && !drained {
+        if update["snapshot"].as_bool() == Some(true) && !drained {
             list.clear();
         }
-        for entry in news["endpoints"].as_array().into_iter().flatten() {
+        for entry in update["endpoints"].as_array().into_iter().flatten() {
             let (Some(name), Some(Ok(address))) =
                 (entry["name"].as_str(), entry["address"].as_str().map(str::parse))
             else {
                 continue;
             };
             let (up, since_ms) = (entry["status"] == "up", entry["since_ms"].as_u64().unwrap_or(0));
-            list.insert(name.to_owned(), Listed { address, up, since_ms });
+            list.insert(name.to_owned(), ListedServer { address, up, since_ms });
         }
     }
 
     async fn watch(self: Rc<Self>, discovery: SocketAddr) {
         loop {
-            // Discovery may be away for a while.
+            // A failed watch is retried: discovery may be unavailable for a while.
             let _ = self.watch_once(discovery).await;
             sleep(Duration::from_millis(100)).await;
         }
@@ -166,90 +174,91 @@
         let (mut stream, mut buffer) = (TcpStream::connect(discovery).await?, BytesMut::new());
         loop {
             let index = self.index.get();
-            let text =
-                format!("GET /catalog/members?index={index}&wait={WAIT} HTTP/1.1\r\nHost: discovery\r\n\r\n");
+            let text = format!(
+                "GET /catalog/members?index={index}&wait={WATCH_WAIT_MS} HTTP/1.1\r\nHost: discovery\r\n\r\n"
+            );
             stream.write_all(text.as_bytes()).await?;
             let answer = http::read(&mut stream, &mut buffer, Side::Answers).await?;
             if answer.status() == 200 {
-                self.learn(&serde_json::from_slice(&answer.body)?);
+                self.apply_update(&serde_json::from_slice(&answer.body)?);
             } else {
                 sleep(Duration::from_millis(100)).await;
             }
         }
     }
 
-    /// The request of this number is the one in a hundred.
-    fn this_one(&self, number: u32, broken: Broken) -> bool {
-        self.broken == Some(broken) && number.is_multiple_of(ONE_IN)
+    /// Whether this request is one of those to which the fault applies.
+    fn is_affected(&self, number: u32, broken: Broken) -> bool {
+        self.broken == Some(broken) && number.is_multiple_of(FAULT_INTERVAL)
     }
 
     fn pick(&self, number: u32) -> Option<SocketAddr> {
         let list = self.list.borrow();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_millis() as u64);
-        let warm = |s: &&Listed| s.up && s.since_ms + self.cold_ms < unix;
-        let random = |all: Vec<&Listed>| {
-            let place = self.random.borrow_mut().gen_range(0..all.len().max(1));
-            all.get(place).map(|s| s.address)
+        let is_warm = |s: &&ListedServer| s.up && s.since_ms + self.warm_up_ms < unix;
+        let random = |all: Vec<&ListedServer>| {
+            let index = self.random.borrow_mut().gen_range(0..all.len().max(1));
+            all.get(index).map(|s| s.address)
         };
-        let drained: Vec<&Listed> = list.values().filter(|s| !s.up).collect();
+        let drained: Vec<&ListedServer> = list.values().filter(|s| !s.up).collect();
         match self.broken {
             Some(Broken::ToDrained) if !drained.is_empty() => random(drained),
             Some(Broken::FloodsCold) => {
                 list.values().filter(|s| s.up).max_by_key(|s| s.since_ms).map(|s| s.address)
             }
             Some(Broken::IgnoresCold) => random(list.values().filter(|s| s.up).collect()),
-            _ if self.this_one(number, Broken::ToUnlisted) => std::env::var(DECOY).ok()?.parse().ok(),
-            _ => random(list.values().filter(warm).collect()),
+            _ if self.is_affected(number, Broken::ToUnlisted) => std::env::var(DECOY).ok()?.parse().ok(),
+            _ => random(list.values().filter(is_warm).collect()),
         }
     }
 
     async fn serve(&self, mut stream: TcpStream) {
-        // It only saves time.
+        // Best effort: TCP_NODELAY only reduces latency.
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
-        let mut ending = self.ending.subscribe();
+        let mut shutting_down = self.shutting_down.subscribe();
         loop {
-            let begun = tokio::select! {
+            let has_request = tokio::select! {
                 begun = http::begun(&mut stream, &mut buffer) => begun,
-                _ = ending.wait_for(|ending| *ending) => return,
+                _ = shutting_down.wait_for(|shutting_down| *shutting_down) => return,
             };
-            if !matches!(begun, Ok(true)) {
+            if !matches!(has_request, Ok(true)) {
                 return;
             }
             let Ok(request) = http::read(&mut stream, &mut buffer, Side::Asks).await else { return };
-            let number = self.count.get() + 1;
-            self.count.set(number);
+            let number = self.request_count.get() + 1;
+            self.request_count.set(number);
             let text = self.answer(&request, number).await;
-            if self.this_one(number, Broken::Loses) {
+            if self.is_affected(number, Broken::Loses) {
                 return;
             }
-            let times = if self.this_one(number, Broken::AnswersTwice) { 2 } else { 1 };
-            if stream.write_all(text.repeat(times).as_bytes()).await.is_err() {
+            let repetitions = if self.is_affected(number, Broken::AnswersTwice) { 2 } else { 1 };
+            if stream.write_all(text.repeat(repetitions).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// The whole answer to a request.
+    /// The complete response to a request.
     async fn answer(&self, request: &Message, number: u32) -> String {
         if request.first.1 == "/_health" {
             return http::answer(200, "", "");
         }
         let time = request.header("x-timeout").and_then(|text| {
-            let (figure, micros) = match text.strip_suffix('m') {
-                Some(figure) => (figure, 1_000),
+            let (number, micros_per_unit) = match text.strip_suffix('m') {
+                Some(number) => (number, 1_000),
                 None => (text.strip_suffix('u')?, 1),
             };
-            Some(Duration::from_micros(figure.parse::<u64>().ok()? * micros))
+            Some(Duration::from_micros(number.parse::<u64>().ok()? * micros_per_unit))
         });
         let time = time.unwrap_or(Duration::from_secs(1));
-        let deadline = Instant::now() + time.saturating_sub(EARLY);
-        for _ in 0..TRIES {
+        let deadline = Instant::now() + time.saturating_sub(DEADLINE_MARGIN);
+        for _ in 0..MAX_ATTEMPTS {
             let Some(address) = self.pick(number) else { break };
             let times = if self.broken == Some(Broken::Repeats) && request.first.0 == "POST" { 2 } else { 1 };
             let mut answer = None;
             for _ in 0..times {
-                answer = match timeout_at(deadline, self.pass(address, request)).await {
+                answer = match timeout_at(deadline, self.forward(address, request)).await {
                     Ok(answer) => answer,
                     Err(_) => return http::answer(504, "", ""),
                 };
@@ -257,13 +266,13 @@
             match answer {
                 Some(Some(answer)) if answer.status() == 200 => {
                     let mut body = String::from_utf8_lossy(&answer.body).into_owned();
-                    if self.this_one(number, Broken::CutsBodies) {
+                    if self.is_affected(number, Broken::CutsBodies) {
                         body.truncate(body.len() / 2);
                     }
                     return http::answer(200, "", &body);
                 }
                 Some(Some(answer)) if answer.header("x-not-processed").is_some() => {}
-                // It may have run.
+                // The request may have been processed, so it is not retried.
                 Some(_) => return http::answer(502, "", ""),
                 None => {}
             }
@@ -271,15 +280,16 @@
         http::answer(503, "Retry-After: 0.2\r\n", "")
     }
 
-    /// Sends a request to a server. None: it cannot have run; within: no whole answer came.
-    async fn pass(&self, address: SocketAddr, request: &Message) -> Option<Option<Message>> {
-        let rested = self.resting.borrow_mut().get_mut(&address).and_then(Vec::pop);
-        let rested = rested.filter(|(_, since)| since.elapsed() < self.idle).map(|(stream, _)| stream);
-        let mut stream = match rested {
+    /// Sends a request to a server. The outer `None` means that the request cannot have been processed, the
+    /// inner one that no complete response arrived.
+    async fn forward(&self, address: SocketAddr, request: &Message) -> Option<Option<Message>> {
+        let idle = self.idle_connections.borrow_mut().get_mut(&address).and_then(Vec::pop);
+        let idle = idle.filter(|(_, since)| since.elapsed() < self.max_idle).map(|(stream, _)| stream);
+        let mut stream = match idle {
             Some(stream) => stream,
             None => {
                 let stream = TcpStream::connect(address).await.ok()?;
-                // It only saves time.
+                // Best effort: TCP_NODELAY only reduces latency.
                 let _ = stream.set_nodelay(true);
                 stream
             }
@@ -290,14 +300,14 @@
             "{method} {path} HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nContent-Length: {}\r\n\r\n",
             request.body.len()
         );
-        let whole = [head.as_bytes(), &request.body].concat();
-        if stream.write_all(&whole).await.is_err() {
+        let message = [head.as_bytes(), &request.body].concat();
+        if stream.write_all(&message).await.is_err() {
             return Some(None);
         }
         let mut buffer = BytesMut::new();
         let answer = http::read(&mut stream, &mut buffer, Side::Answers).await.ok();
         if answer.as_ref().is_some_and(|answer| !answer.closes()) {
-            self.resting.borrow_mut().entry(address).or_default().push((stream, Instant::now()));
+            self.idle_connections.borrow_mut().entry(address).or_default().push((stream, Instant::now()));
         }
         Some(answer)
     }
