--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -328,16 +328,16 @@
     steps: &[LoadStep],
     seed: u64,
 ) -> Result<ChainResult, String> {
-    let socket_error = |e: std::io::Error| format!("cannot open a socket of the test cluster: {e}");
+    let setup_error = |e: std::io::Error| format!("cannot set up the test cluster: {e}");
     let scenario = Scenario::parse(SCENARIO).map_err(|e| e.to_string())?;
     let shared = Arc::new(Shared::new(scenario, seed));
     let (mut hop_clients, mut proxies, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
     for hop in 0..hops {
-        let agent = Agent::start(&shared, hop).await.map_err(socket_error)?;
+        let agent = Agent::start(&shared, hop).await.map_err(setup_error)?;
         let mut servers = Vec::new();
         for number in hop * SERVERS..(hop + 1) * SERVERS {
-            let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(socket_error)?;
-            let address = listener.local_addr().map_err(socket_error)?;
+            let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(setup_error)?;
+            let address = listener.local_addr().map_err(setup_error)?;
             let zone = shared.day.zones[0].clone();
             let member = Member {
                 state: EndpointState::Ready,
@@ -351,7 +351,7 @@
             listeners.push((listener, hop, number % SERVERS));
         }
         let mut proxy =
-            ProxySupervisor::new(&shared, &agent, hop, agent.address, false, None).map_err(socket_error)?;
+            ProxySupervisor::new(&shared, &agent, hop, agent.address, false, None).map_err(setup_error)?;
         proxy.start(program)?;
         hop_clients.push(Hop { proxy: HttpClient::new(proxy.address), servers });
         proxies.push(proxy);
