--- a/crates/testbed/src/cluster/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -1,4 +1,4 @@
-//! Relays between two named parties, and what they do to what passes.
+//! Relays between two parties of the test cluster, which inject link faults into the traffic.
 
 use super::http;
 use super::listener::{address, wait_for_reset, Role, SwitchableListener};
@@ -17,128 +17,130 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// A piece of a stream is no larger.
-const PIECE: usize = 16 * 1024;
-/// Pieces that are under way in one direction.
-const UNDER_WAY: usize = 64;
-/// A datagram that another overtakes comes so much later.
-const OVERTAKEN: Micros = 20_000;
-/// The largest datagram.
-const DATAGRAM: usize = 65_535;
+/// Maximum size of a chunk read from a stream.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks in transit in one direction.
+const MAX_CHUNKS_IN_TRANSIT: usize = 64;
+/// Extra delay of a reordered datagram, so that later ones overtake it.
+const REORDER_DELAY_US: Micros = 20_000;
+/// Maximum size of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// Counts the relays of this process, for their addresses.
-static RELAYS: AtomicUsize = AtomicUsize::new(0);
+/// Number of relays started by this process, from which their addresses are derived.
+static RELAY_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// What both directions of a link do: from whoever connects to the target, and back.
+/// Faults of both directions of a link: from the connecting side to the target, and back.
 pub type LinkFaults = [LinkSpec; 2];
 
-/// When the delivery_delays of a datagram come, as time after it was sent: settled by the seed and the datagram's number alone.
+/// Delays after which the copies of a datagram are delivered; empty if it is dropped. Depends only on the
+/// link's faults, the seed and the datagram's number.
 pub fn delivery_delays(spec: &LinkSpec, seed: u64, number: u64) -> Vec<Micros> {
     let mut random = random::stream(seed ^ number.rotate_left(32), StreamId::Noise);
-    // All is drawn for each, so that a share that differs changes nothing else.
+    // Always draws all three values, so that a change of one probability does not affect the other faults.
     let [drop, duplicate, reorder] = [(); 3].map(|()| random.gen::<f64>());
     if spec.stall || drop < spec.drop {
         return Vec::new();
     }
-    let after = spec.delay + if reorder < spec.reorder { OVERTAKEN } else { 0 };
+    let after = spec.delay + if reorder < spec.reorder { REORDER_DELAY_US } else { 0 };
     vec![after; if duplicate < spec.duplicate { 2 } else { 1 }]
 }
 
-/// A relay of connections to one target.
+/// A TCP relay to one target.
 pub struct Relay {
-    gate: SwitchableListener,
-    ways: watch::Sender<LinkFaults>,
+    listener: SwitchableListener,
+    faults: watch::Sender<LinkFaults>,
 }
 
 impl Relay {
-    /// Starts a relay that passes all on.
+    /// Starts a relay without faults.
     pub fn start(target: SocketAddr) -> Result<Arc<Self>> {
-        let gate = SwitchableListener::new(address(Role::Relay, RELAYS.fetch_add(1, Ordering::Relaxed)))?;
-        let relay = Arc::new(Relay { gate, ways: watch::Sender::new(LinkFaults::default()) });
-        let taking = Arc::clone(&relay);
+        let listener =
+            SwitchableListener::new(address(Role::Relay, RELAY_COUNT.fetch_add(1, Ordering::Relaxed)))?;
+        let relay = Arc::new(Relay { listener, faults: watch::Sender::new(LinkFaults::default()) });
+        let accepting = Arc::clone(&relay);
         tokio::spawn(async move {
-            let taken = |stream, generation| {
-                tokio::spawn(Arc::clone(&taking).connection(stream, target, generation));
+            let on_connection = |stream, generation| {
+                tokio::spawn(Arc::clone(&accepting).connection(stream, target, generation));
             };
-            taking.gate.serve(taken).await;
+            accepting.listener.serve(on_connection).await;
         });
         Ok(relay)
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
-        self.gate.address
+        self.listener.address
     }
 
-    /// What it does from now on.
-    pub fn set_faults(&self, both: LinkFaults) {
-        let refuses = both.iter().any(|way| way.refuse);
-        // A connection needs both directions to come up.
-        self.gate.silence(!refuses && both.iter().any(|way| way.stall));
-        if both.iter().any(|way| way.reset) {
-            self.gate.reset();
+    /// Replaces the faults of both directions.
+    pub fn set_faults(&self, faults: LinkFaults) {
+        let refuses = faults.iter().any(|direction| direction.refuse);
+        // Establishing a connection needs both directions, so a stall of either prevents it.
+        self.listener.silence(!refuses && faults.iter().any(|direction| direction.stall));
+        if faults.iter().any(|direction| direction.reset) {
+            self.listener.reset();
         }
-        self.gate.refuse(refuses);
-        self.ways.send_replace(both);
+        self.listener.refuse(refuses);
+        self.faults.send_replace(faults);
     }
 
     async fn connection(self: Arc<Self>, near: TcpStream, target: SocketAddr, generation: u32) {
-        let mut state = self.gate.watch();
+        let mut state = self.listener.watch();
         let far = tokio::select! {
-            // One that is up is reset below, on both sides.
+            // An established connection is reset below, on both sides.
             biased;
             far = TcpStream::connect(target) => far,
             () = wait_for_reset(&mut state, generation) => return http::reset(near),
         };
-        // The target refuses: the one side sees a reset where it would have seen that.
+        // The connecting side sees a reset in place of the target's refusal.
         let Ok(far) = far else { return http::reset(near) };
         for stream in [&near, &far] {
-            // It only saves time.
+            // Best effort: TCP_NODELAY only reduces latency.
             let _ = stream.set_nodelay(true);
         }
-        let passed = async {
-            let there = pump(&near, &far, self.ways.subscribe(), 0);
-            let back = pump(&far, &near, self.ways.subscribe(), 1);
-            tokio::try_join!(there, back)
+        let forwarding = async {
+            let forward = forward_stream(&near, &far, self.faults.subscribe(), 0);
+            let backward = forward_stream(&far, &near, self.faults.subscribe(), 1);
+            tokio::try_join!(forward, backward)
         };
-        let whole = tokio::select! {
-            ends = passed => ends.is_ok(),
+        let ended_normally = tokio::select! {
+            result = forwarding => result.is_ok(),
             () = wait_for_reset(&mut state, generation) => false,
         };
-        if !whole {
-            // A side that was reset resets the other.
+        if !ended_normally {
+            // A reset of one side is passed on to the other.
             http::reset(near);
             http::reset(far);
         }
     }
 }
 
-/// Waits until a moment, if it is still to come: a timer would take a millisecond for one that has come.
-async fn due(at: Option<Instant>) {
+/// Waits until a time, if it is in the future; a timer would take 1 ms even for a time in the past.
+async fn wait_until(at: Option<Instant>) {
     if let Some(at) = at.filter(|at| *at > Instant::now()) {
         sleep_until(at).await;
     }
 }
 
-/// Passes one direction on, until its end.
-async fn pump(
+/// Forwards one direction of a connection until its end.
+async fn forward_stream(
     from: &TcpStream,
     to: &TcpStream,
-    mut ways: watch::Receiver<LinkFaults>,
-    way: usize,
+    mut faults: watch::Receiver<LinkFaults>,
+    direction: usize,
 ) -> Result<()> {
-    let mut under_way: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
-    let mut ended = false;
+    let mut in_transit: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+    let mut is_at_end = false;
     loop {
-        let spec = ways.borrow_and_update()[way];
-        let next = under_way.front().map(|(at, _)| *at).filter(|_| !spec.stall);
+        let spec = faults.borrow_and_update()[direction];
+        let next = in_transit.front().map(|(at, _)| *at).filter(|_| !spec.stall);
         tokio::select! {
-            () = due(next), if next.is_some() => {
-                let Some((_, piece)) = under_way.pop_front() else { continue };
-                if piece.is_empty() {
+            () = wait_until(next), if next.is_some() => {
+                let Some((_, chunk)) = in_transit.pop_front() else { continue };
+                if chunk.is_empty() {
                     return SockRef::from(to).shutdown(std::net::Shutdown::Write);
                 }
-                let mut rest = &piece[..];
+                let mut rest = &chunk[..];
                 while !rest.is_empty() {
                     to.writable().await?;
                     match to.try_write(rest) {
@@ -148,97 +150,98 @@
                     }
                 }
             }
-            ready = from.readable(), if !ended && under_way.len() < UNDER_WAY => {
+            ready = from.readable(), if !is_at_end && in_transit.len() < MAX_CHUNKS_IN_TRANSIT => {
                 ready?;
-                let mut piece = vec![0; PIECE];
-                match from.try_read(&mut piece) {
+                let mut chunk = vec![0; MAX_CHUNK_BYTES];
+                match from.try_read(&mut chunk) {
                     Ok(length) => {
-                        piece.truncate(length);
-                        ended = length == 0;
-                        under_way.push_back((Instant::now() + Duration::from_micros(spec.delay), piece));
+                        chunk.truncate(length);
+                        is_at_end = length == 0;
+                        in_transit.push_back((Instant::now() + Duration::from_micros(spec.delay), chunk));
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                     Err(e) => return Err(e),
                 }
             }
-            changed = ways.changed() => if changed.is_err() { return Ok(()) },
+            changed = faults.changed() => if changed.is_err() { return Ok(()) },
         }
     }
 }
 
-/// What each way from one party to another does; a way that is not named passes all on.
+/// Faults by sender and receiver; pairs that are not listed have none.
 pub type DatagramFaults = BTreeMap<(usize, usize), LinkSpec>;
 
-/// A relay of datagrams between parties: each is known to the others by a door of the relay.
+/// A relay of datagrams between parties. The others reach each party at an address of the relay.
 pub struct DatagramRelay {
-    ways: watch::Sender<DatagramFaults>,
-    /// Where each is found by the others.
+    faults: watch::Sender<DatagramFaults>,
+    /// For each party, the relay address at which the others reach it.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl DatagramRelay {
-    /// Starts a relay that passes all on between parties that send from these addresses.
+    /// Starts a relay without faults between parties that send from these addresses.
     ///
     /// # Errors
-    /// A socket cannot be had.
-    pub async fn start(seed: u64, ends: Vec<SocketAddr>) -> Result<Self> {
-        let (mut sockets, mut doors) = (Vec::new(), Vec::new());
-        for _ in &ends {
+    /// Fails if a socket cannot be opened.
+    pub async fn start(seed: u64, parties: Vec<SocketAddr>) -> Result<Self> {
+        let (mut sockets, mut addresses) = (Vec::new(), Vec::new());
+        for _ in &parties {
             let socket =
-                UdpSocket::bind(address(Role::Relay, RELAYS.fetch_add(1, Ordering::Relaxed))).await?;
-            doors.push(socket.local_addr()?);
+                UdpSocket::bind(address(Role::Relay, RELAY_COUNT.fetch_add(1, Ordering::Relaxed))).await?;
+            addresses.push(socket.local_addr()?);
             sockets.push(Arc::new(socket));
         }
-        let ways = watch::Sender::new(DatagramFaults::new());
-        for to in 0..ends.len() {
-            tokio::spawn(carry(sockets.clone(), ends.clone(), to, ways.subscribe(), seed));
+        let faults = watch::Sender::new(DatagramFaults::new());
+        for to in 0..parties.len() {
+            tokio::spawn(forward_datagrams(sockets.clone(), parties.clone(), to, faults.subscribe(), seed));
         }
-        Ok(DatagramRelay { ways, addresses: doors })
+        Ok(DatagramRelay { faults, addresses })
     }
 
-    /// What it does from now on.
-    pub fn set_faults(&self, ways: DatagramFaults) {
-        self.ways.send_replace(ways);
+    /// Replaces the faults of all pairs.
+    pub fn set_faults(&self, faults: DatagramFaults) {
+        self.faults.send_replace(faults);
     }
 
-    /// What it does now.
+    /// The current faults.
     pub fn faults(&self) -> DatagramFaults {
-        self.ways.borrow().clone()
+        self.faults.borrow().clone()
     }
 }
 
-/// Carries the datagrams that come to one party's door, while the relay is there.
-async fn carry(
-    doors: Vec<Arc<UdpSocket>>,
-    ends: Vec<SocketAddr>,
+/// Forwards the datagrams sent to one party, until the relay is dropped.
+async fn forward_datagrams(
+    relay_sockets: Vec<Arc<UdpSocket>>,
+    parties: Vec<SocketAddr>,
     to: usize,
-    mut ways: watch::Receiver<DatagramFaults>,
+    mut faults: watch::Receiver<DatagramFaults>,
     seed: u64,
 ) {
-    let mut numbers = vec![0u64; ends.len()];
-    let mut room = vec![0; DATAGRAM];
+    let mut numbers = vec![0u64; parties.len()];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let came = tokio::select! {
-            came = doors[to].recv_from(&mut room) => came,
-            changed = ways.changed() => if changed.is_err() { return } else { continue },
+        let received = tokio::select! {
+            received = relay_sockets[to].recv_from(&mut buffer) => received,
+            changed = faults.changed() => if changed.is_err() { return } else { continue },
         };
-        let Ok((length, source)) = came else { continue };
-        // What comes from elsewhere has no place here.
-        let Some(from) = ends.iter().position(|end| *end == source) else { continue };
-        let spec = ways.borrow().get(&(from, to)).copied().unwrap_or_default();
-        let way = seed ^ ((from as u64) << 16 | to as u64);
-        for after in delivery_delays(&spec, way, numbers[from]) {
-            let (datagram, door, end) = (room[..length].to_vec(), Arc::clone(&doors[from]), ends[to]);
+        let Ok((length, source)) = received else { continue };
+        // Datagrams from unknown senders are dropped.
+        let Some(from) = parties.iter().position(|party| *party == source) else { continue };
+        let spec = faults.borrow().get(&(from, to)).copied().unwrap_or_default();
+        let link_seed = seed ^ ((from as u64) << 16 | to as u64);
+        for after in delivery_delays(&spec, link_seed, numbers[from]) {
+            let (datagram, socket, party) =
+                (buffer[..length].to_vec(), Arc::clone(&relay_sockets[from]), parties[to]);
             let at = Instant::now() + Duration::from_micros(after);
             if after == 0 {
-                // A datagram may be lost.
-                let _ = door.send_to(&datagram, end).await;
+                // Send errors are ignored: datagrams may be lost.
+                let _ = socket.send_to(&datagram, party).await;
                 continue;
             }
             tokio::spawn(async move {
                 sleep_until(at).await;
-                // A datagram may be lost.
-                let _ = door.send_to(&datagram, end).await;
+                // Send errors are ignored: datagrams may be lost.
+                let _ = socket.send_to(&datagram, party).await;
             });
         }
         numbers[from] += 1;
