--- a/crates/testbed/src/cluster/membership.rs
+++ b/crates/testbed/src/cluster/membership.rs
@@ -1,21 +1,21 @@
-//! What the proxies held of each other, against what was so.
+//! Compares each proxy's view of the membership with the actual state of the other proxies.
 
 use super::record::{histogram, Held, Shared, Signal, Standing};
 use oakport_core::Micros;
 use oakport_simulator::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Whoever was stopped, started or cut off is given so long to be known again.
-const SETTLE: Micros = 5_000_000;
-/// An end that is not known by then is taken to be known then.
-const LONGEST: Micros = 10_000_000;
+/// Time for the views to converge after a proxy was stopped, started or partitioned.
+const CONVERGENCE_TIME_US: Micros = 5_000_000;
+/// Detection times are capped at this value; it also stands for an end that was never detected.
+const MAX_DETECTION_TIME_US: Micros = 10_000_000;
 
-/// What each proxy held, in the order of time.
+/// Views reported by the proxies, as time, proxy and view, ordered by time.
 pub type Views = Vec<(Micros, usize, Held)>;
-/// What was done to each proxy.
+/// Starts, signals and ends of each proxy's processes, with their times.
 pub type Signals = HashMap<usize, Vec<(Micros, Signal)>>;
 
-/// Figures of the membership, if there was one.
+/// Membership figures of the report; empty if no views were recorded.
 pub fn figures(shared: &Shared, views: &Views, signals: &Signals, end: Micros) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
     if views.is_empty() {
@@ -26,10 +26,12 @@
     };
     for (name, signal) in [("detect", Signal::Killed), ("leave", Signal::Told)] {
         let mut times = histogram();
-        for (&gone, all) in signals {
-            for &(at, _) in all.iter().filter(|(at, what)| *what == signal && at + LONGEST <= end) {
-                for took in known(shared, views, signals, gone, at) {
-                    times.saturating_record(took.max(1));
+        for (&ended, all) in signals {
+            for &(at, _) in
+                all.iter().filter(|(at, what)| *what == signal && at + MAX_DETECTION_TIME_US <= end)
+            {
+                for detection_time in detection_times(shared, views, signals, ended, at) {
+                    times.saturating_record(detection_time.max(1));
                 }
             }
         }
@@ -39,86 +41,111 @@
         }
     }
     put("false_dead", false_dead(shared, views, signals) as f64);
-    let cuts = shared.day.events.iter().filter(|e| e.kind == FaultKind::Cut);
-    if let Some(agreed) = cuts.map(|e| agree(views, signals, shared.at(e.at + e.duration), end)).max() {
-        put("agree_ms", agreed as f64 / 1e3);
+    let partitions = shared.day.events.iter().filter(|e| e.kind == FaultKind::Cut);
+    if let Some(agreement_time) =
+        partitions.map(|e| agreement_time(views, signals, shared.at(e.at + e.duration), end)).max()
+    {
+        put("agree_ms", agreement_time as f64 / 1e3);
     }
-    put("bytes_per_s", bytes(views));
-    let counts = || views.iter().map(|(_, _, held)| held.count);
+    put("bytes_per_s", max_send_rate(views));
+    let counts = || views.iter().map(|(_, _, view)| view.count);
     put("count_least", counts().min().unwrap_or(0) as f64);
     put("count_most", counts().max().unwrap_or(0) as f64);
-    let last: BTreeMap<usize, usize> = views.iter().map(|(_, proxy, held)| (*proxy, held.count)).collect();
+    let last: BTreeMap<usize, usize> = views.iter().map(|(_, proxy, view)| (*proxy, view.count)).collect();
     put("count_last", last.values().sum::<usize>() as f64 / last.len() as f64);
     figures
 }
 
-/// Something was done to it in this span, its first start aside.
-fn disturbed(signals: &Signals, proxy: usize, from: Micros, to: Micros) -> bool {
+/// Whether the proxy received a signal or was started in this interval.
+fn was_disturbed(signals: &Signals, proxy: usize, from: Micros, to: Micros) -> bool {
     let all = signals.get(&proxy).into_iter().flatten();
     all.into_iter().any(|(at, _)| (from..=to).contains(at))
 }
 
-/// A cut that may have parted anybody was there in this span.
-fn parted(shared: &Shared, from: Micros, to: Micros) -> bool {
-    let cuts = shared.day.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
-    cuts.into_iter().any(|e| shared.at(e.at) <= to && shared.at(e.at + e.duration) + SETTLE >= from)
+/// Whether any partition or link fault was active in this interval or ended within the convergence time
+/// before it.
+fn is_partitioned(shared: &Shared, from: Micros, to: Micros) -> bool {
+    let faults = shared.day.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
+    faults
+        .into_iter()
+        .any(|e| shared.at(e.at) <= to && shared.at(e.at + e.duration) + CONVERGENCE_TIME_US >= from)
 }
 
-/// How long the others took to know that a life had ended at this moment.
-fn known(shared: &Shared, views: &Views, signals: &Signals, gone: usize, at: Micros) -> Vec<Micros> {
+/// Times that the other proxies took to detect that the process of proxy `ended` had ended at `at`.
+fn detection_times(
+    shared: &Shared,
+    views: &Views,
+    signals: &Signals,
+    ended: usize,
+    at: Micros,
+) -> Vec<Micros> {
     let mut first: BTreeMap<usize, Micros> = BTreeMap::new();
-    let whole = |proxy: &usize| {
-        *proxy != gone && !disturbed(signals, *proxy, at.saturating_sub(SETTLE), at + LONGEST)
+    let is_observer = |proxy: &usize| {
+        *proxy != ended
+            && !was_disturbed(
+                signals,
+                *proxy,
+                at.saturating_sub(CONVERGENCE_TIME_US),
+                at + MAX_DETECTION_TIME_US,
+            )
     };
-    let watchers: BTreeSet<usize> = views.iter().map(|(_, proxy, _)| *proxy).filter(whole).collect();
-    if parted(shared, at, at + LONGEST) {
+    let observers: BTreeSet<usize> = views.iter().map(|(_, proxy, _)| *proxy).filter(is_observer).collect();
+    if is_partitioned(shared, at, at + MAX_DETECTION_TIME_US) {
         return Vec::new();
     }
     let unix = shared.unix_ms(at);
-    for (seen, proxy, held) in views.iter().filter(|(seen, proxy, _)| *seen >= at && watchers.contains(proxy))
+    for (seen, proxy, view) in
+        views.iter().filter(|(seen, proxy, _)| *seen >= at && observers.contains(proxy))
     {
-        // Another life there has taken its place.
-        let there =
-            held.members.iter().any(|(n, life, s)| *n == gone && *s == Standing::There && *life < unix);
-        if !there {
+        // A later incarnation does not count as the ended process.
+        let still_listed = view
+            .members
+            .iter()
+            .any(|(n, incarnation, s)| *n == ended && *s == Standing::There && *incarnation < unix);
+        if !still_listed {
             first.entry(*proxy).or_insert(seen - at);
         }
     }
-    watchers.iter().map(|proxy| first.get(proxy).copied().unwrap_or(LONGEST).min(LONGEST)).collect()
+    observers
+        .iter()
+        .map(|proxy| first.get(proxy).copied().unwrap_or(MAX_DETECTION_TIME_US).min(MAX_DETECTION_TIME_US))
+        .collect()
 }
 
-/// Pairs of which one held the other dead that ran, was not disturbed, and could be reached.
+/// Number of pairs in which one proxy considered the other dead although it was running, undisturbed and
+/// reachable.
 fn false_dead(shared: &Shared, views: &Views, signals: &Signals) -> usize {
-    let mut found = BTreeSet::new();
-    for (at, proxy, held) in views {
-        let from = at.saturating_sub(SETTLE);
-        let calm = |n: usize| !disturbed(signals, n, from, *at);
-        if !calm(*proxy) || parted(shared, from, *at) {
+    let mut pairs = BTreeSet::new();
+    for (at, proxy, view) in views {
+        let from = at.saturating_sub(CONVERGENCE_TIME_US);
+        let undisturbed = |n: usize| !was_disturbed(signals, n, from, *at);
+        if !undisturbed(*proxy) || is_partitioned(shared, from, *at) {
             continue;
         }
-        for (n, _, _) in held.members.iter().filter(|(_, _, s)| *s == Standing::Dead) {
+        for (n, _, _) in view.members.iter().filter(|(_, _, s)| *s == Standing::Dead) {
             let last = signals.get(n).into_iter().flatten().rev().find(|(when, _)| when <= at);
-            let runs = last.is_some_and(|(_, what)| matches!(what, Signal::Started | Signal::Continued));
-            if runs && calm(*n) {
-                found.insert((*proxy, *n));
+            let is_running =
+                last.is_some_and(|(_, what)| matches!(what, Signal::Started | Signal::Continued));
+            if is_running && undisturbed(*n) {
+                pairs.insert((*proxy, *n));
             }
         }
     }
-    found.len()
+    pairs.len()
 }
 
-/// How long after this moment all that ran held the same.
-fn agree(views: &Views, signals: &Signals, from: Micros, end: Micros) -> Micros {
+/// Time after `from` until the views of all running proxies had the same digest.
+fn agreement_time(views: &Views, signals: &Signals, from: Micros, end: Micros) -> Micros {
     let mut last: BTreeMap<usize, u64> = BTreeMap::new();
-    let ends =
+    let is_end =
         |what: &Signal| matches!(what, Signal::Killed | Signal::Told | Signal::Crashed | Signal::Stopped);
-    let runs = |proxy: &usize| {
+    let is_running = |proxy: &usize| {
         let last = signals.get(proxy).into_iter().flatten().rev().find(|(at, _)| *at <= from);
-        last.is_some_and(|(_, what)| !ends(what))
+        last.is_some_and(|(_, what)| !is_end(what))
     };
-    let running = signals.keys().filter(|proxy| runs(proxy)).count();
-    for (at, proxy, held) in views.iter().filter(|(at, _, _)| *at >= from) {
-        last.insert(*proxy, held.digest);
+    let running = signals.keys().filter(|proxy| is_running(proxy)).count();
+    for (at, proxy, view) in views.iter().filter(|(at, _, _)| *at >= from) {
+        last.insert(*proxy, view.digest);
         let digests: BTreeSet<u64> = last.values().copied().collect();
         if last.len() >= running && digests.len() == 1 {
             return at - from;
@@ -127,17 +154,20 @@
     end - from
 }
 
-/// Bytes a second that any proxy sent, at the most, over its longest life.
-fn bytes(views: &Views) -> f64 {
-    let mut lives: BTreeMap<usize, Vec<[(Micros, u64); 2]>> = BTreeMap::new();
-    for (at, proxy, held) in views {
-        let lives = lives.entry(*proxy).or_default();
-        match lives.last_mut().filter(|life| life[1].1 <= held.bytes) {
-            Some(life) => life[1] = (*at, held.bytes),
-            None => lives.push([(*at, held.bytes); 2]),
+/// Highest rate at which any proxy sent bytes to its peers, in bytes per second, over its longest
+/// incarnation.
+fn max_send_rate(views: &Views) -> f64 {
+    let mut incarnations: BTreeMap<usize, Vec<[(Micros, u64); 2]>> = BTreeMap::new();
+    for (at, proxy, view) in views {
+        let incarnations = incarnations.entry(*proxy).or_default();
+        match incarnations.last_mut().filter(|incarnation| incarnation[1].1 <= view.bytes) {
+            Some(incarnation) => incarnation[1] = (*at, view.bytes),
+            None => incarnations.push([(*at, view.bytes); 2]),
         }
     }
-    let longest = lives.values().filter_map(|lives| lives.iter().max_by_key(|life| life[1].0 - life[0].0));
+    let longest = incarnations.values().filter_map(|incarnations| {
+        incarnations.iter().max_by_key(|incarnation| incarnation[1].0 - incarnation[0].0)
+    });
     let rate = |[from, to]: &[(Micros, u64); 2]| (to.1 - from.1) as f64 * 1e6 / (to.0 - from.0).max(1) as f64;
     longest.map(rate).fold(0.0, f64::max)
 }
