--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes on loopback, with faults between them, judged from outside (`docs/test-cluster.md`).
+//! A test cluster of real processes on loopback, with fault injection, judged by what is observed from
+//! outside the proxies (`docs/test-cluster.md`).
 
 mod calls;
 pub mod chain;
@@ -44,75 +45,75 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinSet;
 
-/// Between two looks at how far the day is.
-const LOOK: Duration = Duration::from_millis(200);
-/// The number of a server that no list names, far from those that lists name.
-const DECOY: usize = 60_000;
-/// Peers that each knows of from the start.
-const SEEDS: usize = 3;
+/// Interval between progress reports.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of a server that is in no endpoint list; far above the numbers of listed servers.
+const DECOY_SERVER: usize = 60_000;
+/// Seed peers that each proxy is configured with.
+const SEED_PEERS: usize = 3;
 
-/// Plays a day.
+/// Runs a scenario and judges it.
 ///
 /// # Errors
-/// The fleet could not be started, and why.
-pub async fn run(play: &RunConfig, tell: &ProgressCallback<'_>) -> Result<Verdict, String> {
-    let odd = |e: std::io::Error| format!("the rig's sockets: {e}");
-    let shared = Arc::new(Shared::new(play.scenario.clone(), play.seed));
-    let day = &shared.day;
-    let site = Site::start(&shared).await.map_err(odd)?;
-    // It is in no list; whoever sends there has invented it.
-    let decoy = Machine::start(&shared, DECOY, 0, "none", 0).map_err(odd)?;
-    let mut play = play.clone();
-    for program in [&mut play.program, &mut play.replacement] {
+/// Fails if the cluster cannot be started, and says why.
+pub async fn run(config: &RunConfig, on_progress: &ProgressCallback<'_>) -> Result<Verdict, String> {
+    let setup_error = |e: std::io::Error| format!("cannot set up the test cluster: {e}");
+    let shared = Arc::new(Shared::new(config.scenario.clone(), config.seed));
+    let scenario = &shared.day;
+    let site = Site::start(&shared).await.map_err(setup_error)?;
+    // The decoy is in no endpoint list, so a proxy that sends to it violates a rule.
+    let decoy = Machine::start(&shared, DECOY_SERVER, 0, "none", 0).map_err(setup_error)?;
+    let mut config = config.clone();
+    for program in [&mut config.program, &mut config.replacement] {
         program.environment.push((forwarder::DECOY.to_owned(), decoy.address.to_string()));
     }
     let (mut peers, mut datagrams) = (Vec::new(), None);
-    if day.peers {
-        peers = Peer::all(day.balancers, SEEDS).map_err(odd)?;
-        // Without a fault between proxies they reach each other directly.
-        if day.events.iter().any(|event| !site::affected_peer_links(day, event).is_empty()) {
-            let relay = DatagramRelay::start(play.seed, peers.iter().map(|p| p.address).collect())
+    if scenario.peers {
+        peers = Peer::all(scenario.balancers, SEED_PEERS).map_err(setup_error)?;
+        // Without faults between proxies, they reach each other directly.
+        if scenario.events.iter().any(|event| !site::affected_peer_links(scenario, event).is_empty()) {
+            let relay = DatagramRelay::start(config.seed, peers.iter().map(|p| p.address).collect())
                 .await
-                .map_err(odd)?;
-            peers.iter_mut().zip(&relay.addresses).for_each(|(peer, door)| peer.advertise = *door);
-            Peer::know(&mut peers, SEEDS);
+                .map_err(setup_error)?;
+            peers.iter_mut().zip(&relay.addresses).for_each(|(peer, address)| peer.advertise = *address);
+            Peer::set_seeds(&mut peers, SEED_PEERS);
             datagrams = Some(relay);
         }
     }
     let operators: Vec<_> = peers.iter().map(|peer| peer.operator).collect();
     let mut peers = peers.into_iter();
-    let inherits = day.events.iter().any(|event| event.kind == FaultKind::Upgrade);
-    let mut seats = Vec::new();
+    let inherits = scenario.events.iter().any(|event| event.kind == FaultKind::Upgrade);
+    let mut proxies = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
-        let logs = play.logs.as_deref();
-        let mut seat =
+        let logs = config.logs.as_deref();
+        let mut proxy =
             ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits, logs)
-                .map_err(odd)?;
+                .map_err(setup_error)?;
         if let Some(peer) = peers.next() {
-            seat.set_peer(peer);
+            proxy.set_peer(peer);
         }
-        seat.start(&play.program)?;
-        seats.push(seat);
+        proxy.start(&config.program)?;
+        proxies.push(proxy);
     }
-    for seat in &mut seats {
-        seat.ready().await?;
+    for proxy in &mut proxies {
+        proxy.ready().await?;
     }
-    let apps = seats.iter().map(|seat| App::new(&shared, seat.number, seat.address)).collect();
-    let seats = seats.into_iter().map(Mutex::new).collect();
-    let fleet = Arc::new(Fleet { site, seats, apps, datagrams, play });
+    let apps = proxies.iter().map(|proxy| App::new(&shared, proxy.number, proxy.address)).collect();
+    let proxies = proxies.into_iter().map(Mutex::new).collect();
+    let fleet = Arc::new(Fleet { site, seats: proxies, apps, datagrams, play: config });
     shared.begin_day();
-    tell(Progress::Started);
+    on_progress(Progress::Started);
     let mut tasks = JoinSet::new();
     let mut requests = JoinSet::new();
-    for number in 0..day.events.len() {
+    for number in 0..scenario.events.len() {
         tasks.spawn(Arc::clone(&fleet).event(number));
     }
     tasks.spawn(Arc::clone(&fleet).watch());
     for (proxy, operator) in operators.into_iter().enumerate() {
         tasks.spawn(peers::watch(Arc::clone(&shared), proxy, operator));
     }
-    let told = tell_progress(&shared, tell);
-    let asked = async {
+    let progress = report_progress(&shared, on_progress);
+    let calls = async {
         for (request, arrival) in shared.arrivals.iter().enumerate() {
             shared.until(shared.at(arrival.at)).await;
             requests.spawn(Arc::clone(&fleet.apps[arrival.proxy]).ask(request));
@@ -120,39 +121,39 @@
         while requests.join_next().await.is_some() {}
     };
     tokio::select! {
-        () = asked => {}
-        () = told => {}
+        () = calls => {}
+        () = progress => {}
     }
     tasks.shutdown().await;
     for app in &fleet.apps {
         app.close();
     }
     let verdict = judge::judge(&shared, &fleet.site.zones_and_releases());
-    for seat in &fleet.seats {
-        seat.lock().await.end(Duration::ZERO).await;
+    for proxy in &fleet.seats {
+        proxy.lock().await.end(Duration::ZERO).await;
     }
     Ok(verdict)
 }
 
-/// Tells how far the day is, for ever.
-async fn tell_progress(shared: &Shared, tell: &ProgressCallback<'_>) {
-    let mut marks: Vec<(Micros, String)> = Vec::new();
+/// Reports the progress of the run. Never returns.
+async fn report_progress(shared: &Shared, on_progress: &ProgressCallback<'_>) {
+    let mut changes: Vec<(Micros, String)> = Vec::new();
     for event in &shared.day.events {
-        let place = event.zone.as_ref().map_or(String::new(), |zone| format!(" {zone}"));
-        let place =
-            if event.link_groups.is_empty() { place } else { format!(" {}", event.link_groups.join(" | ")) };
-        let what = format!("{:?}{place}", event.kind).to_lowercase();
-        marks.push((event.at, format!("{what} begins")));
-        marks.push((event.at + event.duration, format!("{what} is over")));
+        let target = event.zone.as_ref().map_or(String::new(), |zone| format!(" {zone}"));
+        let target =
+            if event.link_groups.is_empty() { target } else { format!(" {}", event.link_groups.join(" | ")) };
+        let fault = format!("{:?}{target}", event.kind).to_lowercase();
+        changes.push((event.at, format!("{fault} begins")));
+        changes.push((event.at + event.duration, format!("{fault} is over")));
     }
-    marks.sort();
-    let mut marks = marks.iter().peekable();
+    changes.sort();
+    let mut changes = changes.iter().peekable();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let now = shared.now().saturating_sub(shared.at(0));
-        while let Some((at, text)) = marks.next_if(|(at, _)| *at <= now) {
-            tell(Progress::Event(*at, text));
+        while let Some((at, text)) = changes.next_if(|(at, _)| *at <= now) {
+            on_progress(Progress::Event(*at, text));
         }
-        tell(Progress::At(now.min(shared.day.duration), shared.ended()));
+        on_progress(Progress::At(now.min(shared.day.duration), shared.ended()));
     }
 }
--- a/crates/testbed/src/cluster/peers.rs
+++ b/crates/testbed/src/cluster/peers.rs
@@ -1,4 +1,4 @@
-//! Asks proxies what they hold of their peers, again and again.
+//! Polls the proxies for their views of the membership.
 
 use super::process_stats;
 use super::record::{Held, Seen, Shared, Standing};
@@ -8,25 +8,25 @@
 use std::time::Duration;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-/// Between two questions to one proxy.
-const EVERY: Duration = Duration::from_millis(100);
-/// One that does not answer within this is not waited for: it may stand still.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Interval between polls of one proxy.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a poll; the process may be stopped.
+const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks a proxy at its operators' address, for ever.
+/// Polls a proxy at its admin endpoint and records its views. Never returns.
 pub async fn watch(shared: Arc<Shared>, proxy: usize, operator: SocketAddr) {
-    let mut beat = interval(EVERY);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(POLL_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beat.tick().await;
-        // One that is dead or stands still says nothing.
-        if let Ok(Some(held)) = timeout(PATIENCE, ask(operator)).await {
-            shared.saw(Seen::Held { proxy, at: shared.now(), held });
+        ticks.tick().await;
+        // A proxy that has exited or is stopped does not answer; such polls are skipped.
+        if let Ok(Some(view)) = timeout(POLL_TIMEOUT, request_view(operator)).await {
+            shared.saw(Seen::Held { proxy, at: shared.now(), held: view });
         }
     }
 }
 
-async fn ask(operator: SocketAddr) -> Option<Held> {
+async fn request_view(operator: SocketAddr) -> Option<Held> {
     let report = process_stats::admin_report(operator).await.ok()?;
     let peers = report.get("peers")?;
     let member = |m: &Value| {
--- a/crates/testbed/src/cluster/process_stats.rs
+++ b/crates/testbed/src/cluster/process_stats.rs
@@ -1,4 +1,4 @@
-//! What can be seen of a process from outside: its processor time, its memory, and what it tells operators.
+//! Figures of a running process that are visible from outside: its CPU time, its memory and its admin report.
 
 use serde_json::Value;
 use std::io::{Error, ErrorKind, Result};
@@ -6,60 +6,60 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The page's `kB`.
-const KB: u64 = 1_024;
+/// Bytes per `kB`, as the kernel uses it in `/proc/PID/status`.
+const KIB: u64 = 1_024;
 
-/// Seconds of a core that the threads which a process now has have taken. They are counted by the nanosecond
-/// (`schedstat`), as the ticks of `stat`, 10 ms each, would tell nothing of a single change.
+/// CPU time used by the current threads of a process, in seconds. Read from `schedstat`, which counts
+/// nanoseconds, because the ticks of `stat` (10 ms each) are too coarse to measure a single change.
 ///
 /// # Errors
-/// It has ended, or the machine does not count so.
+/// Fails if the process has exited or the kernel provides no `schedstat`.
 pub fn cpu_s(pid: u32) -> Result<f64> {
-    let mut sum = 0;
+    let mut total_ns = 0;
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))? {
         let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-        let spent = text.split_whitespace().next().and_then(|field| field.parse::<u64>().ok());
-        sum += spent.ok_or_else(|| odd("schedstat", &text))?;
+        let nanoseconds = text.split_whitespace().next().and_then(|field| field.parse::<u64>().ok());
+        total_ns += nanoseconds.ok_or_else(|| unexpected("schedstat", &text))?;
     }
-    Ok(sum as f64 / 1e9)
+    Ok(total_ns as f64 / 1e9)
 }
 
-/// Bytes of memory that a process holds.
+/// Resident memory of a process, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Memory {
-    /// Now.
+    /// Current size.
     pub current: u64,
-    /// The most since its start.
+    /// Peak since the process started.
     pub peak: u64,
 }
 
-/// What memory a process holds.
+/// Reads the resident memory of a process.
 ///
 /// # Errors
-/// It has ended.
+/// Fails if the process has exited.
 pub fn memory(pid: u32) -> Result<Memory> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let field = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
-        let kb = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok());
-        kb.map(|kb| kb * KB).ok_or_else(|| odd(name, &text))
+        let kib = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok());
+        kib.map(|kib| kib * KIB).ok_or_else(|| unexpected(name, &text))
     };
     Ok(Memory { current: field("VmRSS")?, peak: field("VmHWM")? })
 }
 
-/// What a process tells operators.
+/// Requests the report of a process from its admin endpoint.
 ///
 /// # Errors
-/// It does not answer, or with what is no report.
+/// Fails if the process does not answer, or if the answer is not a complete JSON report.
 pub async fn admin_report(operator: SocketAddr) -> Result<Value> {
     let mut stream = TcpStream::connect(operator).await?;
     stream.write_all(b"DUMP\n").await?;
     let mut text = String::new();
     stream.read_to_string(&mut text).await?;
-    let report = text.strip_suffix("\nEND\n").ok_or_else(|| odd("DUMP", &text))?;
+    let report = text.strip_suffix("\nEND\n").ok_or_else(|| unexpected("DUMP", &text))?;
     Ok(serde_json::from_str(report)?)
 }
 
-fn odd(what: &str, text: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, format!("{what}: {text:?}"))
+fn unexpected(source: &str, text: &str) -> Error {
+    Error::new(ErrorKind::InvalidData, format!("unexpected content of {source}: {text:?}"))
 }
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -87,12 +87,12 @@
             let operator = bound_address(&holder)?;
             all.push(Peer { address: place, advertise: place, seeds: Vec::new(), operator, _holder: holder });
         }
-        Peer::know(&mut all, seeds);
+        Peer::set_seeds(&mut all, seeds);
         Ok(all)
     }
 
     /// Each knows the first few where they are reached.
-    pub fn know(all: &mut [Peer], seeds: usize) {
+    pub fn set_seeds(all: &mut [Peer], seeds: usize) {
         let seeds: Vec<SocketAddr> = all.iter().take(seeds).map(|peer| peer.advertise).collect();
         all.iter_mut().for_each(|peer| peer.seeds = seeds.clone());
     }
--- a/crates/testbed/src/cluster/run_config.rs
+++ b/crates/testbed/src/cluster/run_config.rs
@@ -1,35 +1,35 @@
-//! How a day is to be played, and what is told while it is.
+//! Configuration of a run of the test cluster, and the progress reported meanwhile.
 
 use super::processes::Program;
 use oakport_core::Micros;
 use oakport_simulator::scenario::Scenario;
 use std::path::PathBuf;
 
-/// How a day is to be played.
+/// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct RunConfig {
-    /// The day.
+    /// The scenario to run.
     pub scenario: Scenario,
-    /// For all that is drawn.
+    /// Seed of all random values.
     pub seed: u64,
-    /// What the proxies are.
+    /// The proxies' program.
     pub program: Program,
-    /// What those are that relieve them.
+    /// The program of the successors that take over from the proxies in an upgrade.
     pub replacement: Program,
-    /// Where their logs go.
+    /// Directory for the proxies' logs; `None` discards them.
     pub logs: Option<PathBuf>,
 }
 
-/// Something that can be told while a day is played.
+/// Called with the progress of a run.
 pub type ProgressCallback<'a> = dyn Fn(Progress<'_>) + Sync + 'a;
 
-/// How far a day is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress<'a> {
-    /// The fleet stands, and requests begin.
+    /// All proxies are ready, and requests begin.
     Started,
-    /// Something begins, or is over, at this time of the day.
+    /// A fault begins or ends at this time since the start of the run.
     Event(Micros, &'a str),
-    /// So much of the day is over, and so many requests have been served and not.
+    /// Time since the start of the run, and the numbers of requests served and not served so far.
     At(Micros, [u64; 2]),
 }
