--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -1,9 +1,10 @@
-//! The proxies as processes: started as the platform starts them, met by signals, and never left behind.
+//! Runs the proxies as processes: starts them as the platform does, sends them signals, and leaves none
+//! behind.
 
 use super::discovery::Agent;
 use super::listener::{address, bound_address, reserve, Role};
 use super::record::{Seen, Shared, Signal};
-use nix::sys::signal::{kill, Signal as Number};
+use nix::sys::signal::{kill, Signal as UnixSignal};
 use nix::unistd::Pid;
 use oakport_simulator::scenario::IdempotencySpec;
 use serde_json::{json, Value};
@@ -20,110 +21,118 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest wait for a proxy to be ready (DEPLOY: clients come after 30 s).
-const READY: Duration = Duration::from_secs(30);
-/// Between two looks at something that must come.
-const LOOK: Duration = Duration::from_millis(5);
-/// The descriptor at which an inherited listener is told of.
-const INHERITED: &str = "7";
-/// Makes the inherited listener that descriptor, as the platform does.
-const SCRIPT: &str = "exec 7<&0 0</dev/null; exec \"$0\" \"$@\"";
+/// Start-up timeout of a proxy (DEPLOY: clients connect after 30 s).
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between health checks of a starting proxy.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of the file descriptor of an inherited listener.
+const INHERITED_FD: &str = "7";
+/// Shell script that moves the listener from standard input to that descriptor, as the platform does.
+const LISTENER_SCRIPT: &str = "exec 7<&0 0</dev/null; exec \"$0\" \"$@\"";
 
-/// A program that can be a proxy.
+/// A program that runs as a proxy.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program `oakport-testbed`, which becomes the file and dies with whoever started it.
-    pub lab: PathBuf,
-    /// The file.
+    /// The program `oakport-testbed`, which executes the proxy's program and ties its life to the parent
+    /// process.
+    pub launcher: PathBuf,
+    /// The executable of the proxy.
     pub path: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
-    /// More of its environment.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
 }
 
 impl Program {
     /// `oakport serve` at this path.
-    pub fn oakport(lab: &Path, path: &Path) -> Self {
-        Program::of(lab, path, vec!["serve".to_owned()])
+    pub fn oakport(launcher: &Path, path: &Path) -> Self {
+        Program::new(launcher, path, vec!["serve".to_owned()])
     }
 
-    /// The lab's own forwarder, which may break a rule.
-    pub fn forwarder(lab: &Path, broken: Option<&str>) -> Self {
+    /// The testbed's own forwarder, which violates one rule if `broken` names it.
+    pub fn forwarder(launcher: &Path, broken: Option<&str>) -> Self {
         let broken = broken.into_iter().flat_map(|how| ["--broken".to_owned(), how.to_owned()]);
-        Program::of(lab, lab, ["forward".to_owned()].into_iter().chain(broken).collect())
+        Program::new(launcher, launcher, ["forward".to_owned()].into_iter().chain(broken).collect())
     }
 
-    fn of(lab: &Path, path: &Path, arguments: Vec<String>) -> Self {
-        Program { lab: lab.to_owned(), path: path.to_owned(), arguments, environment: Vec::new() }
+    fn new(launcher: &Path, path: &Path, arguments: Vec<String>) -> Self {
+        Program { launcher: launcher.to_owned(), path: path.to_owned(), arguments, environment: Vec::new() }
     }
 }
 
-/// Where a proxy is a peer of others.
+/// Addresses of a proxy as a member of the membership.
 pub struct Peer {
-    /// Where it sends and receives.
+    /// Address at which it sends and receives datagrams.
     pub address: SocketAddr,
-    /// Where the others reach it.
+    /// Address at which the others reach it.
     pub advertise: SocketAddr,
-    /// Whom it asks first.
+    /// Peers that it contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// Where it is asked what it holds.
+    /// Admin endpoint, which reports its view.
     pub operator: SocketAddr,
-    /// Keeps that address.
+    /// Reserves the address of the admin endpoint.
     pub _holder: Socket,
 }
 
 impl Peer {
-    /// Addresses for proxies of these numbers; `seeds` of them are asked first.
+    /// Allocates addresses for `number` proxies, the first `seeds` of which are the seed peers.
     ///
     /// # Errors
-    /// A socket cannot be had.
+    /// Fails if a socket cannot be opened.
     pub fn all(number: usize, seeds: usize) -> std::io::Result<Vec<Peer>> {
         let mut all = Vec::new();
         for n in 0..number {
-            // The port is this proxy's alone: nobody else has its address.
-            let place = std::net::UdpSocket::bind(address(Role::Proxy, n))?.local_addr()?;
+            // The port stays free after the socket is closed, as no other party uses this proxy's address.
+            let datagram_address = std::net::UdpSocket::bind(address(Role::Proxy, n))?.local_addr()?;
             let holder = reserve(address(Role::Proxy, n))?;
             let operator = bound_address(&holder)?;
-            all.push(Peer { address: place, advertise: place, seeds: Vec::new(), operator, _holder: holder });
+            all.push(Peer {
+                address: datagram_address,
+                advertise: datagram_address,
+                seeds: Vec::new(),
+                operator,
+                _holder: holder,
+            });
         }
         Peer::set_seeds(&mut all, seeds);
         Ok(all)
     }
 
-    /// Each knows the first few where they are reached.
+    /// Makes the first `seeds` proxies the seed peers of all, at their advertised addresses.
     pub fn set_seeds(all: &mut [Peer], seeds: usize) {
         let seeds: Vec<SocketAddr> = all.iter().take(seeds).map(|peer| peer.advertise).collect();
         all.iter_mut().for_each(|peer| peer.seeds = seeds.clone());
     }
 }
 
-/// Where the processes of one proxy run.
+/// Starts, signals and ends the successive processes of one proxy, which share one address.
 pub struct ProxySupervisor {
-    /// Its number.
+    /// Number of the proxy.
     pub number: usize,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub address: SocketAddr,
-    /// Keeps the address; listens itself if processes inherit the listener.
+    /// Reserves the address; is the listening socket if processes inherit the listener.
     holder: Socket,
     inherits: bool,
     agent: Arc<Agent>,
     discovery: SocketAddr,
     folder: TempDir,
     logs: Option<PathBuf>,
-    /// Where it and others are peers, if they are.
+    /// Membership addresses, if the proxies are peers.
     peers: Option<Peer>,
-    /// Where its processes answer operators, if they do, and what keeps that address.
+    /// Admin endpoint and the socket that reserves its address, if `enable_admin` was called.
     operator: Option<(SocketAddr, Socket)>,
-    /// What is other in its file than on the site.
-    other: fn(&mut Value),
+    /// Modifies the configuration file before it is written.
+    config_override: fn(&mut Value),
     shared: Arc<Shared>,
     child: Option<Child>,
     starts: u32,
 }
 
 impl ProxySupervisor {
-    /// A seat with no process. With `inherits` the rig listens and processes take its listener over.
+    /// A supervisor without a process yet. With `inherits`, the testbed opens the listener and processes
+    /// inherit it.
     pub fn new(
         shared: &Arc<Shared>,
         agent: &Arc<Agent>,
@@ -148,22 +157,22 @@
             logs: logs.map(Path::to_owned),
             peers: None,
             operator: None,
-            other: |_| (),
+            config_override: |_| (),
             shared: Arc::clone(shared),
             child: None,
             starts: 0,
         })
     }
 
-    /// Its processes are peers of others from now on.
+    /// Makes processes started from now on peers of the other proxies.
     pub fn set_peer(&mut self, peers: Peer) {
         self.peers = Some(peers);
     }
 
-    /// Its processes answer operators from now on, at the address that is returned.
+    /// Enables the admin endpoint of processes started from now on, and returns its address.
     ///
     /// # Errors
-    /// A socket cannot be had.
+    /// Fails if a socket cannot be opened.
     pub fn enable_admin(&mut self) -> std::io::Result<SocketAddr> {
         let holder = reserve(address(Role::Proxy, self.number))?;
         let operator = bound_address(&holder)?;
@@ -171,16 +180,16 @@
         Ok(operator)
     }
 
-    /// Its file is other than the site's from the next start on.
-    pub fn set_config_override(&mut self, other: fn(&mut Value)) {
-        self.other = other;
+    /// Modifies the configuration file of processes started from now on.
+    pub fn set_config_override(&mut self, config_override: fn(&mut Value)) {
+        self.config_override = config_override;
     }
 
-    fn saw(&self, what: Signal) {
+    fn record(&self, what: Signal) {
         self.shared.saw(Seen::Process { proxy: self.number, at: self.shared.now(), what });
     }
 
-    /// What the process is told (DEPLOY, "What a client proxy is told").
+    /// Contents of the configuration file (DEPLOY, "What a client proxy is told").
     fn configuration(&self) -> Value {
         let seed =
             oakport_simulator::random::policy_seed(self.shared.seed ^ u64::from(self.starts), self.number);
@@ -201,32 +210,32 @@
         if let Some((operator, _)) = &self.operator {
             file["operator"] = json!(operator);
         }
-        (self.other)(&mut file);
+        (self.config_override)(&mut file);
         file
     }
 
-    /// The file of the process that was started last.
+    /// Path of the configuration file of the last started process.
     pub fn config_path(&self) -> PathBuf {
         self.folder.path().join(format!("config-{}.json", self.starts))
     }
 
-    /// Starts a process beside the one that runs, which is returned.
+    /// Starts a process and returns the previous one, if any, which is sent no signal.
     ///
     /// # Errors
-    /// It cannot be started, with its path.
+    /// Fails if the process cannot be started; the message contains the program's path.
     pub fn start(&mut self, program: &Program) -> Result<Option<Child>, String> {
-        let odd = |e: std::io::Error| format!("{}: cannot be started: {e}", program.path.display());
+        let start_error = |e: std::io::Error| format!("cannot start {}: {e}", program.path.display());
         self.starts += 1;
         let file = self.config_path();
-        std::fs::write(&file, self.configuration().to_string()).map_err(odd)?;
+        std::fs::write(&file, self.configuration().to_string()).map_err(start_error)?;
         let mut command = if self.inherits {
             let mut command = Command::new("/bin/sh");
-            command.args(["-c", SCRIPT]).arg(&program.lab).env("RELAY_ACCEPT_FD", INHERITED);
-            let listener: OwnedFd = self.holder.try_clone().map_err(odd)?.into();
+            command.args(["-c", LISTENER_SCRIPT]).arg(&program.launcher).env("RELAY_ACCEPT_FD", INHERITED_FD);
+            let listener: OwnedFd = self.holder.try_clone().map_err(start_error)?.into();
             command.stdin(listener);
             command
         } else {
-            let mut command = Command::new(&program.lab);
+            let mut command = Command::new(&program.launcher);
             command.stdin(Stdio::null());
             command
         };
@@ -239,76 +248,78 @@
         command.stderr(match &self.logs {
             Some(folder) => {
                 let path = folder.join(format!("n{}-{}.log", self.number, self.starts));
-                let log = std::fs::File::create(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+                let log = std::fs::File::create(&path)
+                    .map_err(|e| format!("cannot create log file {}: {e}", path.display()))?;
                 Stdio::from(log)
             }
             None => Stdio::null(),
         });
-        let child = command.spawn().map_err(odd)?;
-        self.saw(Signal::Started);
+        let child = command.spawn().map_err(start_error)?;
+        self.record(Signal::Started);
         Ok(self.child.replace(child))
     }
 
-    /// Waits until the process takes requests.
+    /// Waits until the process accepts requests.
     ///
     /// # Errors
-    /// It ends first, or is not ready in its time.
+    /// Fails if the process ends before it is ready, or is not ready within the start-up timeout.
     pub async fn ready(&mut self) -> Result<(), String> {
-        let end = Instant::now() + READY;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             if let Some(status) = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten()) {
                 return Err(format!("proxy n{} ended before it was ready: {status}", self.number));
             }
-            if timeout(READY, healthy(self.address)).await.is_ok_and(|well| well) {
+            if timeout(START_TIMEOUT, healthy(self.address)).await.is_ok_and(|healthy| healthy) {
                 return Ok(());
             }
-            if Instant::now() > end {
-                return Err(format!("proxy n{} was not ready within {READY:?}", self.number));
+            if Instant::now() > deadline {
+                return Err(format!("proxy n{} was not ready within {START_TIMEOUT:?}", self.number));
             }
-            sleep(LOOK).await;
+            sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
-    fn signal(&self, child: Option<&Child>, number: Number) {
+    fn signal(&self, child: Option<&Child>, signal: UnixSignal) {
         if let Some(pid) = child.and_then(Child::id).and_then(|id| i32::try_from(id).ok()) {
-            // It may have ended already.
-            let _ = kill(Pid::from_raw(pid), number);
+            // Ignored: the process may have ended already.
+            let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// The number of the process.
+    /// Process ID of the running process.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     /// Kills the process.
     pub async fn kill(&mut self) {
-        self.saw(Signal::Killed);
+        self.record(Signal::Killed);
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // Ignored: the process may have ended already.
             let _ = child.kill().await;
         }
     }
 
-    /// Stops the process where it stands, or lets it go on.
+    /// Stops the process with SIGSTOP, or continues it with SIGCONT.
     pub fn stall(&self, stalled: bool) {
-        let (number, what) = match stalled {
-            true => (Number::SIGSTOP, Signal::Stopped),
-            false => (Number::SIGCONT, Signal::Continued),
+        let (signal, event) = match stalled {
+            true => (UnixSignal::SIGSTOP, Signal::Stopped),
+            false => (UnixSignal::SIGCONT, Signal::Continued),
         };
-        self.saw(what);
-        self.signal(self.child.as_ref(), number);
+        self.record(event);
+        self.signal(self.child.as_ref(), signal);
     }
 
-    /// Tells the process to read its file again.
+    /// Makes the process reload its configuration file (SIGHUP).
     pub fn reload(&self) {
-        self.signal(self.child.as_ref(), Number::SIGHUP);
+        self.signal(self.child.as_ref(), UnixSignal::SIGHUP);
     }
 
-    /// Tells the process to read its file while that is cut in half; it is whole again afterwards.
+    /// Makes the process reload its configuration file while that is truncated to half its size, and restores
+    /// the file after `pause`.
     ///
     /// # Errors
-    /// The file cannot be read or written.
+    /// Fails if the file cannot be read or written.
     pub async fn reload_invalid(&self, pause: Duration) -> std::io::Result<()> {
         let text = std::fs::read(self.config_path())?;
         std::fs::write(self.config_path(), &text[..text.len() / 2])?;
@@ -317,88 +328,88 @@
         std::fs::write(self.config_path(), &text)
     }
 
-    /// Tells the process to end.
+    /// Requests a graceful shutdown of the process (SIGTERM).
     pub fn terminate(&self) {
-        self.saw(Signal::Told);
-        self.signal(self.child.as_ref(), Number::SIGTERM);
+        self.record(Signal::Told);
+        self.signal(self.child.as_ref(), UnixSignal::SIGTERM);
     }
 
-    /// Waits for a process that has been told to end; after `most` it is killed.
-    pub async fn end(&mut self, most: Duration) {
+    /// Waits for the process to end after SIGTERM, and kills it after `grace`.
+    pub async fn end(&mut self, grace: Duration) {
         if let Some(child) = self.child.take() {
-            if finish(child, most).await {
-                self.saw(Signal::KilledAfterTold);
+            if wait_or_kill(child, grace).await {
+                self.record(Signal::KilledAfterTold);
             }
         }
     }
 
-    /// Tells a process that another has relieved to end, and waits for it. The seat is never without a process, so that
-    /// nothing is excused by this end.
-    pub async fn retire(&self, old: Child, most: Duration) {
-        self.saw_relieved(false);
-        self.signal(Some(&old), Number::SIGTERM);
-        if finish(old, most).await {
-            self.saw_relieved(true);
+    /// Ends a predecessor whose successor has taken over: sends SIGTERM, waits, and kills it after `grace`.
+    /// The proxy always has a running process, so the judge excuses no failed call by this end.
+    pub async fn retire(&self, predecessor: Child, grace: Duration) {
+        self.record_retirement(false);
+        self.signal(Some(&predecessor), UnixSignal::SIGTERM);
+        if wait_or_kill(predecessor, grace).await {
+            self.record_retirement(true);
         }
     }
 
-    fn saw_relieved(&self, is_killed: bool) {
+    fn record_retirement(&self, is_killed: bool) {
         self.shared.saw(Seen::Relieved { proxy: self.number, at: self.shared.now(), is_killed });
     }
 
-    /// Notes an end that nobody had asked for.
+    /// Records a crash if the process has ended without being requested to.
     pub fn check_exit(&mut self) {
         if self.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|ended| ended.is_some())) {
             self.child = None;
-            self.saw(Signal::Crashed);
+            self.record(Signal::Crashed);
         }
     }
 }
 
-/// Waits for the end of a process, and kills it after `most`. Whether that was necessary.
-async fn finish(mut child: Child, most: Duration) -> bool {
-    let is_late = timeout(most, child.wait()).await.is_err();
+/// Waits for the end of a process and kills it after `grace`. Returns whether it was killed.
+async fn wait_or_kill(mut child: Child, grace: Duration) -> bool {
+    let is_late = timeout(grace, child.wait()).await.is_err();
     if is_late {
-        // It may have ended already.
+        // Ignored: the process may have ended already.
         let _ = child.kill().await;
     }
     is_late
 }
 
-/// Whether a proxy answers 200 when it is asked for its health.
+/// Whether a proxy answers its health check with 200.
 async fn healthy(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address).await else { return false };
-    let asked = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: localhost\r\n\r\n").await;
+    let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: localhost\r\n\r\n").await;
     let mut start = [0; 12];
-    asked.is_ok() && stream.read_exact(&mut start).await.is_ok() && start.ends_with(b" 200")
+    sent.is_ok() && stream.read_exact(&mut start).await.is_ok() && start.ends_with(b" 200")
 }
 
-/// The settings of the site as a proxy is told them (WIRE, "Settings").
+/// The settings in the format of the proxy's configuration file (WIRE, "Settings").
 fn settings(shared: &Shared, proxy: usize) -> Value {
-    let day = &shared.day;
-    let classes = day.classes.iter().map(|c| {
+    let scenario = &shared.day;
+    let classes = scenario.classes.iter().map(|c| {
         json!({
             "name": c.name, "objective_us": c.latency_objective, "deadline_us": c.client_timeout,
             "worth": c.priority_weight, "late_value": 0.0,
             "idempotency": if c.idempotency == IdempotencySpec::Idempotent { "free" } else { "single_shot" },
         })
     });
-    let (server, goal) = (&day.server, &day.goal);
+    let (server, goal) = (&scenario.server, &scenario.goal);
     json!({
-        "balancers": day.balancers, "tick_us": 1000,
-        "discovery": if day.discovery.poll_interval.is_some() { "ask" } else { "push" },
-        "locality": day.zones[shared.zone(proxy)],
+        "balancers": scenario.balancers, "tick_us": 1000,
+        "discovery": if scenario.discovery.poll_interval.is_some() { "ask" } else { "push" },
+        "locality": scenario.zones[shared.zone(proxy)],
         "classes": classes.collect::<Vec<_>>(),
         "limits": {
             "cancel": true, "probes": false, "second_copies": true, "max_attempts": 3, "retry_after": true,
-            "max_retry_after_us": day.clients.max_retry_after, "max_open": 10_000,
-            "conn_idle_us": server.idle_timeout, "connect_timeout_us": day.network.connect_timeout,
+            "max_retry_after_us": scenario.clients.max_retry_after, "max_open": 10_000,
+            "conn_idle_us": server.idle_timeout, "connect_timeout_us": scenario.network.connect_timeout,
         },
         "invariants": {
             "cold_from": server.initial_capacity_ratio, "cold_us": server.warm_up_duration,
             "tip_after_us": server.cold_overload_window,
-            "fall_multiple": server.cold_overload_factor, "drain_grace_us": day.discovery.drain_grace,
-            "ask_every_us": day.discovery.poll_interval.unwrap_or(0),
+            "fall_multiple": server.cold_overload_factor, "drain_grace_us": scenario.discovery.drain_grace,
+            "ask_every_us": scenario.discovery.poll_interval.unwrap_or(0),
         },
         "result_mix": {
             "whole": goal.overall, "worst_class": goal.worst_class, "worst_tenant": 0.0,
