--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -1,4 +1,4 @@
-//! The parties that are not oakport, and what is told of them to whom.
+//! Everything around the proxies: servers, discovery agents and relays, and the updates the agents receive.
 
 use super::discovery::{Agent, Member};
 use super::links::Relay;
@@ -15,85 +15,94 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A proxy, and the server that it reaches through a relay; none: its agent of discovery.
+/// A link from a proxy to a server, or with `None` to the proxy's discovery agent.
 pub type Link = (usize, Option<usize>);
 
-/// Servers, agents and the relays between.
+/// The servers, discovery agents and relays of a test cluster.
 pub struct Site {
     machines: Mutex<Vec<Arc<Machine>>>,
-    /// Between those parties that events name, and none elsewhere.
+    /// Relays of the links that a fault of the scenario affects; other links are direct.
     pub relays: BTreeMap<Link, Arc<Relay>>,
-    /// The agent of each proxy.
+    /// Discovery agent of each proxy.
     pub agents: Vec<Arc<Agent>>,
-    luck: Mutex<Pcg64>,
-    /// What all parties share.
+    random: Mutex<Pcg64>,
+    /// State shared by all parties.
     pub shared: Arc<Shared>,
 }
 
-/// Which pairs a cut meets, and which way: 0 from the proxy, 1 to it.
-pub fn affected_links(day: &Scenario, event: &FaultSpec) -> Vec<(Link, usize)> {
-    let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
+/// Links that a fault affects, each with the affected direction: 0 from the proxy, 1 to the proxy.
+pub fn affected_links(scenario: &Scenario, event: &FaultSpec) -> Vec<(Link, usize)> {
+    let groups: Vec<Group> =
+        event.link_groups.iter().filter_map(|text| Group::parse(text, scenario)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
-    let zone = |number: usize| number % day.zones.len();
-    let mut found = Vec::new();
-    for (way, from, to) in [(0, one, other), (1, other, one)] {
-        for proxy in (0..day.balancers).filter(|&p| from.contains_proxy(p, zone(p))) {
-            let servers = (0..day.servers).filter(|&s| to.contains_server(s, zone(s)));
-            found.extend(servers.map(|server| ((proxy, Some(server)), way)));
+    let zone = |number: usize| number % scenario.zones.len();
+    let mut affected = Vec::new();
+    for (direction, from, to) in [(0, one, other), (1, other, one)] {
+        for proxy in (0..scenario.balancers).filter(|&p| from.contains_proxy(p, zone(p))) {
+            let servers = (0..scenario.servers).filter(|&s| to.contains_server(s, zone(s)));
+            affected.extend(servers.map(|server| ((proxy, Some(server)), direction)));
             if *to == Group::Discovery {
-                found.push(((proxy, None), way));
+                affected.push(((proxy, None), direction));
             }
         }
     }
-    found
+    affected
 }
 
-/// Which ways between two proxies an event meets.
-pub fn affected_peer_links(day: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
-    let groups: Vec<Group> = event.link_groups.iter().filter_map(|text| Group::parse(text, day)).collect();
+/// Sender and receiver pairs of proxies between which a fault affects the traffic.
+pub fn affected_peer_links(scenario: &Scenario, event: &FaultSpec) -> Vec<(usize, usize)> {
+    let groups: Vec<Group> =
+        event.link_groups.iter().filter_map(|text| Group::parse(text, scenario)).collect();
     let [one, other] = groups.as_slice() else { return Vec::new() };
-    let of = |group: &Group| {
+    let members_of = |group: &Group| {
         let group = *group;
-        (0..day.balancers).filter(move |&p| group.contains_proxy(p, p % day.zones.len()))
+        (0..scenario.balancers).filter(move |&p| group.contains_proxy(p, p % scenario.zones.len()))
     };
-    let mut found: Vec<(usize, usize)> = of(one).flat_map(|a| of(other).map(move |b| (a, b))).collect();
+    let mut affected: Vec<(usize, usize)> =
+        members_of(one).flat_map(|a| members_of(other).map(move |b| (a, b))).collect();
     if !event.one_way {
-        found.extend(found.clone().into_iter().map(|(a, b)| (b, a)));
+        affected.extend(affected.clone().into_iter().map(|(a, b)| (b, a)));
     }
-    found.retain(|(a, b)| a != b);
-    found
+    affected.retain(|(a, b)| a != b);
+    affected
 }
 
-/// All pairs that need a relay in this day.
-fn pairs(day: &Scenario) -> Vec<Link> {
-    let events = day.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
-    let mut pairs: Vec<Link> =
-        events.flat_map(|event| affected_links(day, event)).map(|(pair, _)| pair).collect();
-    pairs.sort();
-    pairs.dedup();
-    pairs
+/// All links that need a relay in this scenario.
+fn relayed_links(scenario: &Scenario) -> Vec<Link> {
+    let events = scenario.events.iter().filter(|e| matches!(e.kind, FaultKind::Cut | FaultKind::Link));
+    let mut links: Vec<Link> =
+        events.flat_map(|event| affected_links(scenario, event)).map(|(link, _)| link).collect();
+    links.sort();
+    links.dedup();
+    links
 }
 
 impl Site {
-    /// Starts all, and tells the agents of all servers.
+    /// Starts all parties and lists all servers with the agents.
     pub async fn start(shared: &Arc<Shared>) -> std::io::Result<Self> {
-        let day = &shared.day;
+        let scenario = &shared.day;
         let (mut machines, mut agents, mut relays) = (Vec::new(), Vec::new(), BTreeMap::new());
-        for number in 0..day.servers {
+        for number in 0..scenario.servers {
             machines.push(Machine::start(shared, number, shared.zone(number), "first", 0)?);
         }
-        for proxy in 0..day.balancers {
+        for proxy in 0..scenario.balancers {
             agents.push(Agent::start(shared, proxy).await?);
         }
-        for pair in pairs(day) {
-            let target = match pair {
+        for link in relayed_links(scenario) {
+            let target = match link {
                 (_, Some(server)) => machines[server].address,
                 (proxy, None) => agents[proxy].address,
             };
-            relays.insert(pair, Relay::start(target)?);
+            relays.insert(link, Relay::start(target)?);
         }
-        let luck = Mutex::new(random::stream(shared.seed, StreamId::Faults));
-        let site = Site { machines: Mutex::new(machines), relays, agents, luck, shared: Arc::clone(shared) };
+        let fault_random = Mutex::new(random::stream(shared.seed, StreamId::Faults));
+        let site = Site {
+            machines: Mutex::new(machines),
+            relays,
+            agents,
+            random: fault_random,
+            shared: Arc::clone(shared),
+        };
         for (proxy, agent) in site.agents.iter().enumerate() {
             if site.relays.contains_key(&(proxy, None)) || site.shared.day.discovery.poll_interval.is_some() {
                 agent.set_remote();
@@ -107,26 +116,26 @@
         Ok(site)
     }
 
-    /// All servers, those that have gone included.
+    /// All servers, including those that were removed.
     pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<Machine>>> {
         self.machines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn luck(&self) -> MutexGuard<'_, Pcg64> {
-        self.luck.lock().unwrap_or_else(PoisonError::into_inner)
+    fn random(&self) -> MutexGuard<'_, Pcg64> {
+        self.random.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Zone and release of each server.
+    /// Zone index and release label of each server.
     pub fn zones_and_releases(&self) -> Vec<(usize, String)> {
         self.machines().iter().map(|m| (m.zone, m.release.clone())).collect()
     }
 
-    /// Where a proxy finds its agent.
+    /// Address at which a proxy reaches its discovery agent.
     pub fn discovery_of(&self, proxy: usize) -> SocketAddr {
         self.relays.get(&(proxy, None)).map_or(self.agents[proxy].address, |relay| relay.address())
     }
 
-    /// A server as a proxy's list has it.
+    /// The list entry of a server for one proxy.
     fn member(&self, proxy: usize, machine: &Machine, state: EndpointState) -> Member {
         let relay = self.relays.get(&(proxy, Some(machine.number)));
         Member {
@@ -138,11 +147,11 @@
         }
     }
 
-    /// News of a server go to all agents, to each after a while of its own.
+    /// Sends an update of a server to all agents, to each after its own random delay.
     pub fn announce(&self, machine: &Machine, state: EndpointState) {
         let delay = self.shared.day.discovery.delay;
         for proxy in 0..self.agents.len() {
-            let after = random::jitter(delay, 0.5, &mut *self.luck());
+            let after = random::jitter(delay, 0.5, &mut *self.random());
             let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, machine, state));
             let number = machine.number;
             tokio::spawn(async move {
@@ -152,35 +161,35 @@
         }
     }
 
-    /// The servers that an event meets.
+    /// Servers that a fault affects: all of its zone, or a random share.
     pub fn affected_servers(&self, event: &FaultSpec) -> Vec<Arc<Machine>> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
         let machines = self.machines();
-        let mut met: Vec<_> = machines.iter().filter(|m| m.takes()).cloned().collect();
+        let mut affected: Vec<_> = machines.iter().filter(|m| m.takes()).cloned().collect();
         drop(machines);
         match zone {
-            Some(zone) => met.retain(|machine| machine.zone == zone),
-            None => self.draw(&mut met, event.share),
+            Some(zone) => affected.retain(|machine| machine.zone == zone),
+            None => self.keep_random_share(&mut affected, event.share),
         }
-        met
+        affected
     }
 
-    /// The proxies that an event meets.
+    /// Proxies that a fault affects: all of its zone, or a random share.
     pub fn affected_proxies(&self, event: &FaultSpec) -> Vec<usize> {
         let zones = &self.shared.day.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
-        let mut met: Vec<usize> = (0..self.agents.len()).collect();
+        let mut affected: Vec<usize> = (0..self.agents.len()).collect();
         match zone {
-            Some(zone) => met.retain(|proxy| self.shared.zone(*proxy) == zone),
-            None => self.draw(&mut met, event.share),
+            Some(zone) => affected.retain(|proxy| self.shared.zone(*proxy) == zone),
+            None => self.keep_random_share(&mut affected, event.share),
         }
-        met
+        affected
     }
 
-    fn draw<T>(&self, all: &mut Vec<T>, part: f64) {
-        let count = (all.len() as f64 * part).round() as usize;
-        all.shuffle(&mut *self.luck());
+    fn keep_random_share<T>(&self, all: &mut Vec<T>, share: f64) {
+        let count = (all.len() as f64 * share).round() as usize;
+        all.shuffle(&mut *self.random());
         all.truncate(count);
     }
 }
