--- a/crates/testbed/src/cluster/forwarder.rs
+++ b/crates/testbed/src/cluster/forwarder.rs
@@ -36,7 +36,7 @@
     AnswersTwice,
     /// Closes the connection without an answer to one request in a hundred
     Loses,
-    /// Sends each non-idempotent request twice
+    /// Sends each non-idempotent request (POST) twice
     Repeats,
     /// Sends requests to draining servers, as long as they answer
     ToDrained,
@@ -147,8 +147,8 @@
     fn apply_update(&self, update: &Value) {
         self.index.set(update["index"].as_u64().unwrap_or(0));
         let mut list = self.list.borrow_mut();
-        let drained = self.broken == Some(Broken::ToDrained);
-        if update["snapshot"].as_bool() == Some(true) && !drained {
+        let keeps_removed = self.broken == Some(Broken::ToDrained);
+        if update["snapshot"].as_bool() == Some(true) && !keeps_removed {
             list.clear();
         }
         for entry in update["endpoints"].as_array().into_iter().flatten() {
@@ -192,17 +192,17 @@
         self.broken == Some(broken) && number.is_multiple_of(FAULT_INTERVAL)
     }
 
-    fn pick(&self, number: u32) -> Option<SocketAddr> {
+    fn select_server(&self, number: u32) -> Option<SocketAddr> {
         let list = self.list.borrow();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_millis() as u64);
-        let is_warm = |s: &&ListedServer| s.up && s.since_ms + self.warm_up_ms < unix;
+        let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_millis() as u64);
+        let is_warm = |s: &&ListedServer| s.up && s.since_ms + self.warm_up_ms < now_ms;
         let random = |all: Vec<&ListedServer>| {
             let index = self.random.borrow_mut().gen_range(0..all.len().max(1));
             all.get(index).map(|s| s.address)
         };
-        let drained: Vec<&ListedServer> = list.values().filter(|s| !s.up).collect();
+        let not_up: Vec<&ListedServer> = list.values().filter(|s| !s.up).collect();
         match self.broken {
-            Some(Broken::ToDrained) if !drained.is_empty() => random(drained),
+            Some(Broken::ToDrained) if !not_up.is_empty() => random(not_up),
             Some(Broken::FloodsCold) => {
                 list.values().filter(|s| s.up).max_by_key(|s| s.since_ms).map(|s| s.address)
             }
@@ -244,20 +244,21 @@
         if request.first.1 == "/_health" {
             return http::answer(200, "", "");
         }
-        let time = request.header("x-timeout").and_then(|text| {
+        let client_timeout = request.header("x-timeout").and_then(|text| {
             let (number, micros_per_unit) = match text.strip_suffix('m') {
                 Some(number) => (number, 1_000),
                 None => (text.strip_suffix('u')?, 1),
             };
             Some(Duration::from_micros(number.parse::<u64>().ok()? * micros_per_unit))
         });
-        let time = time.unwrap_or(Duration::from_secs(1));
-        let deadline = Instant::now() + time.saturating_sub(DEADLINE_MARGIN);
+        let client_timeout = client_timeout.unwrap_or(Duration::from_secs(1));
+        let deadline = Instant::now() + client_timeout.saturating_sub(DEADLINE_MARGIN);
         for _ in 0..MAX_ATTEMPTS {
-            let Some(address) = self.pick(number) else { break };
-            let times = if self.broken == Some(Broken::Repeats) && request.first.0 == "POST" { 2 } else { 1 };
+            let Some(address) = self.select_server(number) else { break };
+            let copies =
+                if self.broken == Some(Broken::Repeats) && request.first.0 == "POST" { 2 } else { 1 };
             let mut answer = None;
-            for _ in 0..times {
+            for _ in 0..copies {
                 answer = match timeout_at(deadline, self.forward(address, request)).await {
                     Ok(answer) => answer,
                     Err(_) => return http::answer(504, "", ""),
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -80,14 +80,14 @@
             datagrams = Some(relay);
         }
     }
-    let operators: Vec<_> = peers.iter().map(|peer| peer.operator).collect();
+    let admin_endpoints: Vec<_> = peers.iter().map(|peer| peer.admin).collect();
     let mut peers = peers.into_iter();
-    let inherits = scenario.events.iter().any(|event| event.kind == FaultKind::Upgrade);
+    let inherits_listener = scenario.events.iter().any(|event| event.kind == FaultKind::Upgrade);
     let mut proxies = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = config.logs.as_deref();
         let mut proxy =
-            ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits, logs)
+            ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits_listener, logs)
                 .map_err(setup_error)?;
         if let Some(peer) = peers.next() {
             proxy.set_peer(peer);
@@ -109,8 +109,8 @@
         tasks.spawn(Arc::clone(&fleet).event(number));
     }
     tasks.spawn(Arc::clone(&fleet).watch());
-    for (proxy, operator) in operators.into_iter().enumerate() {
-        tasks.spawn(peers::watch(Arc::clone(&shared), proxy, operator));
+    for (proxy, admin) in admin_endpoints.into_iter().enumerate() {
+        tasks.spawn(peers::watch(Arc::clone(&shared), proxy, admin));
     }
     let progress = report_progress(&shared, on_progress);
     let calls = async {
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -70,7 +70,7 @@
     /// Peers that it contacts first.
     pub seeds: Vec<SocketAddr>,
     /// Admin endpoint, which reports its view.
-    pub operator: SocketAddr,
+    pub admin: SocketAddr,
     /// Reserves the address of the admin endpoint.
     pub _holder: Socket,
 }
@@ -86,12 +86,12 @@
             // The port stays free after the socket is closed, as no other party uses this proxy's address.
             let datagram_address = std::net::UdpSocket::bind(address(Role::Proxy, n))?.local_addr()?;
             let holder = reserve(address(Role::Proxy, n))?;
-            let operator = bound_address(&holder)?;
+            let admin = bound_address(&holder)?;
             all.push(Peer {
                 address: datagram_address,
                 advertise: datagram_address,
                 seeds: Vec::new(),
-                operator,
+                admin,
                 _holder: holder,
             });
         }
@@ -114,15 +114,15 @@
     pub address: SocketAddr,
     /// Reserves the address; is the listening socket if processes inherit the listener.
     holder: Socket,
-    inherits: bool,
+    inherits_listener: bool,
     agent: Arc<Agent>,
     discovery: SocketAddr,
-    folder: TempDir,
+    directory: TempDir,
     logs: Option<PathBuf>,
     /// Membership addresses, if the proxies are peers.
-    peers: Option<Peer>,
+    peer: Option<Peer>,
     /// Admin endpoint and the socket that reserves its address, if `enable_admin` was called.
-    operator: Option<(SocketAddr, Socket)>,
+    admin: Option<(SocketAddr, Socket)>,
     /// Modifies the configuration file before it is written.
     config_override: fn(&mut Value),
     shared: Arc<Shared>,
@@ -131,32 +131,32 @@
 }
 
 impl ProxySupervisor {
-    /// A supervisor without a process yet. With `inherits`, the testbed opens the listener and processes
-    /// inherit it.
+    /// A supervisor without a process yet. With `inherits_listener`, the testbed opens the listener and
+    /// processes inherit it.
     pub fn new(
         shared: &Arc<Shared>,
         agent: &Arc<Agent>,
         number: usize,
         discovery: SocketAddr,
-        inherits: bool,
+        inherits_listener: bool,
         logs: Option<&Path>,
     ) -> std::io::Result<Self> {
         const BACKLOG: i32 = 1_024;
         let holder = reserve(address(Role::Proxy, number))?;
-        if inherits {
+        if inherits_listener {
             holder.listen(BACKLOG)?;
         }
         Ok(ProxySupervisor {
             number,
             address: bound_address(&holder)?,
             holder,
-            inherits,
+            inherits_listener,
             agent: Arc::clone(agent),
             discovery,
-            folder: tempfile::Builder::new().prefix("oakport-rig-").tempdir()?,
+            directory: tempfile::Builder::new().prefix("oakport-rig-").tempdir()?,
             logs: logs.map(Path::to_owned),
-            peers: None,
-            operator: None,
+            peer: None,
+            admin: None,
             config_override: |_| (),
             shared: Arc::clone(shared),
             child: None,
@@ -165,8 +165,8 @@
     }
 
     /// Makes processes started from now on peers of the other proxies.
-    pub fn set_peer(&mut self, peers: Peer) {
-        self.peers = Some(peers);
+    pub fn set_peer(&mut self, peer: Peer) {
+        self.peer = Some(peer);
     }
 
     /// Enables the admin endpoint of processes started from now on, and returns its address.
@@ -175,9 +175,9 @@
     /// Fails if a socket cannot be opened.
     pub fn enable_admin(&mut self) -> std::io::Result<SocketAddr> {
         let holder = reserve(address(Role::Proxy, self.number))?;
-        let operator = bound_address(&holder)?;
-        self.operator = Some((operator, holder));
-        Ok(operator)
+        let admin = bound_address(&holder)?;
+        self.admin = Some((admin, holder));
+        Ok(admin)
     }
 
     /// Modifies the configuration file of processes started from now on.
@@ -200,15 +200,15 @@
             "known": self.agent.initial_list(),
             "settings": settings(&self.shared, self.number),
         });
-        if let Some(peers) = &self.peers {
-            file["operator"] = json!(peers.operator);
+        if let Some(peer) = &self.peer {
+            file["operator"] = json!(peer.admin);
             file["peers"] = json!({
-                "address": peers.address, "advertise": peers.advertise, "seeds": peers.seeds, "fleet": "rig",
+                "address": peer.address, "advertise": peer.advertise, "seeds": peer.seeds, "fleet": "rig",
                 "zone": self.shared.day.zones[self.shared.zone(self.number)],
             });
         }
-        if let Some((operator, _)) = &self.operator {
-            file["operator"] = json!(operator);
+        if let Some((address, _)) = &self.admin {
+            file["operator"] = json!(address);
         }
         (self.config_override)(&mut file);
         file
@@ -216,7 +216,7 @@
 
     /// Path of the configuration file of the last started process.
     pub fn config_path(&self) -> PathBuf {
-        self.folder.path().join(format!("config-{}.json", self.starts))
+        self.directory.path().join(format!("config-{}.json", self.starts))
     }
 
     /// Starts a process and returns the previous one, if any, which is sent no signal.
@@ -226,9 +226,9 @@
     pub fn start(&mut self, program: &Program) -> Result<Option<Child>, String> {
         let start_error = |e: std::io::Error| format!("cannot start {}: {e}", program.path.display());
         self.starts += 1;
-        let file = self.config_path();
-        std::fs::write(&file, self.configuration().to_string()).map_err(start_error)?;
-        let mut command = if self.inherits {
+        let config_path = self.config_path();
+        std::fs::write(&config_path, self.configuration().to_string()).map_err(start_error)?;
+        let mut command = if self.inherits_listener {
             let mut command = Command::new("/bin/sh");
             command.args(["-c", LISTENER_SCRIPT]).arg(&program.launcher).env("RELAY_ACCEPT_FD", INHERITED_FD);
             let listener: OwnedFd = self.holder.try_clone().map_err(start_error)?.into();
@@ -241,13 +241,13 @@
         };
         command.arg("hold").arg(&program.path).args(&program.arguments);
         command.envs(program.environment.iter().map(|(name, text)| (name, text)));
-        command.env("RELAY_NAME", format!("n{}", self.number)).env("RELAY_CONFIG", &file);
+        command.env("RELAY_NAME", format!("n{}", self.number)).env("RELAY_CONFIG", &config_path);
         command.env("RELAY_LISTEN", self.address.to_string());
-        command.env("RELAY_DISCOVERY", self.discovery.to_string()).env("TMPDIR", self.folder.path());
+        command.env("RELAY_DISCOVERY", self.discovery.to_string()).env("TMPDIR", self.directory.path());
         command.process_group(0).kill_on_drop(true).stdout(Stdio::null());
         command.stderr(match &self.logs {
-            Some(folder) => {
-                let path = folder.join(format!("n{}-{}.log", self.number, self.starts));
+            Some(directory) => {
+                let path = directory.join(format!("n{}-{}.log", self.number, self.starts));
                 let log = std::fs::File::create(&path)
                     .map_err(|e| format!("cannot create log file {}: {e}", path.display()))?;
                 Stdio::from(log)
