--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -33,8 +33,8 @@
 /// A program that runs as a proxy.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program `oakport-testbed`, which executes the proxy's program and ties its life to the parent
-    /// process.
+    /// The program `oakport-testbed`, which replaces itself by the proxy's executable and ends when the
+    /// starting process does.
     pub launcher: PathBuf,
     /// The executable of the proxy.
     pub path: PathBuf,
