--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -4,12 +4,12 @@
 use super::clients::App;
 use super::crowd::Crowd;
 use super::discovery::Mode;
-use super::links::{Both, Datagrams};
-use super::plan::Play;
-use super::processes::Seat;
+use super::links::{DatagramRelay, LinkFaults};
+use super::processes::ProxySupervisor;
 use super::record::Observation;
+use super::run_config::RunConfig;
 use super::servers::TestServer;
-use super::site::{met, met_peers, Pair, Site};
+use super::site::{affected_links, affected_peer_links, Link, Site};
 use oakport_core::{EndpointState, Micros};
 use oakport_simulator::scenario::{FaultKind, FaultSpec, LinkSpec};
 use std::collections::BTreeMap;
@@ -29,13 +29,13 @@
     /// Servers, discovery agents and relays.
     pub site: Site,
     /// The proxy processes.
-    pub seats: Vec<Mutex<Seat>>,
+    pub seats: Vec<Mutex<ProxySupervisor>>,
     /// The application that uses each proxy.
     pub apps: Vec<Arc<App>>,
     /// Relays the datagrams between the proxies; `None` if they reach each other directly.
-    pub datagrams: Option<Datagrams>,
+    pub datagrams: Option<DatagramRelay>,
     /// The options of this play.
-    pub play: Play,
+    pub play: RunConfig,
 }
 
 impl Fleet {
@@ -53,7 +53,7 @@
             | FaultKind::Error
             | FaultKind::Reset
             | FaultKind::Silent => {
-                let affected = self.site.met_servers(&event);
+                let affected = self.site.affected_servers(&event);
                 affected.iter().for_each(|server| self.apply_server_fault(server, &event));
                 self.site.shared.sleep_until(end).await;
                 affected.iter().for_each(|server| self.clear_server_fault(server, &event));
@@ -66,20 +66,20 @@
             | FaultKind::Stall
             | FaultKind::Signals => {
                 let mut all = JoinSet::new();
-                for proxy in self.site.met_proxies(&event) {
+                for proxy in self.site.affected_proxies(&event) {
                     all.spawn(Arc::clone(&self).apply_process_fault(proxy, event.clone(), end));
                 }
                 while all.join_next().await.is_some() {}
             }
             FaultKind::Crowd => {
-                let affected = self.site.met_proxies(&event);
+                let affected = self.site.affected_proxies(&event);
                 let addresses: Vec<_> = affected.iter().map(|&proxy| self.apps[proxy].address()).collect();
                 let crowd = Crowd::open(&addresses, event.connections);
                 self.site.shared.sleep_until(end).await;
                 drop(crowd);
             }
             FaultKind::ExtraResponses | FaultKind::ClosesIdle => {
-                let affected = self.site.met_servers(&event);
+                let affected = self.site.affected_servers(&event);
                 affected
                     .iter()
                     .for_each(|server| set_connection_fault(server, event.kind, Some(event.after)));
@@ -91,23 +91,23 @@
                     FaultKind::ListSilent => Mode::Silent,
                     _ => Mode::Unavailable,
                 };
-                let affected = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                affected.iter().for_each(|&proxy| self.site.agents[proxy].turn(mode));
+                let affected = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
+                affected.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(mode));
                 self.site.shared.sleep_until(end).await;
-                affected.iter().for_each(|&proxy| self.site.agents[proxy].turn(Mode::Well));
+                affected.iter().for_each(|&proxy| self.site.agents[proxy].set_mode(Mode::Available));
             }
             FaultKind::WatchesSilent => {
-                let affected = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                affected.iter().for_each(|&proxy| self.site.agents[proxy].hush());
+                let affected = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
+                affected.iter().for_each(|&proxy| self.site.agents[proxy].silence_watches());
             }
             FaultKind::ListDiffers => {
-                let affected = self.site.met_proxies(&FaultSpec { zone: None, ..event.clone() });
-                let hidden = self.site.met_servers(&event);
+                let affected = self.site.affected_proxies(&FaultSpec { zone: None, ..event.clone() });
+                let hidden = self.site.affected_servers(&event);
                 for (state, until) in [(EndpointState::Removed, end), (EndpointState::Ready, end)] {
                     for server in &hidden {
                         affected
                             .iter()
-                            .for_each(|&proxy| self.site.agents[proxy].pretend(server.number, state));
+                            .for_each(|&proxy| self.site.agents[proxy].override_state(server.number, state));
                     }
                     self.site.shared.sleep_until(until).await;
                 }
@@ -117,8 +117,8 @@
                     FaultKind::Cut => LinkSpec { stall: true, ..LinkSpec::default() },
                     _ => event.link,
                 };
-                let mut links: BTreeMap<Pair, Both> = BTreeMap::new();
-                for (pair, direction) in met(&self.site.shared.scenario, &event) {
+                let mut links: BTreeMap<Link, LinkFaults> = BTreeMap::new();
+                for (pair, direction) in affected_links(&self.site.shared.scenario, &event) {
                     let both = links.entry(pair).or_default();
                     both[direction] = spec;
                     if !event.one_way {
@@ -126,7 +126,7 @@
                     }
                 }
                 self.set_links(&links);
-                let peers = met_peers(&self.site.shared.scenario, &event);
+                let peers = affected_peer_links(&self.site.shared.scenario, &event);
                 self.set_peer_links(&peers, Some(spec));
                 self.site.shared.sleep_until(end).await;
                 self.set_peer_links(&peers, None);
@@ -135,10 +135,10 @@
         }
     }
 
-    fn set_links(&self, links: &BTreeMap<Pair, Both>) {
+    fn set_links(&self, links: &BTreeMap<Link, LinkFaults>) {
         for (pair, both) in links {
             if let Some(relay) = self.site.relays.get(pair) {
-                relay.turn(*both);
+                relay.set_faults(*both);
             }
         }
     }
@@ -146,21 +146,21 @@
     /// Sets the link condition between pairs of proxies; `None` restores the normal link.
     fn set_peer_links(&self, pairs: &[(usize, usize)], spec: Option<LinkSpec>) {
         let Some(datagrams) = &self.datagrams else { return };
-        let mut links = datagrams.now();
+        let mut links = datagrams.faults();
         for pair in pairs {
             match spec {
                 Some(spec) => links.insert(*pair, spec),
                 None => links.remove(pair),
             };
         }
-        datagrams.turn(links);
+        datagrams.set_faults(links);
     }
 
     fn apply_server_fault(self: &Arc<Self>, server: &Arc<TestServer>, event: &FaultSpec) {
         match event.kind {
             FaultKind::Crash => {
                 server.stop();
-                self.site.tell(server, EndpointState::Removed);
+                self.site.announce(server, EndpointState::Removed);
             }
             FaultKind::Slow => server.change_health(|health| health.slowdown_factor = event.factor),
             FaultKind::Hang => server.change_health(|health| health.hung = true),
@@ -176,7 +176,7 @@
                 server.stop();
             }
             server.restart();
-            self.site.tell(server, EndpointState::Ready);
+            self.site.announce(server, EndpointState::Ready);
         } else {
             server.change_health(|health| *health = Default::default());
         }
@@ -184,7 +184,7 @@
 
     /// Drains and stops the affected servers one after the other, and starts a new server in place of each.
     async fn release(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
-        let affected = self.site.met_servers(event);
+        let affected = self.site.affected_servers(event);
         let step = event.duration / affected.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (index, server) in affected.into_iter().enumerate() {
@@ -193,10 +193,10 @@
                 let at = begin + step * index as Micros;
                 fleet.site.shared.sleep_until(at).await;
                 server.drain();
-                fleet.site.tell(&server, EndpointState::Draining);
+                fleet.site.announce(&server, EndpointState::Draining);
                 fleet.site.shared.sleep_until(at + DRAIN_US).await;
                 server.stop();
-                fleet.site.tell(&server, EndpointState::Removed);
+                fleet.site.announce(&server, EndpointState::Removed);
                 let started = fleet.site.shared.now();
                 let mut servers = fleet.site.machines();
                 // If no socket can be opened, the fleet has one server fewer.
@@ -205,7 +205,7 @@
                 servers.extend(next.clone());
                 drop(servers);
                 if let Some(next) = next {
-                    fleet.site.tell(&next, EndpointState::Ready);
+                    fleet.site.announce(&next, EndpointState::Ready);
                 }
             });
         }
@@ -213,7 +213,7 @@
     }
 
     /// Starts a new process; a failure to start shows in the verdict.
-    pub(super) async fn start_process(&self, seat: &mut Seat) {
+    pub(super) async fn start_process(&self, seat: &mut ProxySupervisor) {
         if seat.start(&self.play.program).is_ok() {
             // If the process does not become ready in time, its clients notice.
             let _ = seat.ready().await;
@@ -228,7 +228,7 @@
             self.site.shared.record(Observation::OpenConnections { at: self.site.shared.now(), open });
             for seat in &self.seats {
                 if let Ok(mut seat) = seat.try_lock() {
-                    seat.look();
+                    seat.check_exit();
                 }
             }
         }
--- a/crates/testbed/src/cluster/process_faults.rs
+++ b/crates/testbed/src/cluster/process_faults.rs
@@ -25,7 +25,7 @@
     /// Kills all affected proxies at once, and restarts them one after the other over the duration of the
     /// event.
     pub(super) async fn kill_proxies(self: &Arc<Self>, event: &FaultSpec, begin: Micros) {
-        let affected = self.site.met_proxies(event);
+        let affected = self.site.affected_proxies(event);
         let step = event.duration / affected.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (index, proxy) in affected.into_iter().enumerate() {
@@ -63,10 +63,10 @@
             }
             _ => {
                 let mut seat = self.seats[proxy].lock().await;
-                let old = seat.start(&self.play.second);
+                let old = seat.start(&self.play.replacement);
                 if seat.ready().await.is_ok() {
                     if let Ok(Some(old)) = old {
-                        seat.relieve(old, self.time_to_kill()).await;
+                        seat.retire(old, self.time_to_kill()).await;
                     }
                 }
             }
@@ -86,7 +86,7 @@
                     let _ = seat.reload_invalid(pause / 2).await;
                 }
                 SignalSpec::Term => {
-                    seat.tell();
+                    seat.terminate();
                     term_sent_at = term_sent_at.or(Some(Instant::now()));
                 }
             }
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -2,8 +2,8 @@
 //! listener.
 
 use super::cold::{self, Window};
-use super::gate::{address, gone, heard, Gate, Party};
 use super::http::{self, MessageKind};
+use super::listener::{address, wait_for_reset, wait_until_not_silent, Role, SwitchableListener};
 use super::record::{Observation, Shared};
 use super::slow_stream;
 use bytes::BytesMut;
@@ -66,7 +66,7 @@
     pub release: String,
     /// Address of its listener.
     pub address: SocketAddr,
-    gate: Gate,
+    gate: SwitchableListener,
     inner: Mutex<Inner>,
     /// Wakes `run_work` when the earliest end of work may have changed.
     changed: Notify,
@@ -85,7 +85,7 @@
         release: &str,
         started: Micros,
     ) -> std::io::Result<Arc<Self>> {
-        let gate = Gate::new(address(Party::Server, number))?;
+        let gate = SwitchableListener::new(address(Role::Server, number))?;
         let inner = Inner {
             server: Server::new(&shared.scenario.server, zone, started),
             faults: ConnectionFaults::default(),
@@ -239,7 +239,7 @@
         loop {
             let began = tokio::select! {
                 began = timeout(self.idle_timeout(), http::wait_for_bytes(&mut stream, &mut buffer)) => began,
-                () = gone(&mut phase, incarnation) => {
+                () = wait_for_reset(&mut phase, incarnation) => {
                     last_attempt.into_iter().for_each(|attempt| self.record_reset(attempt));
                     return http::reset(stream);
                 }
@@ -250,7 +250,7 @@
             let first = self.shared.now();
             let message = tokio::select! {
                 message = http::read(&mut stream, &mut buffer, MessageKind::Request) => message,
-                () = gone(&mut phase, incarnation) => return http::reset(stream),
+                () = wait_for_reset(&mut phase, incarnation) => return http::reset(stream),
             };
             let Ok(message) = message else { return };
             let id = message.header("x-request-id").and_then(|id| self.shared.parse_id(id));
@@ -274,7 +274,7 @@
             let work = self.shared.arrivals[request].work;
             let (outcome, wasted) = tokio::select! {
                 done = self.serve(&mut stream, attempt, request) => done,
-                () = gone(&mut phase, incarnation) => (Outcome::Reset, work),
+                () = wait_for_reset(&mut phase, incarnation) => (Outcome::Reset, work),
             };
             self.shared.record(Observation::AttemptEnded { attempt, outcome, wasted });
             let text = match outcome {
@@ -284,12 +284,12 @@
                 _ => return http::reset(stream),
             };
             tokio::select! {
-                () = heard(self.gate.watch()) => {}
-                () = gone(&mut phase, incarnation) => return http::reset(stream),
+                () = wait_until_not_silent(self.gate.watch()) => {}
+                () = wait_for_reset(&mut phase, incarnation) => return http::reset(stream),
             }
             let written = tokio::select! {
                 written = write_response(&mut stream, text.as_bytes(), self.write_rate(request)) => written,
-                () = gone(&mut phase, incarnation) => {
+                () = wait_for_reset(&mut phase, incarnation) => {
                     self.record_reset(attempt);
                     return http::reset(stream);
                 }
@@ -330,7 +330,7 @@
     /// Executes an attempt; returns its outcome and the work done for a response that nobody receives.
     async fn serve(&self, stream: &mut TcpStream, attempt: u64, request: usize) -> (Outcome, f64) {
         let (work, proxy) = (self.shared.arrivals[request].work, self.shared.arrivals[request].proxy);
-        heard(self.gate.watch()).await;
+        wait_until_not_silent(self.gate.watch()).await;
         let network = &self.shared.scenario.network;
         let delay = if self.shared.zone(proxy) == self.zone {
             network.delay_within_zone
