--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,7 +1,7 @@
 //! `oakport-testbed compare`: two programs on the same day, play by play.
 
 use crate::cluster::{Play, Program, Verdict};
-use crate::fleet::{played, read, Ended, Stop, UNLIMITED};
+use crate::fleet::{play_with_progress_bar, read, RunError, RunStatus, UNLIMITED};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use oakport_simulator::scenario::Scenario;
@@ -47,17 +47,17 @@
     ///
     /// # Errors
     /// The day or a program cannot be played.
-    pub fn run(&self) -> Result<Ended, Stop> {
+    pub fn run(&self) -> Result<RunStatus, RunError> {
         let b = self.b.as_ref().unwrap_or(&self.a);
         for path in [&self.a, b] {
             if !path.is_file() {
-                return Err(Stop::Bad(format!(
+                return Err(RunError::Failed(format!(
                     "{}: no such program; give the path of a build",
                     path.display()
                 )));
             }
         }
-        let lab = std::env::current_exe().map_err(|e| Stop::Bad(format!("this program: {e}")))?;
+        let testbed = std::env::current_exe().map_err(|e| RunError::Failed(format!("this program: {e}")))?;
         let (name, day) = read(&self.scenario)?;
         println!("a: {name}: {}", day.purpose);
         let other = match &self.other {
@@ -72,8 +72,8 @@
         for number in 0..self.plays {
             let seed = self.seed + number;
             let play = |path: &PathBuf, day: &Scenario| {
-                let program = Program::oakport(&lab, path);
-                played(
+                let program = Program::oakport(&testbed, path);
+                play_with_progress_bar(
                     &Play { day: day.clone(), seed, second: program.clone(), program, logs: None },
                     UNLIMITED,
                 )
@@ -89,14 +89,14 @@
         println!("{}", self.table(&pairs));
         if let Some(path) = &self.json {
             let text = format!("{:#}\n", json!({"day": name, "seed": self.seed, "pairs": pairs}));
-            std::fs::write(path, text).map_err(|e| Stop::Bad(format!("{}: {e}", path.display())))?;
+            std::fs::write(path, text).map_err(|e| RunError::Failed(format!("{}: {e}", path.display())))?;
         }
         if pairs.iter().flatten().any(Verdict::too_late) {
             println!("a play was not judged: the rig itself was too late; give it idle cores");
-            return Ok(Ended::Late);
+            return Ok(RunStatus::NotJudged);
         }
         let kept = pairs.iter().all(|[_, b]| b.rules.values().all(|broken| *broken == 0));
-        Ok(if kept { Ended::Well } else { Ended::Broken })
+        Ok(if kept { RunStatus::Passed } else { RunStatus::Failed })
     }
 
     fn table(&self, pairs: &[[Verdict; 2]]) -> String {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,7 +1,7 @@
 //! `oakport-testbed demo`: a small fleet in three zones while parts of it fail, shown live, with a report.
 
 use crate::cluster::{Play, Progress};
-use crate::fleet::{table, told, write, Ended, Programs, Stop, UNLIMITED};
+use crate::fleet::{play_with_progress, table, write, Programs, RunError, RunStatus, UNLIMITED};
 use crate::report;
 use clap::Args;
 use oakport_core::Micros;
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     /// It cannot be played, or the report not written.
-    pub fn run(&self) -> Result<Ended, Stop> {
-        let [program, second] = self.programs.found()?;
-        let mut day = Scenario::parse(DAY).map_err(|odd| Stop::Bad(format!("the demo: {odd}")))?;
+    pub fn run(&self) -> Result<RunStatus, RunError> {
+        let [program, second] = self.programs.resolve()?;
+        let mut day = Scenario::parse(DAY).map_err(|odd| RunError::Failed(format!("the demo: {odd}")))?;
         if self.quick {
             let shorter = |span: &mut Micros| *span = *span * QUICK.0 / QUICK.1;
             shorter(&mut day.duration);
@@ -74,10 +74,13 @@
                 }
             }
         };
-        let verdict = told(&play, &tell, UNLIMITED)?;
+        let verdict = play_with_progress(&play, &tell, UNLIMITED)?;
         print!("{}", table(&verdict, false));
-        write(&self.out, &report::html("oakport demo", &play.day, self.seed, &verdict).map_err(Stop::Bad)?)?;
+        write(
+            &self.out,
+            &report::html("oakport demo", &play.day, self.seed, &verdict).map_err(RunError::Failed)?,
+        )?;
         println!("the report with its plots: {}", self.out.display());
-        Ok(Ended::of(&verdict))
+        Ok(RunStatus::of(&verdict))
     }
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -75,76 +75,77 @@
     }
 
     /// The program, and the one that relieves it.
-    pub fn found(&self) -> Result<[Program; 2], Stop> {
-        let lab = std::env::current_exe().map_err(|e| Stop::Bad(format!("this program: {e}")))?;
+    pub fn resolve(&self) -> Result<[Program; 2], RunError> {
+        let testbed = std::env::current_exe().map_err(|e| RunError::Failed(format!("this program: {e}")))?;
         if self.forwarder {
             let broken = self.broken.as_ref().and_then(clap::ValueEnum::to_possible_value);
-            let program = Program::forwarder(&lab, broken.as_ref().map(|broken| broken.get_name()));
+            let program = Program::forwarder(&testbed, broken.as_ref().map(|broken| broken.get_name()));
             return Ok([program.clone(), program]);
         }
-        let beside = lab.with_file_name("oakport");
+        let beside = testbed.with_file_name("oakport");
         let first = self.oakport.clone().unwrap_or(beside);
         let second = self.second.clone().unwrap_or_else(|| first.clone());
         for path in [&first, &second] {
             if !path.is_file() {
                 let remedy = "build it with cargo build --release, or name another with --oakport PATH";
-                return Err(Stop::Bad(format!("{}: no such program; {remedy}", path.display())));
+                return Err(RunError::Failed(format!("{}: no such program; {remedy}", path.display())));
             }
         }
-        Ok([first, second].map(|path| Program::oakport(&lab, &path)))
+        Ok([first, second].map(|path| Program::oakport(&testbed, &path)))
     }
 }
 
-/// Why nothing was judged.
-pub enum Stop {
-    /// Something given cannot be used: file, place and remedy.
-    Bad(String),
+/// Why a command ended without a verdict.
+pub enum RunError {
+    /// The run failed: the reason, with the file and the remedy where they are known.
+    Failed(String),
     /// Ctrl-C.
     Interrupted,
 }
 
-/// How all days ended.
+/// The worst outcome of the scenarios that were played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ended {
-    /// Rules kept, expectations held.
-    Well,
-    /// Not so.
-    Broken,
-    /// The rig was too late to judge.
-    Late,
+pub enum RunStatus {
+    /// All rules were kept and all expectations held.
+    Passed,
+    /// A rule was broken or an expectation did not hold.
+    Failed,
+    /// The test cluster itself was too late for a verdict.
+    NotJudged,
 }
 
-impl Ended {
+impl RunStatus {
     /// How a day with this verdict ended.
     pub fn of(verdict: &Verdict) -> Self {
         match () {
-            () if verdict.too_late() => Ended::Late,
-            () if verdict.holds() => Ended::Well,
-            () => Ended::Broken,
+            () if verdict.too_late() => RunStatus::NotJudged,
+            () if verdict.holds() => RunStatus::Passed,
+            () => RunStatus::Failed,
         }
     }
 }
 
 impl Fleet {
     /// Plays all days, one after the other.
-    pub fn run(&self) -> Result<Ended, Stop> {
-        let [program, second] = self.programs.found()?;
+    pub fn run(&self) -> Result<RunStatus, RunError> {
+        let [program, second] = self.programs.resolve()?;
         let days = self.scenarios.iter().map(|path| read(path)).collect::<Result<Vec<_>, _>>()?;
         for folder in [&self.logs, &self.report].into_iter().flatten() {
-            std::fs::create_dir_all(folder).map_err(|e| Stop::Bad(format!("{}: {e}", folder.display())))?;
+            std::fs::create_dir_all(folder)
+                .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
         }
-        let (mut ended, mut all) = (Ended::Well, Vec::new());
+        let (mut ended, mut all) = (RunStatus::Passed, Vec::new());
         for (name, day) in days {
             println!("{name} (seed {}): {}", self.seed, day.purpose);
             let (program, second) = (program.clone(), second.clone());
             let play = Play { day, seed: self.seed, program, second, logs: self.logs.clone() };
-            let verdict = played(&play, UNLIMITED)?;
+            let verdict = play_with_progress_bar(&play, UNLIMITED)?;
             if let Some(folder) = &self.report {
-                let page = report::html(&name, &play.day, self.seed, &verdict).map_err(Stop::Bad)?;
+                let page = report::html(&name, &play.day, self.seed, &verdict).map_err(RunError::Failed)?;
                 write(&folder.join(format!("{name}.html")), &page)?;
             }
             print!("{}", table(&verdict, self.seconds));
-            ended = ended.max(Ended::of(&verdict));
+            ended = ended.max(RunStatus::of(&verdict));
             all.push(json!({"day": name, "seed": self.seed, "verdict": verdict}));
         }
         if let Some(path) = &self.json {
@@ -156,13 +157,13 @@
 }
 
 /// Writes a file.
-pub fn write(path: &Path, text: &str) -> Result<(), Stop> {
-    std::fs::write(path, text).map_err(|e| Stop::Bad(format!("{}: {e}", path.display())))
+pub fn write(path: &Path, text: &str) -> Result<(), RunError> {
+    std::fs::write(path, text).map_err(|e| RunError::Failed(format!("{}: {e}", path.display())))
 }
 
 /// Reads a day, and tells its name.
-pub fn read(path: &Path) -> Result<(String, Scenario), Stop> {
-    let bad = |odd: &dyn std::fmt::Display| Stop::Bad(format!("{}: {odd}", path.display()));
+pub fn read(path: &Path) -> Result<(String, Scenario), RunError> {
+    let bad = |odd: &dyn std::fmt::Display| RunError::Failed(format!("{}: {odd}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| bad(&e))?;
     let day = Scenario::parse(&text).map_err(|odd| bad(&odd))?;
     let name = path.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
@@ -173,7 +174,7 @@
 ///
 /// # Errors
 /// It cannot be played, takes longer than `most`, or Ctrl-C.
-pub fn played(play: &Play, most: Duration) -> Result<Verdict, Stop> {
+pub fn play_with_progress_bar(play: &Play, max_duration: Duration) -> Result<Verdict, RunError> {
     let shown = std::io::stderr().is_terminal();
     let bar =
         if shown { indicatif::ProgressBar::new(play.day.duration) } else { indicatif::ProgressBar::hidden() };
@@ -185,7 +186,7 @@
         Progress::Event(at, text) => bar.set_message(format!("{} s: {text}", at / 1_000_000)),
         Progress::At(at, _) => bar.set_position(at),
     };
-    let verdict = told(play, &tell, most);
+    let verdict = play_with_progress(play, &tell, max_duration);
     bar.finish_and_clear();
     verdict
 }
@@ -194,14 +195,14 @@
 ///
 /// # Errors
 /// It cannot be played, takes longer than `most`, or Ctrl-C.
-pub fn told(play: &Play, tell: &Tell<'_>, most: Duration) -> Result<Verdict, Stop> {
+pub fn play_with_progress(play: &Play, tell: &Tell<'_>, max_duration: Duration) -> Result<Verdict, RunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Stop::Bad(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| RunError::Failed(format!("runtime: {e}")))?;
     runtime.block_on(async {
         tokio::select! {
-            verdict = cluster::play(play, tell) => verdict.map_err(Stop::Bad),
-            _ = tokio::signal::ctrl_c() => Err(Stop::Interrupted),
-            () = tokio::time::sleep(most) => Err(Stop::Bad(format!("it had not ended after {most:?}"))),
+            verdict = cluster::play(play, tell) => verdict.map_err(RunError::Failed),
+            _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
+            () = tokio::time::sleep(max_duration) => Err(RunError::Failed(format!("play did not end within {max_duration:?}"))),
         }
     })
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,7 +4,7 @@
 use oakport_testbed::cluster::forwarder::{self, Broken};
 use oakport_testbed::compare::Compare;
 use oakport_testbed::demo::Demo;
-use oakport_testbed::fleet::{Ended, Fleet, Stop};
+use oakport_testbed::fleet::{Fleet, RunError, RunStatus};
 use oakport_testbed::overhead::Overhead;
 use oakport_testbed::scale::Scale;
 use oakport_testbed::sim::Sim;
@@ -68,8 +68,8 @@
 
 fn main() -> ExitCode {
     let stopped = |stop| match stop {
-        Stop::Bad(odd) => (odd, BAD),
-        Stop::Interrupted => ("interrupted".to_owned(), INTERRUPTED),
+        RunError::Failed(odd) => (odd, BAD),
+        RunError::Interrupted => ("interrupted".to_owned(), INTERRUPTED),
     };
     let done = match Arguments::parse().command {
         Command::Sim(sim) => sim.run().map_err(|odd| (odd, 1)).map(|kept| u8::from(!kept)),
@@ -92,11 +92,11 @@
 }
 
 /// The status by which a play's end is told.
-fn status(ended: Ended) -> u8 {
+fn status(ended: RunStatus) -> u8 {
     match ended {
-        Ended::Well => 0,
-        Ended::Broken => 1,
-        Ended::Late => LATE,
+        RunStatus::Passed => 0,
+        RunStatus::Failed => 1,
+        RunStatus::NotJudged => LATE,
     }
 }
 
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::hops::{self, Cost, Sample, Way};
 use crate::cluster::Program;
-use crate::fleet::Stop;
+use crate::fleet::RunError;
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use std::path::PathBuf;
@@ -37,13 +37,13 @@
     ///
     /// # Errors
     /// A program cannot be started.
-    pub fn run(&self) -> Result<bool, Stop> {
-        let lab = std::env::current_exe().map_err(|e| Stop::Bad(format!("this program: {e}")))?;
-        let oakport = self.oakport.clone().unwrap_or_else(|| lab.with_file_name("oakport"));
-        let (oakport, forwarder) = (Program::oakport(&lab, &oakport), Program::forwarder(&lab, None));
-        let other = self.other.as_ref().map(|other| Program::oakport(&lab, other));
+    pub fn run(&self) -> Result<bool, RunError> {
+        let testbed = std::env::current_exe().map_err(|e| RunError::Failed(format!("this program: {e}")))?;
+        let oakport = self.oakport.clone().unwrap_or_else(|| testbed.with_file_name("oakport"));
+        let (oakport, forwarder) = (Program::oakport(&testbed, &oakport), Program::forwarder(&testbed, None));
+        let other = self.other.as_ref().map(|other| Program::oakport(&testbed, other));
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-        let runtime = runtime.map_err(|e| Stop::Bad(format!("runtime: {e}")))?;
+        let runtime = runtime.map_err(|e| RunError::Failed(format!("runtime: {e}")))?;
         let all = async {
             let measured = hops::measure(&oakport, other.as_ref(), &forwarder, self.rounds).await?;
             let mut steady = Vec::new();
@@ -54,8 +54,8 @@
         };
         let (measured, steady) = runtime.block_on(async {
             tokio::select! {
-                done = all => done.map_err(Stop::Bad),
-                _ = tokio::signal::ctrl_c() => Err(Stop::Interrupted),
+                done = all => done.map_err(RunError::Failed),
+                _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
             }
         })?;
         println!("{}", table(&measured));
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -11,7 +11,7 @@
 pub mod report;
 pub mod settings;
 
-use crate::fleet::{write, Programs, Stop};
+use crate::fleet::{write, Programs, RunError};
 use clap::{Args, ValueEnum};
 use comfy_table::{presets, CellAlignment, Table};
 use page::short;
@@ -102,11 +102,13 @@
     ///
     /// # Errors
     /// A role cannot be played.
-    pub fn run(&self) -> Result<bool, Stop> {
+    pub fn run(&self) -> Result<bool, RunError> {
         if let Some(page) = &self.page {
-            return drawn(page).map(|()| true).map_err(|odd| Stop::Bad(format!("{}: {odd}", page.display())));
+            return drawn(page)
+                .map(|()| true)
+                .map_err(|odd| RunError::Failed(format!("{}: {odd}", page.display())));
         }
-        let [program, _] = self.programs.found()?;
+        let [program, _] = self.programs.resolve()?;
         let roles = if self.roles.is_empty() { Role::value_variants() } else { &self.roles };
         let (mut held, mut all, mut pages) = (true, Map::new(), Vec::new());
         for part in roles.iter().map(|role| role.part(self.scopes)) {
@@ -132,14 +134,15 @@
             write(path, &text)?;
         }
         if let Some(folder) = &self.report {
-            std::fs::create_dir_all(folder).map_err(|e| Stop::Bad(format!("{}: {e}", folder.display())))?;
-            write(&folder.join("scale.html"), &report::html(&pages).map_err(Stop::Bad)?)?;
+            std::fs::create_dir_all(folder)
+                .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
+            write(&folder.join("scale.html"), &report::html(&pages).map_err(RunError::Failed)?)?;
         }
         Ok(held)
     }
 
     /// Plays a size with each seed, as far as its time allows.
-    fn played(&self, part: Part, point: &Point) -> Result<Played, Stop> {
+    fn played(&self, part: Part, point: &Point) -> Result<Played, RunError> {
         let mut played = Played::default();
         for seed in 1..=self.seeds {
             let begin = Instant::now();
@@ -161,7 +164,7 @@
                 Err(stopped) => stopped,
             };
             let why = match stopped {
-                Stopped::Odd(odd) => return Err(Stop::Bad(format!("{}: {odd}", part.name))),
+                Stopped::Odd(odd) => return Err(RunError::Failed(format!("{}: {odd}", part.name))),
                 Stopped::NotRun(why) => why,
                 Stopped::Partly(figures, why) => {
                     // What one seed has more of than the others would pass for their median.
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -3,7 +3,7 @@
 mod plan;
 
 use crate::cluster::{Play, Program, Verdict};
-use crate::fleet::{played, write, Ended, Programs, Stop};
+use crate::fleet::{play_with_progress_bar, write, Programs, RunError, RunStatus};
 use clap::Args;
 use comfy_table::{presets, Table};
 use oakport_core::Micros;
@@ -74,13 +74,13 @@
     ///
     /// # Errors
     /// A program or a folder cannot be used, or Ctrl-C.
-    pub fn run(&self) -> Result<Ended, Stop> {
+    pub fn run(&self) -> Result<RunStatus, RunError> {
         let seeds = self.first..self.first.saturating_add(self.seeds);
         if self.print_plan {
             seeds.for_each(|seed| println!("{}", plan::plan(seed)));
-            return Ok(Ended::Well);
+            return Ok(RunStatus::Passed);
         }
-        let [program, second] = self.programs.found()?;
+        let [program, second] = self.programs.resolve()?;
         let mut outcomes = Vec::new();
         for seed in seeds {
             let outcome = self.play(seed, &program, &second)?;
@@ -92,32 +92,35 @@
         }
         print!("{}", summary(&outcomes));
         if let Some(path) = &self.json {
-            let text = serde_json::to_string_pretty(&outcomes).map_err(|e| Stop::Bad(e.to_string()))?;
+            let text =
+                serde_json::to_string_pretty(&outcomes).map_err(|e| RunError::Failed(e.to_string()))?;
             write(path, &text)?;
         }
-        Ok(outcomes.iter().map(Outcome::ended).max().unwrap_or(Ended::Well))
+        Ok(outcomes.iter().map(Outcome::status).max().unwrap_or(RunStatus::Passed))
     }
 
-    fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, Stop> {
+    fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, RunError> {
         let text = plan::plan(seed);
-        let day = Scenario::parse(&text).map_err(|odd| Stop::Bad(format!("plan of seed {seed}: {odd}")))?;
+        let day =
+            Scenario::parse(&text).map_err(|odd| RunError::Failed(format!("plan of seed {seed}: {odd}")))?;
         let folder = self.logs.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(|e| Stop::Bad(format!("{}: {e}", folder.display())))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
         write(&folder.join("plan.toml"), &text)?;
         let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
         let most = duration(day.duration) + MAX_OVERTIME;
         let (program, second) = (program.clone(), second.clone());
         let play = Play { day, seed, program, second, logs: Some(folder.clone()) };
         let began = Instant::now();
-        let verdict = played(&play, most);
+        let verdict = play_with_progress_bar(&play, most);
         let seconds = began.elapsed().as_secs_f64();
         let (result, requests) = match verdict {
             Ok(verdict) => {
                 self.report(&folder, &verdict)?;
                 (PlayResult::of(&verdict), verdict.seconds.iter().map(|second| second.asked).sum())
             }
-            Err(Stop::Interrupted) => return Err(Stop::Interrupted),
-            Err(Stop::Bad(reason)) => (PlayResult::Unfinished(reason), 0),
+            Err(RunError::Interrupted) => return Err(RunError::Interrupted),
+            Err(RunError::Failed(reason)) => (PlayResult::Unfinished(reason), 0),
         };
         if matches!(result, PlayResult::Kept) {
             // What is left of it harms nothing.
@@ -126,11 +129,11 @@
         Ok(Outcome { seed, events: events.join(" "), requests, seconds, result })
     }
 
-    fn report(&self, folder: &Path, verdict: &Verdict) -> Result<(), Stop> {
+    fn report(&self, folder: &Path, verdict: &Verdict) -> Result<(), RunError> {
         if self.seconds {
             print!("{}", crate::fleet::table(verdict, true));
         }
-        let text = serde_json::to_string_pretty(verdict).map_err(|e| Stop::Bad(e.to_string()))?;
+        let text = serde_json::to_string_pretty(verdict).map_err(|e| RunError::Failed(e.to_string()))?;
         write(&folder.join("verdict.json"), &text)
     }
 
@@ -146,20 +149,20 @@
 
 impl PlayResult {
     fn of(verdict: &Verdict) -> Self {
-        match Ended::of(verdict) {
-            Ended::Well => PlayResult::Kept,
-            Ended::Broken => PlayResult::Broken(verdict.stories.clone()),
-            Ended::Late => PlayResult::Late,
+        match RunStatus::of(verdict) {
+            RunStatus::Passed => PlayResult::Kept,
+            RunStatus::Failed => PlayResult::Broken(verdict.stories.clone()),
+            RunStatus::NotJudged => PlayResult::Late,
         }
     }
 }
 
 impl Outcome {
-    fn ended(&self) -> Ended {
+    fn status(&self) -> RunStatus {
         match self.result {
-            PlayResult::Kept => Ended::Well,
-            PlayResult::Broken(_) | PlayResult::Unfinished(_) => Ended::Broken,
-            PlayResult::Late => Ended::Late,
+            PlayResult::Kept => RunStatus::Passed,
+            PlayResult::Broken(_) | PlayResult::Unfinished(_) => RunStatus::Failed,
+            PlayResult::Late => RunStatus::NotJudged,
         }
     }
 }
@@ -181,10 +184,11 @@
 }
 
 fn summary(outcomes: &[Outcome]) -> String {
-    let count = |ended: Ended| outcomes.iter().filter(|outcome| outcome.ended() == ended).count();
+    let count = |ended: RunStatus| outcomes.iter().filter(|outcome| outcome.status() == ended).count();
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["plays", "rules kept", "broken or failed", "not judged"]);
-    let counts = [Ended::Well, Ended::Broken, Ended::Late].map(|ended| count(ended).to_string());
+    let counts =
+        [RunStatus::Passed, RunStatus::Failed, RunStatus::NotJudged].map(|ended| count(ended).to_string());
     table.add_row([vec![outcomes.len().to_string()], counts.to_vec()].concat());
     format!("{table}\n")
 }
