--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -1,6 +1,6 @@
 //! Passing calls on: what a chain of proxies adds to a call beside the same chain without them.
 
-use super::point::{Bound, Figures, Part, Point, Stopped};
+use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::chain::{self, Outcome, Pace, Played};
 use std::time::{Duration, Instant};
 
@@ -15,45 +15,45 @@
 const ADDED: f64 = 1_800.0;
 
 /// The role.
-pub const PART: Part = Part {
+pub const ROLE: RoleSpec = RoleSpec {
     name: "calls",
-    counts: "hops",
+    size_unit: "hops",
     sizes: &[1, 4, 8, 17],
     bounds: &[
-        Bound { figure: "at_49.added_p99_us", most: ADDED, from: 1, expected: false },
-        Bound { figure: "at_245.added_p99_us", most: ADDED, from: 1, expected: false },
-        Bound { figure: "at_49.failed_share", most: 0.0, from: 1, expected: true },
-        Bound { figure: "at_245.failed_share", most: 0.0, from: 1, expected: true },
+        Bound { figure: "at_49.added_p99_us", max: ADDED, min_size: 1, is_enforced: false },
+        Bound { figure: "at_245.added_p99_us", max: ADDED, min_size: 1, is_enforced: false },
+        Bound { figure: "at_49.failed_share", max: 0.0, min_size: 1, is_enforced: true },
+        Bound { figure: "at_245.failed_share", max: 0.0, min_size: 1, is_enforced: true },
     ],
-    play,
+    measure: play,
 };
 
-fn play(point: &Point) -> Result<Figures, Stopped> {
+fn play(point: &Point) -> Result<Figures, MeasureError> {
     /// Hops of the deepest call that ids can tell.
     const DEEPEST: usize = 200;
     if point.size > DEEPEST {
-        return Err(Stopped::NotRun(format!("each hop is a process; at most {DEEPEST}")));
+        return Err(MeasureError::NotRun(format!("each hop is a process; at most {DEEPEST}")));
     }
     let paces = RATES.map(|(_, pace)| pace);
     let takes = paces.iter().map(Pace::lasts).sum::<Duration>() + START;
-    if Instant::now() + takes > point.until {
-        return Err(Stopped::NotRun(format!("it takes {} s, and less is left", takes.as_secs())));
+    if Instant::now() + takes > point.deadline {
+        return Err(MeasureError::NotRun(format!("it takes {} s, and less is left", takes.as_secs())));
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Stopped::Odd(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| MeasureError::Failed(format!("runtime: {e}")))?;
     let played = runtime.block_on(async {
         let played = chain::play(&point.program, point.size, &paces, point.seed);
         tokio::select! {
-            played = played => played.map_err(Stopped::Odd),
-            () = tokio::time::sleep_until(point.until.into()) => {
-                Err(Stopped::NotRun("it did not end in its time".to_owned()))
+            played = played => played.map_err(MeasureError::Failed),
+            () = tokio::time::sleep_until(point.deadline.into()) => {
+                Err(MeasureError::NotRun("it did not end in its time".to_owned()))
             }
-            _ = tokio::signal::ctrl_c() => Err(Stopped::Odd("interrupted".to_owned())),
+            _ = tokio::signal::ctrl_c() => Err(MeasureError::Failed("interrupted".to_owned())),
         }
     })?;
     if played.outcomes.iter().any(Outcome::too_late) {
         let why = "the rig itself was too late to judge: more than 20 ms at p99; give it idle cores";
-        return Err(Stopped::NotRun(why.to_owned()));
+        return Err(MeasureError::NotRun(why.to_owned()));
     }
     Ok(figures(&played))
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -8,7 +8,7 @@
 //! Time is the thread's own around each call into the policy, less what measuring costs; memory is what the
 //! allocator gave to these calls and has not got back, and the balancer itself.
 
-use super::point::{Bound, Figures, Part, Point, Stopped};
+use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::{Action, EndpointInfo, Event, Micros, Settings};
 use oakport_simulator::{simulate_with, Policy, PolicyKind, Scenario, ServerState, Verdict, Window};
@@ -84,19 +84,19 @@
 const WAY_BACK: f64 = 10.0;
 
 /// The role.
-pub const PART: Part = Part {
+pub const ROLE: RoleSpec = RoleSpec {
     name: "decisions",
-    counts: "balancers",
+    size_unit: "balancers",
     sizes: &[300, 1_000, 3_000, 6_300],
     bounds: &[
-        Bound { figure: "of_6.cold.fallen", most: 0.0, from: 1, expected: true },
-        Bound { figure: "of_60.cold.fallen", most: 0.0, from: 1, expected: true },
-        Bound { figure: "of_6.after_burst.recover_s", most: WAY_BACK, from: 1, expected: false },
-        Bound { figure: "of_60.after_burst.recover_s", most: WAY_BACK, from: 1, expected: false },
-        Bound { figure: "of_6.rules_broken", most: 0.0, from: 1, expected: true },
-        Bound { figure: "of_60.rules_broken", most: 0.0, from: 1, expected: true },
+        Bound { figure: "of_6.cold.fallen", max: 0.0, min_size: 1, is_enforced: true },
+        Bound { figure: "of_60.cold.fallen", max: 0.0, min_size: 1, is_enforced: true },
+        Bound { figure: "of_6.after_burst.recover_s", max: WAY_BACK, min_size: 1, is_enforced: false },
+        Bound { figure: "of_60.after_burst.recover_s", max: WAY_BACK, min_size: 1, is_enforced: false },
+        Bound { figure: "of_6.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
+        Bound { figure: "of_60.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
     ],
-    play,
+    measure: play,
 };
 
 /// What happens after the calm.
@@ -116,9 +116,9 @@
         }
     }
 
-    fn scenario(self, balancers: usize, servers: usize) -> Result<Scenario, Stopped> {
+    fn scenario(self, balancers: usize, servers: usize) -> Result<Scenario, MeasureError> {
         let day = Scenario::parse(&format!("{DAY}{}", self.event()));
-        let day = day.map_err(|odd| Stopped::Odd(odd.to_string()))?;
+        let day = day.map_err(|odd| MeasureError::Failed(odd.to_string()))?;
         // After a burst there is time for choked servers to be well again by themselves.
         let length = if self == Day::Burst { 2 * day.duration } else { day.duration };
         Ok(Scenario { balancers, servers, duration: length, rate: RATE * servers as f64, ..day })
@@ -142,7 +142,7 @@
 
 /// Counts what balancers take.
 struct Meter {
-    until: Instant,
+    deadline: Instant,
     /// What a measurement takes itself.
     costs: Duration,
     late: Cell<bool>,
@@ -152,14 +152,14 @@
 }
 
 impl Meter {
-    fn new(until: Instant) -> Self {
+    fn new(deadline: Instant) -> Self {
         const TRIES: u32 = 2_000;
         let begin = on_core();
         (0..TRIES).for_each(|_| {
             measured(|| {});
         });
         Meter {
-            until,
+            deadline,
             costs: (on_core() - begin) / TRIES,
             late: Cell::new(false),
             events: Cell::new(0),
@@ -205,7 +205,7 @@
         /// Room for what an event brings: the list of actions is not the balancer's, and is not to grow.
         const ROOM: usize = 256;
         let meter = &self.meter;
-        if meter.late.get() || Instant::now() > meter.until {
+        if meter.late.get() || Instant::now() > meter.deadline {
             // A day cannot be stopped, but without decisions it soon ends.
             return meter.late.set(true);
         }
@@ -231,15 +231,15 @@
     servers: usize,
     day: Day,
     seed: u64,
-    until: Instant,
-) -> Result<Course, Stopped> {
-    let meter = Rc::new(Meter::new(until));
+    deadline: Instant,
+) -> Result<Course, MeasureError> {
+    let meter = Rc::new(Meter::new(deadline));
     let make = |seed: u64, settings: &Settings| Metered::make(seed, settings, &meter);
     let scenario = day.scenario(balancers, servers)?;
     let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.visibility(), &make, seed);
     if meter.late.get() {
         let why = format!("{day:?} with {servers} servers did not end in its time");
-        return Err(Stopped::NotRun(why));
+        return Err(MeasureError::NotRun(why));
     }
     Ok(Course {
         verdict,
@@ -259,10 +259,10 @@
     }
 }
 
-fn play(point: &Point) -> Result<Figures, Stopped> {
+fn play(point: &Point) -> Result<Figures, MeasureError> {
     let mut figures = Figures::new();
     for servers in SERVICES {
-        let course = |day| course(point.size, servers, day, point.seed, point.until);
+        let course = |day| course(point.size, servers, day, point.seed, point.deadline);
         let (burst, release) = (course(Day::Burst)?, course(Day::Release)?);
         let (calm, troubled) = burst.verdict.windows.split_at(CALM);
         let (stirred, rest) = troubled.split_at(TROUBLE);
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -15,7 +15,7 @@
 //!   however short it is. The day is that many times what a change costs in a series pressed together, beside
 //!   what a quiet second costs.
 
-use super::point::{Bound, Figures, Part, Point, Stopped};
+use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::discovery::{Agent, Member};
 use crate::cluster::outside;
 use crate::cluster::processes::Seat;
@@ -29,9 +29,9 @@
 use tokio::time::{interval, sleep, timeout, timeout_at, MissedTickBehavior};
 
 /// The role.
-pub const PART: Part = Part {
+pub const ROLE: RoleSpec = RoleSpec {
     name: "list",
-    counts: "servers in the list",
+    size_unit: "servers in the list",
     sizes: &[6, 100, 1_000, 6_300],
     bounds: &[
         budget("day.cpu_share", 0.018),
@@ -47,15 +47,15 @@
         budget("pushed.whole.bytes", BYTES_PER_S),
         budget("pushed.zone.bytes", BYTES_PER_S),
     ],
-    play,
+    measure: play,
 };
 
 /// The operators' budgets.
 const BYTES_PER_S: f64 = 22_000.0;
 const IN_FORCE_MS: f64 = 8_000.0;
 
-const fn budget(figure: &'static str, most: f64) -> Bound {
-    Bound { figure, most, from: 0, expected: false }
+const fn budget(figure: &'static str, max: f64) -> Bound {
+    Bound { figure, max, min_size: 0, is_enforced: false }
 }
 
 /// Zones over which servers are spread.
@@ -113,7 +113,7 @@
     };
 }
 
-fn play(point: &Point) -> Result<Figures, Stopped> {
+fn play(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::WHOLE)
 }
 
@@ -121,14 +121,14 @@
 ///
 /// # Errors
 /// See `Stopped`.
-pub fn measure(point: &Point, extent: Extent) -> Result<Figures, Stopped> {
+pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(odd)?;
     let played = runtime.block_on(async {
         let both =
             async { tokio::try_join!(played(point, Way::Pushed, extent), played(point, Way::Asked, extent)) };
-        timeout_at(point.until.into(), both).await
+        timeout_at(point.deadline.into(), both).await
     });
-    let (pushed, asked) = played.map_err(|_| Stopped::NotRun("its time was over".to_owned()))??;
+    let (pushed, asked) = played.map_err(|_| MeasureError::NotRun("its time was over".to_owned()))??;
     let mut figures = Figures::new();
     for (way, of_way) in [("pushed", pushed), ("asked", asked)] {
         for (name, figure) in of_way {
@@ -163,8 +163,8 @@
     }
 }
 
-fn odd(fault: impl std::fmt::Display) -> Stopped {
-    Stopped::Odd(fault.to_string())
+fn odd(fault: impl std::fmt::Display) -> MeasureError {
+    MeasureError::Failed(fault.to_string())
 }
 
 /// A process and its agent.
@@ -185,7 +185,7 @@
 
 impl Process {
     /// Starts one whose list is empty, and waits until it watches.
-    async fn start(point: &Point, way: Way) -> Result<Self, Stopped> {
+    async fn start(point: &Point, way: Way) -> Result<Self, MeasureError> {
         let day = Scenario::parse(SITE).map_err(odd)?;
         let shared = Arc::new(Shared::new(day, point.seed));
         let agent = Agent::start(&shared, 0).await.map_err(odd)?;
@@ -201,7 +201,7 @@
         Ok(process)
     }
 
-    fn spent(&self) -> Result<Spent, Stopped> {
+    fn spent(&self) -> Result<Spent, MeasureError> {
         Ok(Spent { cpu_s: outside::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.written() })
     }
 
@@ -223,13 +223,13 @@
     }
 
     /// Waits until the process has taken what the agent has, by its next call.
-    async fn taken(&self) -> Result<(), Stopped> {
+    async fn taken(&self) -> Result<(), MeasureError> {
         let taken = timeout(NEVER, self.agent.taken(self.agent.version())).await;
-        taken.map_err(|_| Stopped::NotRun(format!("a list was not taken within {NEVER:?}")))
+        taken.map_err(|_| MeasureError::NotRun(format!("a list was not taken within {NEVER:?}")))
     }
 
     /// Asks the process until it tells this number of servers: milliseconds since the change.
-    async fn in_force(&self, servers: usize, since: Instant) -> Result<f64, Stopped> {
+    async fn in_force(&self, servers: usize, since: Instant) -> Result<f64, MeasureError> {
         loop {
             let listed = outside::dump(self.operator).await.map_err(odd)?["hosts_listed"].as_u64();
             if listed == Some(servers as u64) {
@@ -237,19 +237,19 @@
             }
             if since.elapsed() > NEVER {
                 let told = format!("{listed:?} servers listed after {NEVER:?}, not {servers}");
-                return Err(Stopped::NotRun(told));
+                return Err(MeasureError::NotRun(told));
             }
         }
     }
 
     /// Servers that the process tells to have.
-    async fn listed(&self) -> Result<f64, Stopped> {
+    async fn listed(&self) -> Result<f64, MeasureError> {
         let report = outside::dump(self.operator).await.map_err(odd)?;
         report["hosts_listed"].as_f64().ok_or_else(|| odd("no hosts_listed"))
     }
 
     /// What a change costs, up to the process's next call.
-    async fn cost(&self, change: impl FnOnce()) -> Result<Spent, Stopped> {
+    async fn cost(&self, change: impl FnOnce()) -> Result<Spent, MeasureError> {
         let before = self.spent()?;
         change();
         self.taken().await?;
@@ -260,7 +260,7 @@
     /// Servers leave and come back, again and again: processor time and bytes when they leave, the longest
     /// until it is in force, and how many the process then lacks. Of one server both ways count, as both
     /// change one.
-    async fn leave(&self, size: usize, servers: &[usize], times: usize) -> Result<[f64; 4], Stopped> {
+    async fn leave(&self, size: usize, servers: &[usize], times: usize) -> Result<[f64; 4], MeasureError> {
         let gone = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Removed));
         let back = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Ready));
         let mut spent = Vec::new();
@@ -295,7 +295,7 @@
     ]
 }
 
-async fn played(point: &Point, way: Way, extent: Extent) -> Result<Figures, Stopped> {
+async fn played(point: &Point, way: Way, extent: Extent) -> Result<Figures, MeasureError> {
     let size = point.size;
     let mut figures = Figures::new();
     let mut tell = |name: &str, figure: f64| _ = figures.insert(name.to_owned(), figure);
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -6,17 +6,17 @@
 pub mod list;
 pub mod page;
 pub mod peers;
-pub mod played;
 pub mod point;
 pub mod report;
+pub mod results;
 pub mod settings;
 
 use crate::fleet::{write, Programs, RunError};
 use clap::{Args, ValueEnum};
 use comfy_table::{presets, CellAlignment, Table};
 use page::short;
-use played::{fitted, names, Played, Sizes};
-use point::{Part, Point, Stopped, PLANNED};
+use point::{MeasureError, Point, RoleSpec, PLANNED_SIZE};
+use results::{fitted, names, ResultsBySize, SizeResult};
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -84,15 +84,15 @@
 }
 
 impl Role {
-    /// What is played of it, with scopes or without.
-    pub fn part(self, scopes: bool) -> Part {
+    /// How the role is measured, with or without scopes.
+    pub fn spec(self, scopes: bool) -> RoleSpec {
         match self {
-            Role::Peers if scopes => peers::IN_SCOPES,
-            Role::Peers => peers::PART,
-            Role::List => list::PART,
-            Role::Settings => settings::PART,
-            Role::Calls => calls::PART,
-            Role::Decisions => decisions::PART,
+            Role::Peers if scopes => peers::ROLE_WITH_SCOPES,
+            Role::Peers => peers::ROLE,
+            Role::List => list::ROLE,
+            Role::Settings => settings::ROLE,
+            Role::Calls => calls::ROLE,
+            Role::Decisions => decisions::ROLE,
         }
     }
 }
@@ -111,23 +111,23 @@
         let [program, _] = self.programs.resolve()?;
         let roles = if self.roles.is_empty() { Role::value_variants() } else { &self.roles };
         let (mut held, mut all, mut pages) = (true, Map::new(), Vec::new());
-        for part in roles.iter().map(|role| role.part(self.scopes)) {
-            let sizes = if self.sizes.is_empty() { part.sizes } else { &self.sizes };
-            let mut played = Sizes::new();
-            let mut until = Instant::now();
+        for spec in roles.iter().map(|role| role.spec(self.scopes)) {
+            let sizes = if self.sizes.is_empty() { spec.sizes } else { &self.sizes };
+            let mut played = ResultsBySize::new();
+            let mut deadline = Instant::now();
             for size in sizes {
-                eprintln!("{} at {size} {} ...", part.name, part.counts);
-                until += Duration::from_secs(self.limit);
-                let point = Point { size: *size, seed: 1, until, program: program.clone() };
-                played.insert(*size, self.played(part, &point)?);
+                eprintln!("{} at {size} {} ...", spec.name, spec.size_unit);
+                deadline += Duration::from_secs(self.limit);
+                let point = Point { size: *size, seed: 1, deadline, program: program.clone() };
+                played.insert(*size, self.measure(spec, &point)?);
             }
-            let table = table(part, &played);
+            let table = table(spec, &played);
             println!("{table}");
-            let broken = broken(part, &played);
-            broken.iter().for_each(|(told, _)| println!("{told}"));
-            held &= !broken.iter().any(|(_, expected)| *expected);
-            all.insert(part.name.to_owned(), in_json(&played));
-            pages.push((part, played, table));
+            let exceeded = exceeded_bounds(spec, &played);
+            exceeded.iter().for_each(|(message, _)| println!("{message}"));
+            held &= !exceeded.iter().any(|(_, is_enforced)| *is_enforced);
+            all.insert(spec.name.to_owned(), in_json(&played));
+            pages.push((spec, played, table));
         }
         if let Some(path) = &self.json {
             let text = format!("{:#}\n", json!({ "roles": all }));
@@ -142,15 +142,15 @@
     }
 
     /// Plays a size with each seed, as far as its time allows.
-    fn played(&self, part: Part, point: &Point) -> Result<Played, RunError> {
-        let mut played = Played::default();
+    fn measure(&self, spec: RoleSpec, point: &Point) -> Result<SizeResult, RunError> {
+        let mut played = SizeResult::default();
         for seed in 1..=self.seeds {
             let begin = Instant::now();
-            let stopped = match (part.play)(&Point { seed, ..point.clone() }) {
+            let stopped = match (spec.measure)(&Point { seed, ..point.clone() }) {
                 Ok(figures) => {
                     played.seeds.push(figures);
                     let (took, left) =
-                        (begin.elapsed(), point.until.saturating_duration_since(Instant::now()));
+                        (begin.elapsed(), point.deadline.saturating_duration_since(Instant::now()));
                     if seed < self.seeds && took > left {
                         let why = format!(
                             "seed {seed} of {} took {took:.0?}, and {left:.0?} were left",
@@ -164,9 +164,9 @@
                 Err(stopped) => stopped,
             };
             let why = match stopped {
-                Stopped::Odd(odd) => return Err(RunError::Failed(format!("{}: {odd}", part.name))),
-                Stopped::NotRun(why) => why,
-                Stopped::Partly(figures, why) => {
+                MeasureError::Failed(odd) => return Err(RunError::Failed(format!("{}: {odd}", spec.name))),
+                MeasureError::NotRun(why) => why,
+                MeasureError::Partial(figures, why) => {
                     // What one seed has more of than the others would pass for their median.
                     if played.seeds.is_empty() {
                         played.seeds.push(figures);
@@ -183,16 +183,16 @@
 
 /// Draws a page's tables anew.
 fn drawn(page: &Path) -> Result<(), String> {
-    let parts: Vec<Part> = Role::value_variants().iter().map(|role| role.part(false)).collect();
+    let specs: Vec<RoleSpec> = Role::value_variants().iter().map(|role| role.spec(false)).collect();
     let text = std::fs::read_to_string(page).map_err(|e| e.to_string())?;
     let folder = page.parent().unwrap_or_else(|| Path::new("."));
-    std::fs::write(page, page::draw(&text, folder, &parts)?).map_err(|e| e.to_string())
+    std::fs::write(page, page::draw(&text, folder, &specs)?).map_err(|e| e.to_string())
 }
 
-fn table(part: Part, played: &Sizes) -> String {
+fn table(spec: RoleSpec, played: &ResultsBySize) -> String {
     let mut table = Table::new();
     let sizes = played.keys().map(|size| format!("{size}"));
-    let head = [format!("{}, by {}", part.name, part.counts)].into_iter().chain(sizes);
+    let head = [format!("{}, by {}", spec.name, spec.size_unit)].into_iter().chain(sizes);
     let fit = ["exponent", "residual", "at 6300"].map(str::to_owned);
     table.load_preset(presets::NOTHING).set_header(head.chain(fit));
     for figure in names(played) {
@@ -210,7 +210,7 @@
         row.extend(match fitted(played, figure) {
             Some(fit) => {
                 let faster = if fit.exponent > FASTER { " faster than the size" } else { "" };
-                let planned = short(fit.at(PLANNED as f64));
+                let planned = short(fit.at(PLANNED_SIZE as f64));
                 [format!("{:.2}{faster}", fit.exponent), format!("{:.0}%", fit.residual * 100.0), planned]
             }
             None => ["-", "-", "-"].map(str::to_owned),
@@ -221,27 +221,27 @@
     let mut text: String = table.lines().map(|line| format!("{}\n", line.trim_end())).collect();
     for (size, played) in played {
         if let Some(why) = &played.not_run {
-            text.push_str(&format!("{} at {size}: not run: {why}\n", part.name));
+            text.push_str(&format!("{} at {size}: not run: {why}\n", spec.name));
         }
     }
     text
 }
 
 /// Bounds that a size is over, and whether it was expected to keep them.
-fn broken(part: Part, played: &Sizes) -> Vec<(String, bool)> {
+fn exceeded_bounds(spec: RoleSpec, played: &ResultsBySize) -> Vec<(String, bool)> {
     let mut told = Vec::new();
-    for bound in part.bounds {
-        for (size, played) in played.range(bound.from..) {
+    for bound in spec.bounds {
+        for (size, played) in played.range(bound.min_size..) {
             let Some([_, _, most]) = played.spread(bound.figure) else { continue };
-            if most > bound.most {
-                let how = if bound.expected { "expected" } else { "budget" };
-                let (role, figure) = (part.name, bound.figure);
+            if most > bound.max {
+                let how = if bound.is_enforced { "expected" } else { "budget" };
+                let (role, figure) = (spec.name, bound.figure);
                 let text = format!(
                     "{role} at {size}: {figure} is {}, {how} at most {}",
                     short(most),
-                    short(bound.most)
+                    short(bound.max)
                 );
-                told.push((text, bound.expected));
+                told.push((text, bound.is_enforced));
             }
         }
     }
@@ -249,18 +249,18 @@
 }
 
 /// `"6300": {"figure": median, ...}`; what was not run, or not wholly, has its reason there.
-fn in_json(played: &Sizes) -> Value {
-    let size = |(size, played): (&usize, &Played)| {
+fn in_json(played: &ResultsBySize) -> Value {
+    let size = |(size, played): (&usize, &SizeResult)| {
         let names = played.names().into_iter();
         let spreads = names.filter_map(|figure| Some((figure, played.spread(figure)?)));
-        let parts = spreads.flat_map(|(figure, [median, least, most])| {
-            let part = |end: &str, value| (format!("{figure}{end}"), json!(value));
-            [part("", median), part(".least", least), part(".most", most)]
+        let statistics = spreads.flat_map(|(figure, [median, least, most])| {
+            let statistic = |suffix: &str, value| (format!("{figure}{suffix}"), json!(value));
+            [statistic("", median), statistic(".least", least), statistic(".most", most)]
         });
         let name = if played.seeds.is_empty() { "not_run" } else { "partly" };
         let not_run = played.not_run.iter().map(|why| (name.to_owned(), json!(why)));
         let seeds = ("seeds".to_owned(), json!(played.seeds.len()));
-        let figures = parts.chain(not_run).chain([seeds]).collect();
+        let figures = statistics.chain(not_run).chain([seeds]).collect();
         (size.to_string(), Value::Object(figures))
     };
     Value::Object(played.iter().map(size).collect())
--- a/crates/testbed/src/scale/page.rs
+++ b/crates/testbed/src/scale/page.rs
@@ -5,7 +5,7 @@
 //! the page; several are written with commas between, and of a role that two have the last counts.
 
 use super::fit::Fit;
-use super::point::{Part, PLANNED};
+use super::point::{RoleSpec, PLANNED_SIZE};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,20 +16,20 @@
 const END: &str = "<!-- end -->";
 
 /// A size as it was written.
-struct Played {
+struct SizeResult {
     figures: BTreeMap<String, f64>,
     /// Why some of it was not run, or all.
     stopped: Option<String>,
 }
 
 /// A role's figures by size.
-type Sizes = BTreeMap<usize, Played>;
+type ResultsBySize = BTreeMap<usize, SizeResult>;
 
 /// The page with its tables drawn anew.
 ///
 /// # Errors
 /// A file, a role or a figure is not there, or a table has no end.
-pub fn draw(page: &str, folder: &Path, parts: &[Part]) -> Result<String, String> {
+pub fn draw(page: &str, folder: &Path, specs: &[RoleSpec]) -> Result<String, String> {
     let mut drawn = String::new();
     let mut lines = page.lines().enumerate();
     while let Some((number, line)) = lines.next() {
@@ -40,7 +40,7 @@
         };
         let odd = |odd| format!("line {}: {odd}", number + 1);
         drawn.push('\n');
-        drawn.push_str(&table(asked, folder, parts).map_err(odd)?);
+        drawn.push_str(&table(asked, folder, specs).map_err(odd)?);
         drawn.push('\n');
         let end = lines.find(|(_, line)| *line == END);
         end.ok_or_else(|| odd(format!("the table has no end: a line '{END}' ends it")))?;
@@ -50,7 +50,7 @@
     Ok(drawn)
 }
 
-fn table(asked: &str, folder: &Path, parts: &[Part]) -> Result<String, String> {
+fn table(asked: &str, folder: &Path, specs: &[RoleSpec]) -> Result<String, String> {
     let words: Vec<&str> = asked.split_whitespace().collect();
     let (file, role, figures) = match words.as_slice() {
         [file, role, figures @ ..] => (*file, *role, figures),
@@ -63,16 +63,16 @@
         roles.extend(json["roles"].as_object().cloned().unwrap_or_default());
     }
     if role == "order" {
-        return Ok(order(&roles, parts));
+        return Ok(order(&roles, specs));
     }
-    let part = parts.iter().find(|part| part.name == role).ok_or_else(|| format!("no role is '{role}'"))?;
+    let spec = specs.iter().find(|spec| spec.name == role).ok_or_else(|| format!("no role is '{role}'"))?;
     let sizes = sizes(&roles, role);
     if sizes.is_empty() {
         return Err(format!("{file} has nothing of {role}"));
     }
-    let mut text = format!("| {role}, by {} |", part.counts);
+    let mut text = format!("| {role}, by {} |", spec.size_unit);
     sizes.keys().for_each(|size| text.push_str(&format!(" {size} |")));
-    text.push_str(&format!(" exponent | at {PLANNED} | budget | reached at |\n| ---"));
+    text.push_str(&format!(" exponent | at {PLANNED_SIZE} | budget | reached at |\n| ---"));
     text.push_str(&" | ---:".repeat(sizes.len() + 4));
     text.push_str(" |\n");
     for figure in figures {
@@ -86,22 +86,22 @@
             return Err(format!("{file} has no figure '{figure}' of {role}"));
         }
         let fit = fitted(&sizes, figure);
-        let measured = sizes.get(&PLANNED).and_then(|played| played.figures.get(*figure));
+        let measured = sizes.get(&PLANNED_SIZE).and_then(|played| played.figures.get(*figure));
         let planned = match (measured, fit) {
             (Some(value), _) => short(*value),
             // What is counted by something else than processes has no value at so many of them.
             (None, Some(fit)) if sizes.keys().last().is_some_and(|most| *most > 1_000) => {
-                format!("{} computed", short(fit.at(PLANNED as f64)))
+                format!("{} computed", short(fit.at(PLANNED_SIZE as f64)))
             }
             _ => "-".to_owned(),
         };
-        let bound = part.bounds.iter().find(|bound| bound.figure == *figure);
-        let reached = bound.and_then(|bound| reached(&sizes, figure, bound.most));
+        let bound = spec.bounds.iter().find(|bound| bound.figure == *figure);
+        let reached = bound.and_then(|bound| reached(&sizes, figure, bound.max));
         text.push_str(&format!(
             "| `{figure}` | {} | {} | {planned} | {} | {} |\n",
             row.join(" | "),
             fit.map_or("-".to_owned(), |fit| format!("{:.2}", fit.exponent)),
-            bound.map_or("-".to_owned(), |bound| short(bound.most)),
+            bound.map_or("-".to_owned(), |bound| short(bound.max)),
             reached.map_or("-".to_owned(), |reached| reached.told()),
         ));
     }
@@ -142,7 +142,7 @@
 }
 
 /// The first size over a bound; else where the slope leads there.
-fn reached(sizes: &Sizes, figure: &str, most: f64) -> Option<Reached> {
+fn reached(sizes: &ResultsBySize, figure: &str, most: f64) -> Option<Reached> {
     let mut under = 0;
     for (size, played) in sizes {
         let Some(value) = played.figures.get(figure) else { continue };
@@ -158,43 +158,43 @@
 }
 
 /// Bounds by the size at which they are reached.
-fn order(roles: &Map<String, Value>, parts: &[Part]) -> String {
+fn order(roles: &Map<String, Value>, specs: &[RoleSpec]) -> String {
     let mut rows = Vec::new();
-    for part in parts {
-        let sizes = sizes(roles, part.name);
-        for bound in part.bounds {
-            if let Some(reached) = reached(&sizes, bound.figure, bound.most) {
-                rows.push((reached, part, bound));
+    for spec in specs {
+        let sizes = sizes(roles, spec.name);
+        for bound in spec.bounds {
+            if let Some(reached) = reached(&sizes, bound.figure, bound.max) {
+                rows.push((reached, spec, bound));
             }
         }
     }
     rows.sort_by(|a, b| a.0.size().total_cmp(&b.0.size()));
     let mut text = "| reached at | role | figure | bound |\n| ---: | --- | --- | ---: |\n".to_owned();
-    for (reached, part, bound) in rows {
-        let (told, counts, name) = (reached.told(), part.counts, part.name);
+    for (reached, spec, bound) in rows {
+        let (reached, size_unit, name) = (reached.told(), spec.size_unit, spec.name);
         text.push_str(&format!(
-            "| {told} {counts} | {name} | `{}` | {} |\n",
+            "| {reached} {size_unit} | {name} | `{}` | {} |\n",
             bound.figure,
-            short(bound.most)
+            short(bound.max)
         ));
     }
     text
 }
 
-fn sizes(roles: &Map<String, Value>, role: &str) -> Sizes {
-    let mut sizes = Sizes::new();
+fn sizes(roles: &Map<String, Value>, role: &str) -> ResultsBySize {
+    let mut sizes = ResultsBySize::new();
     for (size, played) in roles.get(role).and_then(Value::as_object).into_iter().flatten() {
         let Ok(size) = size.parse() else { continue };
         let all = played.as_object().into_iter().flatten();
         let figures = all.filter_map(|(name, value)| Some((name.clone(), value.as_f64()?))).collect();
         let stopped = played["not_run"].as_str().or(played["partly"].as_str()).map(str::to_owned);
-        let played = Played { figures, stopped };
+        let played = SizeResult { figures, stopped };
         sizes.insert(size, played);
     }
     sizes
 }
 
-fn fitted(sizes: &Sizes, figure: &str) -> Option<Fit> {
+fn fitted(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
     let points = sizes.iter().filter_map(|(size, played)| Some((*size as f64, *played.figures.get(figure)?)));
     Fit::of(&points.collect::<Vec<_>>())
 }
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -10,20 +10,26 @@
 
 mod member;
 pub mod net;
-mod place;
+mod topology;
 
-use super::point::{Bound, Figures, Part, Point, Stopped};
+use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use net::{Learnt, Net, Scopes, Tally, SECOND};
 use oakport_core::Micros;
 use oakport_membership::{Node, RemoteScope, ScopeStatus};
-use place::ZONES;
+use topology::ZONES;
 
 /// The role.
-pub const PART: Part =
-    Part { name: "peers", counts: "members", sizes: &[60, 300, 1_000, 3_000, 6_300], bounds: &BOUNDS, play };
+pub const ROLE: RoleSpec = RoleSpec {
+    name: "peers",
+    size_unit: "members",
+    sizes: &[60, 300, 1_000, 3_000, 6_300],
+    bounds: &BOUNDS,
+    measure: play,
+};
 
 /// The role with a scope for each zone.
-pub const IN_SCOPES: Part = Part { counts: "members in scopes", play: play_in_scopes, ..PART };
+pub const ROLE_WITH_SCOPES: RoleSpec =
+    RoleSpec { size_unit: "members in scopes", measure: play_in_scopes, ..ROLE };
 
 /// Bytes a second that control may cost a process.
 const BYTES: f64 = 22_000.0;
@@ -32,8 +38,8 @@
 /// Bytes of memory.
 const MEMORY: f64 = 64e6;
 
-const fn budget(figure: &'static str, most: f64) -> Bound {
-    Bound { figure, most, from: 1, expected: false }
+const fn budget(figure: &'static str, max: f64) -> Bound {
+    Bound { figure, max, min_size: 1, is_enforced: false }
 }
 
 /// What the operators allow, and what is aimed at within it at the size they plan with.
@@ -55,8 +61,8 @@
     budget("day.cpu_share", PROCESSOR),
     budget("memory_bytes_most", MEMORY),
     budget("quiet.bytes_per_s_mean", 8_000.0),
-    Bound { figure: "quiet.cpu_share", most: 0.006, from: 6_300, expected: false },
-    Bound { figure: "memory_bytes_most", most: 16e6, from: 6_300, expected: false },
+    Bound { figure: "quiet.cpu_share", max: 0.006, min_size: 6_300, is_enforced: false },
+    Bound { figure: "memory_bytes_most", max: 16e6, min_size: 6_300, is_enforced: false },
     budget("start.count_off_share_after_15_s", 0.05),
     budget("zone.s_until_99_know", 8.0),
     budget("zone.held_dead_wrongly", 0.0),
@@ -117,11 +123,11 @@
     ];
 }
 
-fn play(point: &Point) -> Result<Figures, Stopped> {
+fn play(point: &Point) -> Result<Figures, MeasureError> {
     moments(point, Scopes::One, &Moment::ALL)
 }
 
-fn play_in_scopes(point: &Point) -> Result<Figures, Stopped> {
+fn play_in_scopes(point: &Point) -> Result<Figures, MeasureError> {
     moments(point, Scopes::Zones, &Moment::ALL)
 }
 
@@ -129,22 +135,27 @@
 ///
 /// # Errors
 /// The time or the memory that it may take was used up; with the figures of the moments that had ended.
-pub fn moments(point: &Point, scopes: Scopes, moments: &[Moment]) -> Result<Figures, Stopped> {
+pub fn moments(point: &Point, scopes: Scopes, moments: &[Moment]) -> Result<Figures, MeasureError> {
     // More threads than have something to do in a window only wait for one another.
     let threads = (point.size / MEMBERS_A_THREAD).clamp(1, rayon::current_num_threads());
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
-    let pool = pool.map_err(|e| Stopped::Odd(format!("threads: {e}")))?;
+    let pool = pool.map_err(|e| MeasureError::Failed(format!("threads: {e}")))?;
     let mut figures = Figures::new();
     match pool.install(|| in_turn(point, scopes, moments, &mut figures)) {
         Ok(()) => Ok(figures),
-        Err(Stopped::NotRun(why)) if !figures.is_empty() => Err(Stopped::Partly(figures, why)),
+        Err(MeasureError::NotRun(why)) if !figures.is_empty() => Err(MeasureError::Partial(figures, why)),
         Err(stopped) => Err(stopped),
     }
 }
 
 /// Plays moments and adds the figures of each that has ended.
-fn in_turn(point: &Point, scopes: Scopes, moments: &[Moment], figures: &mut Figures) -> Result<(), Stopped> {
-    let mut net = Net::new(point.size, point.seed, scopes, point.until);
+fn in_turn(
+    point: &Point,
+    scopes: Scopes,
+    moments: &[Moment],
+    figures: &mut Figures,
+) -> Result<(), MeasureError> {
+    let mut net = Net::new(point.size, point.seed, scopes, point.deadline);
     for moment in moments {
         let played = match moment {
             Moment::Start => start(&mut net, figures),
@@ -156,12 +167,12 @@
             Moment::Day => day(&mut net, figures),
             Moment::StartFromThree if point.size >= LARGE => Ok(()),
             Moment::StartFromThree => {
-                net = Net::new(point.size, point.seed, scopes, point.until);
+                net = Net::new(point.size, point.seed, scopes, point.deadline);
                 start_from_three(&mut net, figures)
             }
         };
         played.map_err(|stopped| match stopped {
-            Stopped::NotRun(why) => Stopped::NotRun(format!("{why}, in its moment {moment:?}")),
+            MeasureError::NotRun(why) => MeasureError::NotRun(format!("{why}, in its moment {moment:?}")),
             other => other,
         })?;
     }
@@ -170,7 +181,7 @@
 
 /// How many a member holds to be in another scope than its own.
 fn in_scope(peers: &Node, zone: usize) -> usize {
-    let of_zone = |(name, _): &(&str, &RemoteScope)| place::named(name) == Some(zone);
+    let of_zone = |(name, _): &(&str, &RemoteScope)| topology::named(name) == Some(zone);
     match peers.scopes().iter().find(of_zone) {
         // What a scope that is silent had last is not known to be there.
         Some((_, scope)) if scope.status() == ScopeStatus::Fresh => scope.member_count(),
@@ -180,14 +191,14 @@
 
 /// Whether a member holds all that run to be there, and no other; so many run in each zone.
 fn knows_all(peers: &Node, running: &[usize; ZONES]) -> bool {
-    let Some(own) = place::named(peers.scope()) else {
+    let Some(own) = topology::named(peers.scope()) else {
         return peers.members().size() == running.iter().sum::<usize>();
     };
     let mut held = [0; ZONES];
     held[own] = peers.members().size();
     held[own] == running[own] && {
         for (name, scope) in peers.scopes().iter().filter(|(_, scope)| scope.status() == ScopeStatus::Fresh) {
-            if let Some(held) = place::named(name).and_then(|zone| held.get_mut(zone)) {
+            if let Some(held) = topology::named(name).and_then(|zone| held.get_mut(zone)) {
                 *held = scope.member_count();
             }
         }
@@ -197,21 +208,21 @@
 
 /// Whether a member knows that another is gone. Of another scope it is told how many there are.
 fn knows_gone(peers: &Node, gone: usize, size: usize, running: &[usize; ZONES]) -> bool {
-    let zone = place::zone(gone, size);
-    match place::named(peers.scope()) {
+    let zone = topology::zone(gone, size);
+    match topology::named(peers.scope()) {
         Some(own) if own != zone => in_scope(peers, zone) <= running[zone],
-        _ => !peers.members().get(place::address(gone)).is_some_and(|seen| seen.status.is_live()),
+        _ => !peers.members().get(topology::address(gone)).is_some_and(|seen| seen.status.is_live()),
     }
 }
 
 /// Goes on until all hold all that run to be there, and no other.
-fn all_know_all(net: &mut Net, most: Micros) -> Result<Learnt, Stopped> {
+fn all_know_all(net: &mut Net, most: Micros) -> Result<Learnt, MeasureError> {
     let running = net.running();
     net.learn(most, 1, |peers, _| usize::from(knows_all(peers, &running)))
 }
 
 /// Goes on until all know that these are gone.
-fn all_know_gone(net: &mut Net, most: Micros, gone: &[usize]) -> Result<Learnt, Stopped> {
+fn all_know_gone(net: &mut Net, most: Micros, gone: &[usize]) -> Result<Learnt, MeasureError> {
     let (size, running) = (net.size(), net.running());
     net.learn(most, gone.len(), |peers, known| {
         known + gone[known..].iter().take_while(|gone| knows_gone(peers, **gone, size, &running)).count()
@@ -254,12 +265,12 @@
 }
 
 /// Goes on until a moment that began has lasted so long.
-fn last(net: &mut Net, seconds: f64) -> Result<(), Stopped> {
+fn last(net: &mut Net, seconds: f64) -> Result<(), MeasureError> {
     net.go(((seconds - net.passed()).max(0.0) * SECOND as f64) as Micros)
 }
 
 /// Starts all within a second.
-fn start_all(net: &mut Net, seeds: Option<&[usize]>) -> Result<(), Stopped> {
+fn start_all(net: &mut Net, seeds: Option<&[usize]>) -> Result<(), MeasureError> {
     let size = net.size();
     for (order, member) in net.shuffled().into_iter().enumerate() {
         last(net, TOGETHER as f64 * order as f64 / size as f64 / SECOND as f64)?;
@@ -269,7 +280,7 @@
 }
 
 /// All start at once, each with seeds of its own.
-fn start(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn start(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     net.begin();
     start_all(net, None)?;
     let all = net.size();
@@ -287,7 +298,7 @@
 }
 
 /// All start at once, and all know the same three.
-fn start_from_three(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn start_from_three(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     net.begin();
     let size = net.size();
     start_all(net, Some(&[0, size / 3, 2 * size / 3]))?;
@@ -298,7 +309,7 @@
 }
 
 /// Goes on until what is spent falls no more.
-fn settle(net: &mut Net) -> Result<f64, Stopped> {
+fn settle(net: &mut Net) -> Result<f64, MeasureError> {
     const MOST: f64 = 120.0;
     let span = lasts(net, 5.0, 2.0);
     let (mut before, mut settled) = (f64::INFINITY, 0.0);
@@ -317,7 +328,7 @@
 }
 
 /// Nothing happens.
-fn quiet(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn quiet(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     let settled = settle(net)?;
     net.begin();
     last(net, lasts(net, 30.0, 10.0))?;
@@ -333,7 +344,7 @@
 }
 
 /// One dies.
-fn death(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn death(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     net.begin();
     let dead = net.size() / 2;
     net.die(dead);
@@ -351,7 +362,7 @@
 }
 
 /// A rack loses its power.
-fn rack(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn rack(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(net)?;
     net.begin();
     let rack: Vec<usize> = (0..RACK.min(net.size() / RACK_PART)).collect();
@@ -366,11 +377,11 @@
 }
 
 /// A zone loses its power, and starts anew half a minute later.
-fn zone(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn zone(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(net)?;
     net.begin();
     let size = net.size();
-    let zone: Vec<usize> = (0..size).filter(|member| place::zone(*member, size) == 1).collect();
+    let zone: Vec<usize> = (0..size).filter(|member| topology::zone(*member, size) == 1).collect();
     zone.iter().for_each(|member| net.die(*member));
     let learnt = all_know_gone(net, 30 * SECOND, &zone)?;
     last(net, lasts(net, 30.0, 15.0))?;
@@ -388,7 +399,7 @@
 }
 
 /// A region is parted from the others for three minutes.
-fn parted(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn parted(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(net)?;
     net.begin();
     net.part(Some(1));
@@ -411,7 +422,7 @@
 }
 
 /// Some minutes of an ordinary day whose events come within an hour.
-fn day(net: &mut Net, figures: &mut Figures) -> Result<(), Stopped> {
+fn day(net: &mut Net, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(net)?;
     net.begin();
     let size = net.size();
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -1,6 +1,6 @@
 //! A hollow process: a member and its timers, without sockets and calls, and what it spends.
 
-use super::place;
+use super::topology;
 use nix::time::{clock_gettime, ClockId};
 use oakport_core::Micros;
 use oakport_membership::{Identity, MemberStatus, MembershipEvent, Node, NodeConfig, ScopeStatus};
@@ -97,12 +97,12 @@
     pub fn start(&mut self, now: Micros, zone: usize, seeds: &[usize], scope: &str) -> Event {
         let own = Identity::new(
             &format!("fare-{}", self.number),
-            place::address(self.number),
+            topology::address(self.number),
             now / 1_000,
             "0.2.0",
-            &place::name(zone),
+            &topology::name(zone),
         );
-        let seeds = seeds.iter().map(|seed| place::address(*seed)).collect();
+        let seeds = seeds.iter().map(|seed| topology::address(*seed)).collect();
         // Told of one process, so that what it counts is all from what it knows.
         let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let seed = self.random.gen();
@@ -161,10 +161,10 @@
     }
 
     /// Tells it the time whenever that is due, up to a moment.
-    fn timers(&mut self, until: Micros, weather: &Weather, done: &mut Done) {
+    fn timers(&mut self, deadline: Micros, weather: &Weather, done: &mut Done) {
         while let Some(peers) = &self.peers {
             let due = peers.next_deadline().max(self.told);
-            if due > until {
+            if due > deadline {
                 return;
             }
             self.told = due + 1;
@@ -185,21 +185,21 @@
             self.sent += 1;
             self.spent.datagrams += 1;
             self.spent.bytes += datagram.len() as u64 + HEADERS;
-            let Some(to) = place::member(*to).filter(|to| *to < weather.size) else { continue };
-            let region = |member| place::region(member, weather.size);
+            let Some(to) = topology::member(*to).filter(|to| *to < weather.size) else { continue };
+            let region = |member| topology::region(member, weather.size);
             let crosses = region(self.number) != region(to);
             let cut = |parted| crosses && (region(self.number) == parted || region(to) == parted);
             let lost = weather.loss > 0.0 && self.random.gen_bool(weather.loss);
             if weather.parted.is_some_and(cut) || lost {
                 continue;
             }
-            let at = now + place::latency(self.number, to, weather.size, &mut self.random);
+            let at = now + topology::latency(self.number, to, weather.size, &mut self.random);
             let datagram = Some(Box::from(datagram.as_slice()));
             done.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
         }
         done.dead.extend(news.iter().filter_map(|news| match news {
             MembershipEvent::MemberChanged { member, status: MemberStatus::Dead } => {
-                Some((place::member(member.address)?, member.incarnation))
+                Some((topology::member(member.address)?, member.incarnation))
             }
             _ => None,
         }));
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -3,8 +3,8 @@
 //! plays it.
 
 use super::member::{self, Done, Event, Member, Spent, Weather};
-use super::place;
-use crate::scale::point::Stopped;
+use super::topology;
+use crate::scale::point::MeasureError;
 use oakport_core::Micros;
 use oakport_membership::Node;
 use rand::seq::index;
@@ -16,7 +16,7 @@
 /// A second.
 pub const SECOND: Micros = 1_000_000;
 /// A window.
-const WINDOW: Micros = place::LEAST;
+const WINDOW: Micros = topology::LEAST;
 /// Windows that are laid out; what is due later is looked at again meanwhile.
 const LAID_OUT: usize = 1_024;
 /// With fewer members in a window they are played by one thread: that is sooner done.
@@ -46,7 +46,7 @@
     members: Vec<Member>,
     weather: Weather,
     random: Pcg32,
-    until: Instant,
+    deadline: Instant,
     windows: u64,
     tally: Tally,
 }
@@ -87,7 +87,7 @@
 
 impl Net {
     /// Members that do not run yet.
-    pub fn new(size: usize, seed: u64, scopes: Scopes, until: Instant) -> Self {
+    pub fn new(size: usize, seed: u64, scopes: Scopes, deadline: Instant) -> Self {
         let weather = Weather { size, parted: None, loss: 0.0, toll: member::toll() };
         Net {
             scopes,
@@ -97,7 +97,7 @@
             members: (0..size).map(|number| Member::new(number, seed)).collect(),
             weather,
             random: Pcg32::new(seed, size as u64),
-            until,
+            deadline,
             windows: 0,
             tally: Tally::default(),
         }
@@ -109,10 +109,10 @@
     }
 
     /// How many run in each zone.
-    pub fn running(&self) -> [usize; place::ZONES] {
-        let mut running = [0; place::ZONES];
+    pub fn running(&self) -> [usize; topology::ZONES] {
+        let mut running = [0; topology::ZONES];
         let members = self.members.iter().enumerate().filter(|(_, member)| member.peers.is_some());
-        members.for_each(|(number, _)| running[place::zone(number, self.members.len())] += 1);
+        members.for_each(|(number, _)| running[topology::zone(number, self.members.len())] += 1);
         running
     }
 
@@ -149,10 +149,10 @@
         let size = self.size();
         let others = index::sample(&mut self.random, size - 1, SEEDS.min(size - 1));
         let drawn: Vec<usize> = others.iter().map(|other| other + usize::from(other >= number)).collect();
-        let zone = place::zone(number, size);
+        let zone = topology::zone(number, size);
         let scope = match self.scopes {
             Scopes::One => String::new(),
-            Scopes::Zones => place::name(zone),
+            Scopes::Zones => topology::name(zone),
         };
         let event = self.members[number].start(self.now, zone, seeds.unwrap_or(&drawn), &scope);
         self.put(event);
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     /// The time or the memory that this play may take is used up.
-    pub fn go(&mut self, span: Micros) -> Result<(), Stopped> {
+    pub fn go(&mut self, span: Micros) -> Result<(), MeasureError> {
         let end = self.now + span;
         while self.now < end {
             self.window()?;
@@ -237,7 +237,7 @@
         span: Micros,
         goal: usize,
         progress: impl Fn(&Node, usize) -> usize + Sync,
-    ) -> Result<Learnt, Stopped> {
+    ) -> Result<Learnt, MeasureError> {
         let end = self.now + span;
         let mut far = vec![0; self.size()];
         let mut learnt = Learnt { most: None, all: None, share: 0.0 };
@@ -268,7 +268,7 @@
     }
 
     /// Plays a window.
-    fn window(&mut self) -> Result<(), Stopped> {
+    fn window(&mut self) -> Result<(), MeasureError> {
         self.look_after()?;
         let end = self.now + WINDOW;
         let place = (self.now / WINDOW) as usize % LAID_OUT;
@@ -317,21 +317,22 @@
     /// Somebody holds a scope silent: is it?
     fn judge_scope(&mut self, scope: &str) {
         let running = self.running();
-        let wrong = place::named(scope).is_some_and(|zone| running.get(zone).is_some_and(|some| *some > 0));
+        let wrong =
+            topology::named(scope).is_some_and(|zone| running.get(zone).is_some_and(|some| *some > 0));
         self.tally.silent_wrongly += u64::from(wrong && self.weather.parted.is_none());
     }
 
     /// Ends the play before it takes more than it may.
-    fn look_after(&mut self) -> Result<(), Stopped> {
+    fn look_after(&mut self) -> Result<(), MeasureError> {
         let at = || format!("at {:.1} s of virtual time", self.now as f64 / SECOND as f64 - 1_000.0);
-        if Instant::now() >= self.until {
-            return Err(Stopped::NotRun(format!("its time was up {}", at())));
+        if Instant::now() >= self.deadline {
+            return Err(MeasureError::NotRun(format!("its time was up {}", at())));
         }
         if self.windows.is_multiple_of(MEMORY_LOOK) {
             let (own, half) =
                 (memory("/proc/self/status", "VmRSS:"), memory("/proc/meminfo", "MemTotal:") / 2);
             if own > half {
-                return Err(Stopped::NotRun(format!("it took half of the machine's memory {}", at())));
+                return Err(MeasureError::NotRun(format!("it took half of the machine's memory {}", at())));
             }
         }
         self.windows += 1;
--- a/crates/testbed/src/scale/point.rs
+++ b/crates/testbed/src/scale/point.rs
@@ -1,63 +1,63 @@
-//! What a role is played at, and what a play of it gives.
+//! The input and the result of measuring a role at one size.
 
 use crate::cluster::Program;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The size that the operators plan with.
-pub const PLANNED: usize = 6_300;
+/// The fleet size that the operators plan with.
+pub const PLANNED_SIZE: usize = 6_300;
 
 /// Figures by their dotted names, with the unit as the last part of a name: `start.bytes_per_s`.
 pub type Figures = BTreeMap<String, f64>;
 
-/// One size, played once.
+/// One size, measured with one seed.
 #[derive(Clone, Debug)]
 pub struct Point {
-    /// How many of what the role counts.
+    /// The size, in the unit of the role.
     pub size: usize,
-    /// The seed.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// The play has to end by then, and stops if it would not.
-    pub until: Instant,
+    /// The measurement stops by itself at this time.
+    pub deadline: Instant,
     /// The program under test, for roles that start processes.
     pub program: Program,
 }
 
-/// Why a point has no figures, or not all.
+/// Why a point has no figures, or only some of them.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Stopped {
-    /// It would not end in its time, or needs more than this machine may give it.
+pub enum MeasureError {
+    /// The measurement would not end in its time, or needs more resources than this machine has to spare.
     NotRun(String),
-    /// So did its last part; what it had until then.
-    Partly(Figures, String),
-    /// It cannot be played at all.
-    Odd(String),
+    /// As `NotRun`, but for a later part of the measurement: the figures of the parts that had ended.
+    Partial(Figures, String),
+    /// The measurement failed.
+    Failed(String),
 }
 
-/// A bound on a figure: a budget of the operators, or what a role is to keep.
+/// An upper bound of a figure: a budget of the operators, or an expectation of the role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// The figure.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// It is at most so much.
-    pub most: f64,
-    /// Sizes from this one on.
-    pub from: usize,
-    /// What breaks it ends with exit status 1; else it is only told.
-    pub expected: bool,
+    /// Largest value allowed.
+    pub max: f64,
+    /// Smallest size to which the bound applies.
+    pub min_size: usize,
+    /// Whether exceeding it ends the command with exit status 1; otherwise it is only reported.
+    pub is_enforced: bool,
 }
 
-/// What is played of a role.
+/// How a role is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
-    /// Its name.
+pub struct RoleSpec {
+    /// Name of the role.
     pub name: &'static str,
-    /// What its sizes count.
-    pub counts: &'static str,
-    /// The sizes it is played at, the largest at least 20 times the least.
+    /// What a size counts.
+    pub size_unit: &'static str,
+    /// Default sizes, the largest at least 20 times the smallest.
     pub sizes: &'static [usize],
     /// Budgets and expectations.
     pub bounds: &'static [Bound],
-    /// Plays one size with one seed.
-    pub play: fn(&Point) -> Result<Figures, Stopped>,
+    /// Measures one size with one seed.
+    pub measure: fn(&Point) -> Result<Figures, MeasureError>,
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -2,8 +2,8 @@
 
 use super::fit::Fit;
 use super::page::short;
-use super::played::{fitted, names, Played, Sizes};
-use super::point::Part;
+use super::point::RoleSpec;
+use super::results::{fitted, names, ResultsBySize, SizeResult};
 use askama::Template;
 use plotters::prelude::*;
 
@@ -34,7 +34,7 @@
 <p><span class="key" style="background: rgb(0, 114, 178)"></span>median of the seeds, with the least and the most
 <span class="key" style="background: rgb(86, 180, 233)"></span>fitted slope
 <span class="key" style="background: rgb(213, 94, 0)"></span>budget</p>
-{% for role in roles %}<h2>{{ role.name }}, by {{ role.counts }}</h2>
+{% for role in roles %}<h2>{{ role.name }}, by {{ role.size_unit }}</h2>
 {% for plot in role.plots %}<h3>{{ plot.figure }}</h3>
 <p>{{ plot.told }}</p>
 {{ plot.svg|safe }}
@@ -48,7 +48,7 @@
 
 struct Role {
     name: &'static str,
-    counts: &'static str,
+    size_unit: &'static str,
     plots: Vec<Plot>,
     table: String,
 }
@@ -63,16 +63,16 @@
 ///
 /// # Errors
 /// A plot or the page could not be made, and why.
-pub fn html(played: &[(Part, Sizes, String)]) -> Result<String, String> {
+pub fn html(played: &[(RoleSpec, ResultsBySize, String)]) -> Result<String, String> {
     let roles = played.iter().map(role).collect::<Result<_, String>>()?;
     Page { roles }.render().map_err(|e| format!("report: {e}"))
 }
 
-fn role((part, sizes, table): &(Part, Sizes, String)) -> Result<Role, String> {
+fn role((spec, sizes, table): &(RoleSpec, ResultsBySize, String)) -> Result<Role, String> {
     let all = names(sizes);
-    let bounds = part.bounds.iter().map(|bound| (bound.figure.to_owned(), Some(bound.most)));
+    let bounds = spec.bounds.iter().map(|bound| (bound.figure.to_owned(), Some(bound.max)));
     let unbound =
-        all.iter().filter(|_| part.bounds.is_empty()).take(UNBOUND).map(|name| ((*name).clone(), None));
+        all.iter().filter(|_| spec.bounds.is_empty()).take(UNBOUND).map(|name| ((*name).clone(), None));
     let mut plots = Vec::new();
     for (figure, bound) in bounds.chain(unbound) {
         // What is nothing everywhere has no place on a logarithmic axis, and needs none.
@@ -80,10 +80,10 @@
             plots.push(plot(sizes, figure, bound)?);
         }
     }
-    Ok(Role { name: part.name, counts: part.counts, plots, table: table.clone() })
+    Ok(Role { name: spec.name, size_unit: spec.size_unit, plots, table: table.clone() })
 }
 
-fn plot(sizes: &Sizes, figure: String, bound: Option<f64>) -> Result<Plot, String> {
+fn plot(sizes: &ResultsBySize, figure: String, bound: Option<f64>) -> Result<Plot, String> {
     let fit = fitted(sizes, &figure);
     let slope = fit.map(|fit| {
         let reaches = bound.and_then(|bound| fit.reaches(bound)).filter(|size| *size <= FAR);
@@ -101,9 +101,9 @@
 }
 
 /// Medians with their spreads, the slope and the budget, both axes by their logarithms.
-fn draw(sizes: &Sizes, figure: &str, fit: Option<Fit>, bound: Option<f64>) -> Result<String, String> {
+fn draw(sizes: &ResultsBySize, figure: &str, fit: Option<Fit>, bound: Option<f64>) -> Result<String, String> {
     let odd = |e: &dyn std::fmt::Display| format!("plot: {e}");
-    let point = |(size, played): (&usize, &Played)| {
+    let point = |(size, played): (&usize, &SizeResult)| {
         let [median, least, most] = played.spread(figure).filter(|[median, ..]| *median > 0.0)?;
         Some((*size as f64, median, least, most))
     };
--- a/crates/testbed/src/scale/played.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -6,7 +6,7 @@
 
 /// What a size gave.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct SizeResult {
     /// The figures of each seed that was played.
     pub seeds: Vec<Figures>,
     /// Why there are none, or not all.
@@ -14,9 +14,9 @@
 }
 
 /// What a role gave, by its sizes.
-pub type Sizes = BTreeMap<usize, Played>;
+pub type ResultsBySize = BTreeMap<usize, SizeResult>;
 
-impl Played {
+impl SizeResult {
     /// A figure's median over the seeds, with the least and the most.
     pub fn spread(&self, figure: &str) -> Option<[f64; 3]> {
         let mut all: Vec<f64> =
@@ -32,12 +32,12 @@
 }
 
 /// The names of all figures that some size has.
-pub fn names(sizes: &Sizes) -> BTreeSet<&String> {
-    sizes.values().flat_map(Played::names).collect()
+pub fn names(sizes: &ResultsBySize) -> BTreeSet<&String> {
+    sizes.values().flat_map(SizeResult::names).collect()
 }
 
 /// The slope of a figure's medians.
-pub fn fitted(sizes: &Sizes, figure: &str) -> Option<Fit> {
-    let point = |(size, played): (&usize, &Played)| Some((*size as f64, played.spread(figure)?[0]));
+pub fn fitted(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
+    let point = |(size, played): (&usize, &SizeResult)| Some((*size as f64, played.spread(figure)?[0]));
     Fit::of(&sizes.iter().filter_map(point).collect::<Vec<_>>())
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -17,7 +17,7 @@
 //! - `wrong`: a file in which one deadline is 0; `wrong_100`: one with a hundred of them. What the log says
 //!   of it is counted in lines and bytes, the most of all processes.
 
-use super::point::{Bound, Figures, Part, Point, Stopped};
+use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::http::{self, Side};
 use crate::cluster::outside;
 use crate::cluster::processes::Seat;
@@ -39,14 +39,14 @@
 use tokio::time::{interval, sleep, timeout, timeout_at, MissedTickBehavior};
 
 /// The role.
-pub const PART: Part = Part {
+pub const ROLE: RoleSpec = RoleSpec {
     name: "settings",
-    counts: "processes",
+    size_unit: "processes",
     sizes: &[1, 60, 200],
     bounds: &[
-        Bound { figure: "one.most_ms_in_force", most: IN_FORCE_MS, from: 0, expected: false },
-        Bound { figure: "ten.most_ms_in_force", most: IN_FORCE_MS, from: 0, expected: false },
-        Bound { figure: "memory_bytes", most: 64e6, from: 0, expected: false },
+        Bound { figure: "one.most_ms_in_force", max: IN_FORCE_MS, min_size: 0, is_enforced: false },
+        Bound { figure: "ten.most_ms_in_force", max: IN_FORCE_MS, min_size: 0, is_enforced: false },
+        Bound { figure: "memory_bytes", max: 64e6, min_size: 0, is_enforced: false },
         none("one.lost"),
         none("ten.lost"),
         none("known.lost"),
@@ -57,14 +57,14 @@
         none("wrong_100.old_lost"),
         none("calls.failed"),
     ],
-    play,
+    measure: play,
 };
 
 /// The operators' budget.
 const IN_FORCE_MS: f64 = 8_000.0;
 
 const fn none(figure: &'static str) -> Bound {
-    Bound { figure, most: 0.0, from: 0, expected: true }
+    Bound { figure, max: 0.0, min_size: 0, is_enforced: true }
 }
 
 /// Processes that are started at a time.
@@ -109,7 +109,7 @@
         Extent { changes: 5, rest: Duration::from_millis(400), apart: Duration::from_millis(100) };
 }
 
-fn play(point: &Point) -> Result<Figures, Stopped> {
+fn play(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::WHOLE)
 }
 
@@ -117,19 +117,19 @@
 ///
 /// # Errors
 /// See `Stopped`.
-pub fn measure(point: &Point, extent: Extent) -> Result<Figures, Stopped> {
+pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     fits(point.size as u64)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(odd)?;
-    let played = runtime.block_on(async { timeout_at(point.until.into(), played(point, extent)).await });
-    played.unwrap_or_else(|_| Err(Stopped::NotRun("its time was over".to_owned())))
+    let played = runtime.block_on(async { timeout_at(point.deadline.into(), played(point, extent)).await });
+    played.unwrap_or_else(|_| Err(MeasureError::NotRun("its time was over".to_owned())))
 }
 
-fn odd(fault: impl std::fmt::Display) -> Stopped {
-    Stopped::Odd(fault.to_string())
+fn odd(fault: impl std::fmt::Display) -> MeasureError {
+    MeasureError::Failed(fault.to_string())
 }
 
 /// Whether this machine has room for so many processes.
-fn fits(size: u64) -> Result<(), Stopped> {
+fn fits(size: u64) -> Result<(), MeasureError> {
     let field = |path: &str, name: &str| {
         let text = std::fs::read_to_string(path).map_err(odd)?;
         let line = text.lines().find_map(|line| line.strip_prefix(name));
@@ -138,11 +138,15 @@
     };
     let memory = field("/proc/meminfo", "MemAvailable:")? * 1_024;
     if size * MEMORY > memory / 2 {
-        return Err(Stopped::NotRun(format!("{size} processes are too many for {memory} bytes of memory")));
+        return Err(MeasureError::NotRun(format!(
+            "{size} processes are too many for {memory} bytes of memory"
+        )));
     }
     let descriptors = field("/proc/self/limits", "Max open files")?;
     if size * DESCRIPTORS > descriptors / 2 {
-        return Err(Stopped::NotRun(format!("{size} processes are too many for {descriptors} descriptors")));
+        return Err(MeasureError::NotRun(format!(
+            "{size} processes are too many for {descriptors} descriptors"
+        )));
     }
     Ok(())
 }
@@ -217,11 +221,11 @@
         Ok(begin)
     }
 
-    async fn report(&self) -> Result<Value, Stopped> {
+    async fn report(&self) -> Result<Value, MeasureError> {
         outside::dump(self.operator).await.map_err(odd)
     }
 
-    async fn count(&self, figure: &str) -> Result<u64, Stopped> {
+    async fn count(&self, figure: &str) -> Result<u64, MeasureError> {
         self.report().await?[figure].as_u64().ok_or_else(|| odd(format!("no {figure} in a report")))
     }
 }
@@ -342,7 +346,7 @@
 
 impl Fleet {
     /// Starts them in batches, and waits until each takes calls.
-    async fn start(point: &Point) -> Result<Self, Stopped> {
+    async fn start(point: &Point) -> Result<Self, MeasureError> {
         let day = format!(
             r#"
             purpose = "how soon settings are in force"
@@ -395,7 +399,7 @@
         Ok(Fleet { proxies, ids, pause, _logs: logs, _site: site })
     }
 
-    fn change(&self, settings: Settings) -> Result<Vec<Instant>, Stopped> {
+    fn change(&self, settings: Settings) -> Result<Vec<Instant>, MeasureError> {
         self.proxies.iter().map(|proxy| proxy.change(settings).map_err(odd)).collect()
     }
 
@@ -415,7 +419,7 @@
     }
 
     /// What a change costs one process in processor time, and how long the longest call takes meanwhile.
-    async fn cost(&self, proxy: &Proxy, settings: Settings) -> Result<[f64; 2], Stopped> {
+    async fn cost(&self, proxy: &Proxy, settings: Settings) -> Result<[f64; 2], MeasureError> {
         let spent = || outside::cpu_s(proxy.seat.pid().unwrap_or(0)).map_err(odd);
         let mut client = Client::new(proxy.seat.address, &self.ids);
         client.ask(CLASS).await.map_err(odd)?;
@@ -436,7 +440,7 @@
     }
 
     /// What processes tell operators of their settings, without what they count.
-    async fn told(&self) -> Result<Vec<Value>, Stopped> {
+    async fn told(&self) -> Result<Vec<Value>, MeasureError> {
         let mut all = Vec::new();
         for proxy in &self.proxies {
             let mut report = proxy.report().await?;
@@ -459,7 +463,7 @@
     }
 
     /// Waits until each process has turned so many files down: those that have not by then.
-    async fn turned_down(&self, files: u64) -> Result<usize, Stopped> {
+    async fn turned_down(&self, files: u64) -> Result<usize, MeasureError> {
         let (begin, mut not) = (Instant::now(), 0);
         for proxy in &self.proxies {
             while proxy.count("reconfig_failed").await? < files {
@@ -474,13 +478,13 @@
     }
 
     /// The lengths of all logs.
-    fn logged(&self) -> Result<Vec<usize>, Stopped> {
+    fn logged(&self) -> Result<Vec<usize>, MeasureError> {
         let length = |proxy: &Proxy| Ok(std::fs::metadata(&proxy.log).map_err(odd)?.len() as usize);
         self.proxies.iter().map(length).collect()
     }
 
     /// Lines and bytes that were added to logs for a file turned down, the most of all.
-    fn told_wrong(&self, before: &[usize]) -> Result<[usize; 2], Stopped> {
+    fn told_wrong(&self, before: &[usize]) -> Result<[usize; 2], MeasureError> {
         let (mut lines, mut bytes) = (0, 0);
         for (proxy, before) in self.proxies.iter().zip(before) {
             let text = std::fs::read(&proxy.log).map_err(odd)?;
@@ -495,7 +499,7 @@
     }
 }
 
-async fn played(point: &Point, extent: Extent) -> Result<Figures, Stopped> {
+async fn played(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     let mut fleet = Fleet::start(point).await?;
     let (size, mut figures) = (fleet.proxies.len(), Figures::new());
     let (mut applications, calls) = (JoinSet::new(), Arc::<Calls>::default());
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -2,7 +2,7 @@
 
 use oakport_testbed::scale::fit::Fit;
 use oakport_testbed::scale::page;
-use oakport_testbed::scale::point::{Bound, Figures, Part, Point, Stopped};
+use oakport_testbed::scale::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 
 #[test]
 fn a_power_law_is_found_again() {
@@ -24,17 +24,17 @@
     assert_eq!(flat.reaches(3.0), None, "what does not grow reaches no bound");
 }
 
-fn none(_: &Point) -> Result<Figures, Stopped> {
-    Err(Stopped::NotRun("only drawn".to_owned()))
+fn none(_: &Point) -> Result<Figures, MeasureError> {
+    Err(MeasureError::NotRun("only drawn".to_owned()))
 }
 
 const BOUNDS: &[Bound] = &[
-    Bound { figure: "quiet.cpu_share", most: 0.018, from: 0, expected: false },
-    Bound { figure: "memory_bytes", most: 5_000.0, from: 0, expected: false },
-    Bound { figure: "start.bytes", most: 50.0, from: 0, expected: false },
+    Bound { figure: "quiet.cpu_share", max: 0.018, min_size: 0, is_enforced: false },
+    Bound { figure: "memory_bytes", max: 5_000.0, min_size: 0, is_enforced: false },
+    Bound { figure: "start.bytes", max: 50.0, min_size: 0, is_enforced: false },
 ];
-const PARTS: &[Part] =
-    &[Part { name: "peers", counts: "members", sizes: &[60, 600], bounds: BOUNDS, play: none }];
+const PARTS: &[RoleSpec] =
+    &[RoleSpec { name: "peers", size_unit: "members", sizes: &[60, 600], bounds: BOUNDS, measure: none }];
 const JSON: &str = r#"{"roles": {"peers": {
     "60": {"quiet.cpu_share": 0.001, "memory_bytes": 600, "start.bytes": 100},
     "600": {"quiet.cpu_share": 0.01, "memory_bytes": 6000, "start.bytes": 1000},
--- a/crates/testbed/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -1,7 +1,7 @@
 //! The scale test of `decisions`: rules are kept, cold servers stand, and the way back from a burst is found.
 
 use oakport_testbed::scale::decisions::{course, Course, Day};
-use oakport_testbed::scale::point::Stopped;
+use oakport_testbed::scale::point::MeasureError;
 use std::time::{Duration, Instant};
 
 /// Longest time for a day.
@@ -39,5 +39,5 @@
 #[test]
 fn a_day_that_would_not_end_in_its_time_has_no_figures() {
     let late = course(60, 6, Day::Burst, 1, Instant::now());
-    assert!(matches!(late, Err(Stopped::NotRun(_))), "{late:?}");
+    assert!(matches!(late, Err(MeasureError::NotRun(_))), "{late:?}");
 }
--- a/crates/testbed/tests/scale_list.rs
+++ b/crates/testbed/tests/scale_list.rs
@@ -1,7 +1,7 @@
 //! The scale test's list: a process has each server that it is told, and a change changes what it names.
 
 use oakport_testbed::cluster::Program;
-use oakport_testbed::scale::list::{measure, Extent, PART};
+use oakport_testbed::scale::list::{measure, Extent, ROLE};
 use oakport_testbed::scale::point::{Figures, Point};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -20,13 +20,13 @@
     let oakport = lab.with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let program = Program::oakport(lab, &oakport);
-    let point = Point { size, seed: 1, until: Instant::now() + Duration::from_secs(60), program };
+    let point = Point { size, seed: 1, deadline: Instant::now() + Duration::from_secs(60), program };
     measure(&point, SHORT).expect("it is played")
 }
 
 #[test]
 fn each_server_is_known_and_a_change_changes_what_it_names() {
-    for size in &PART.sizes[..2] {
+    for size in &ROLE.sizes[..2] {
         let figures = played(*size);
         for way in ["pushed", "asked"] {
             let figure = |name: &str| figures[&format!("{way}.{name}")];
@@ -43,8 +43,8 @@
 
 #[test]
 fn each_budget_is_of_a_figure_that_there_is() {
-    let figures = played(PART.sizes[0]);
-    for bound in PART.bounds {
+    let figures = played(ROLE.sizes[0]);
+    for bound in ROLE.bounds {
         assert!(figures.contains_key(bound.figure), "{}", bound.figure);
     }
 }
@@ -53,7 +53,7 @@
 fn what_would_not_end_in_its_time_is_told_as_not_run() {
     let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let program = Program::oakport(lab, &lab.with_file_name("oakport"));
-    let point = Point { size: 6, seed: 1, until: Instant::now(), program };
+    let point = Point { size: 6, seed: 1, deadline: Instant::now(), program };
     let stopped = measure(&point, SHORT).expect_err("there is no time");
-    assert!(matches!(stopped, oakport_testbed::scale::point::Stopped::NotRun(_)), "{stopped:?}");
+    assert!(matches!(stopped, oakport_testbed::scale::point::MeasureError::NotRun(_)), "{stopped:?}");
 }
--- a/crates/testbed/tests/scale_peers.rs
+++ b/crates/testbed/tests/scale_peers.rs
@@ -4,18 +4,18 @@
 use oakport_testbed::cluster::Program;
 use oakport_testbed::scale::peers::net::Scopes;
 use oakport_testbed::scale::peers::{moments, Moment};
-use oakport_testbed::scale::point::{Figures, Point, Stopped};
+use oakport_testbed::scale::point::{Figures, MeasureError, Point};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn point(size: usize, until: Instant) -> Point {
+fn point(size: usize, deadline: Instant) -> Point {
     let nobody = Path::new("/nonexistent");
-    Point { size, seed: 7, until, program: Program::oakport(nobody, nobody) }
+    Point { size, seed: 7, deadline, program: Program::oakport(nobody, nobody) }
 }
 
 fn played(size: usize, scopes: Scopes, all: &[Moment]) -> Figures {
-    let until = Instant::now() + Duration::from_secs(600);
-    moments(&point(size, until), scopes, all).expect("it ends in its time")
+    let deadline = Instant::now() + Duration::from_secs(600);
+    moments(&point(size, deadline), scopes, all).expect("it ends in its time")
 }
 
 /// All know, within so many seconds of virtual time.
@@ -85,5 +85,5 @@
 #[test]
 fn a_play_whose_time_is_up_ends_itself() {
     let stopped = moments(&point(60, Instant::now()), Scopes::One, &Moment::ALL);
-    assert!(matches!(stopped, Err(Stopped::NotRun(_))), "{stopped:?}");
+    assert!(matches!(stopped, Err(MeasureError::NotRun(_))), "{stopped:?}");
 }
--- a/crates/testbed/tests/scale_settings.rs
+++ b/crates/testbed/tests/scale_settings.rs
@@ -1,25 +1,25 @@
 //! The scale test's settings: the last of many changes is in force everywhere, and a wrong one nowhere.
 
 use oakport_testbed::cluster::Program;
-use oakport_testbed::scale::point::{Figures, Point, Stopped};
-use oakport_testbed::scale::settings::{measure, Extent, PART};
+use oakport_testbed::scale::point::{Figures, MeasureError, Point};
+use oakport_testbed::scale::settings::{measure, Extent, ROLE};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const SHORT: Extent = Extent { changes: 1, rest: Duration::ZERO, apart: Duration::from_millis(20) };
 
-fn played(size: usize) -> Result<Figures, Stopped> {
+fn played(size: usize) -> Result<Figures, MeasureError> {
     let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = lab.with_file_name("oakport");
     assert!(oakport.is_file(), "it is built with the workspace");
     let program = Program::oakport(lab, &oakport);
-    let until = Instant::now() + Duration::from_secs(60);
-    measure(&Point { size, seed: 1, until, program }, SHORT)
+    let deadline = Instant::now() + Duration::from_secs(60);
+    measure(&Point { size, seed: 1, deadline, program }, SHORT)
 }
 
 #[test]
 fn the_last_change_is_in_force_everywhere_and_a_wrong_one_nowhere() {
-    for size in &PART.sizes[..2] {
+    for size in &ROLE.sizes[..2] {
         let figures = played(*size).expect("it is played");
         let figure = |name: &str| figures[name];
         assert_eq!(figure("one.lost"), 0.0, "{figures:?}");
@@ -35,7 +35,7 @@
         assert!(figure("wrong.log_bytes") < 1_024.0, "{figures:?}");
         assert!(figure("calls.asked") >= *size as f64, "{figures:?}");
         assert_eq!(figure("calls.failed"), 0.0, "{figures:?}");
-        for bound in PART.bounds {
+        for bound in ROLE.bounds {
             assert!(figures.contains_key(bound.figure), "{}", bound.figure);
         }
     }
@@ -44,5 +44,5 @@
 #[test]
 fn more_than_the_machine_has_room_for_is_not_run() {
     let stopped = played(100_000).expect_err("there are not so many descriptors");
-    assert!(matches!(stopped, Stopped::NotRun(_)), "{stopped:?}");
+    assert!(matches!(stopped, MeasureError::NotRun(_)), "{stopped:?}");
 }
