--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -27,7 +27,7 @@
 
 /// What a member did in a window.
 #[derive(Default)]
-pub struct Done {
+pub struct WindowResult {
     /// Datagrams on their way.
     pub sent: Vec<Event>,
     /// When it has to be told the time again.
@@ -40,9 +40,9 @@
 
 /// What members spent between two moments.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct Usage {
     /// Processor time, in nanoseconds.
-    pub processor: u64,
+    pub cpu_ns: u64,
     /// Bytes sent, with their headers.
     pub bytes: u64,
     /// Datagrams sent.
@@ -50,30 +50,30 @@
 }
 
 /// The network as a member meets it.
-pub struct Weather {
+pub struct NetworkConditions {
     /// Members that there are.
     pub size: usize,
     /// Nothing passes to and from this region.
-    pub parted: Option<usize>,
+    pub partitioned_region: Option<usize>,
     /// Share of the datagrams that are lost.
-    pub loss: f64,
+    pub loss_share: f64,
     /// What measuring a call costs, in nanoseconds.
-    pub toll: u64,
+    pub measuring_cost_ns: u64,
 }
 
 /// A process that may run.
 pub struct Member {
     number: usize,
     /// Its state machine, if it runs.
-    pub peers: Option<Box<Node>>,
+    pub node: Option<Box<Node>>,
     random: Pcg32,
     sent: u64,
     /// It was told the time up to then.
-    told: Micros,
+    time_handled_until: Micros,
     /// When it is told the time next.
-    wakes: Micros,
+    next_timer: Micros,
     /// What it spent since that was last taken.
-    pub spent: Spent,
+    pub usage: Usage,
     /// Bytes of the heap that it holds.
     pub heap: i64,
 }
@@ -83,12 +83,12 @@
     pub fn new(number: usize, seed: u64) -> Self {
         Member {
             number,
-            peers: None,
+            node: None,
             random: Pcg32::new(seed, number as u64),
             sent: 0,
-            told: 0,
-            wakes: Micros::MAX,
-            spent: Spent::default(),
+            time_handled_until: 0,
+            next_timer: Micros::MAX,
+            usage: Usage::default(),
             heap: 0,
         }
     }
@@ -100,31 +100,32 @@
             topology::address(self.number),
             now / 1_000,
             "0.2.0",
-            &topology::name(zone),
+            &topology::zone_name(zone),
         );
         let seeds = seeds.iter().map(|seed| topology::address(*seed)).collect();
         // Told of one process, so that what it counts is all from what it knows.
         let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let seed = self.random.gen();
-        let mut peers = None;
+        let mut node = None;
         let held = allocation_counter::measure(|| {
-            peers = Some(Box::new(Node::with_scope(now, seed, own, config, scope)));
+            node = Some(Box::new(Node::with_scope(now, seed, own, config, scope)));
         });
-        (self.peers, self.heap, self.told, self.wakes) = (peers, held.bytes_current, now, now);
+        (self.node, self.heap, self.time_handled_until, self.next_timer) =
+            (node, held.bytes_current, now, now);
         self.timer(now)
     }
 
     /// It is gone without a word.
-    pub fn die(&mut self) {
-        self.peers = None;
+    pub fn crash(&mut self) {
+        self.node = None;
         self.heap = 0;
     }
 
     /// It says that it leaves, and is gone.
-    pub fn leave(&mut self, now: Micros, weather: &Weather) -> Vec<Event> {
-        let mut done = Done::default();
-        self.call(now, weather, &mut done, |peers| peers.leave(now));
-        self.die();
+    pub fn leave(&mut self, now: Micros, conditions: &NetworkConditions) -> Vec<Event> {
+        let mut done = WindowResult::default();
+        self.call(now, conditions, &mut done, |node| node.leave(now));
+        self.crash();
         done.sent
     }
 
@@ -133,23 +134,28 @@
     }
 
     /// Takes what is due before the end of a window, in its order.
-    pub fn play(&mut self, events: &mut [Event], end: Micros, weather: &Weather) -> Done {
-        let mut done = Done::default();
+    pub fn play(
+        &mut self,
+        events: &mut [Event],
+        end: Micros,
+        conditions: &NetworkConditions,
+    ) -> WindowResult {
+        let mut done = WindowResult::default();
         for event in events {
-            self.timers(event.at, weather, &mut done);
+            self.timers(event.at, conditions, &mut done);
             let Some(datagram) = event.datagram.take() else { continue };
             let at = event.at;
             // As the socket's loop does.
-            self.call(at, weather, &mut done, |peers| {
-                peers.handle_datagram(at, &datagram);
-                peers.handle_time(at);
+            self.call(at, conditions, &mut done, |node| {
+                node.handle_datagram(at, &datagram);
+                node.handle_time(at);
             });
         }
-        self.timers(end - 1, weather, &mut done);
-        let due = self.peers.as_ref().map(|peers| peers.next_deadline().max(end));
+        self.timers(end - 1, conditions, &mut done);
+        let due = self.node.as_ref().map(|node| node.next_deadline().max(end));
         // A timer that is set already is not set again; one that comes too early finds nothing due.
-        if let Some(due) = due.filter(|due| self.wakes < end || *due < self.wakes) {
-            self.wakes = due;
+        if let Some(due) = due.filter(|due| self.next_timer < end || *due < self.next_timer) {
+            self.next_timer = due;
             done.due = Some(due);
         }
         done
@@ -161,45 +167,51 @@
     }
 
     /// Tells it the time whenever that is due, up to a moment.
-    fn timers(&mut self, deadline: Micros, weather: &Weather, done: &mut Done) {
-        while let Some(peers) = &self.peers {
-            let due = peers.next_deadline().max(self.told);
+    fn timers(&mut self, deadline: Micros, conditions: &NetworkConditions, done: &mut WindowResult) {
+        while let Some(node) = &self.node {
+            let due = node.next_deadline().max(self.time_handled_until);
             if due > deadline {
                 return;
             }
-            self.told = due + 1;
-            self.call(due, weather, done, |peers| peers.handle_time(due));
+            self.time_handled_until = due + 1;
+            self.call(due, conditions, done, |node| node.handle_time(due));
         }
     }
 
     /// A call into the state machine, of which alone its processor time and its memory are taken.
-    fn call(&mut self, now: Micros, weather: &Weather, done: &mut Done, act: impl FnOnce(&mut Node)) {
-        let Some(peers) = &mut self.peers else { return };
+    fn call(
+        &mut self,
+        now: Micros,
+        conditions: &NetworkConditions,
+        done: &mut WindowResult,
+        act: impl FnOnce(&mut Node),
+    ) {
+        let Some(node) = &mut self.node else { return };
         let (mut outbox, mut news) = (Vec::new(), Vec::new());
         let (held, took) = measured(|| {
-            act(peers);
-            (outbox, news) = (peers.take_outbox(), peers.take_events());
+            act(node);
+            (outbox, news) = (node.take_outbox(), node.take_events());
         });
-        self.spent.processor += took.saturating_sub(weather.toll);
+        self.usage.cpu_ns += took.saturating_sub(conditions.measuring_cost_ns);
         for (to, datagram) in &outbox {
             self.sent += 1;
-            self.spent.datagrams += 1;
-            self.spent.bytes += datagram.len() as u64 + HEADERS;
-            let Some(to) = topology::member(*to).filter(|to| *to < weather.size) else { continue };
-            let region = |member| topology::region(member, weather.size);
+            self.usage.datagrams += 1;
+            self.usage.bytes += datagram.len() as u64 + HEADERS;
+            let Some(to) = topology::member_at(*to).filter(|to| *to < conditions.size) else { continue };
+            let region = |member| topology::region(member, conditions.size);
             let crosses = region(self.number) != region(to);
             let cut = |parted| crosses && (region(self.number) == parted || region(to) == parted);
-            let lost = weather.loss > 0.0 && self.random.gen_bool(weather.loss);
-            if weather.parted.is_some_and(cut) || lost {
+            let lost = conditions.loss_share > 0.0 && self.random.gen_bool(conditions.loss_share);
+            if conditions.partitioned_region.is_some_and(cut) || lost {
                 continue;
             }
-            let at = now + topology::latency(self.number, to, weather.size, &mut self.random);
+            let at = now + topology::latency(self.number, to, conditions.size, &mut self.random);
             let datagram = Some(Box::from(datagram.as_slice()));
             done.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
         }
         done.dead.extend(news.iter().filter_map(|news| match news {
             MembershipEvent::MemberChanged { member, status: MemberStatus::Dead } => {
-                Some((topology::member(member.address)?, member.incarnation))
+                Some((topology::member_at(member.address)?, member.incarnation))
             }
             _ => None,
         }));
@@ -217,20 +229,20 @@
 fn measured(act: impl FnOnce()) -> (i64, u64) {
     let mut took = Duration::ZERO;
     let held = allocation_counter::measure(|| {
-        let begin = processor();
+        let begin = thread_cpu_time();
         act();
-        took = processor().saturating_sub(begin);
+        took = thread_cpu_time().saturating_sub(begin);
     });
     (held.bytes_current, took.as_nanos() as u64)
 }
 
 /// Processor time of this thread.
-fn processor() -> Duration {
+fn thread_cpu_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
 /// What measuring a call costs, in nanoseconds.
-pub fn toll() -> u64 {
+pub fn measuring_cost_ns() -> u64 {
     let mut all: Vec<u64> = (0..TRIALS).map(|_| measured(|| ()).1).collect();
     all.sort_unstable();
     all[TRIALS / 2]
--- a/crates/testbed/src/scale/peers/topology.rs
+++ b/crates/testbed/src/scale/peers/topology.rs
@@ -12,13 +12,13 @@
 /// The port of all members.
 const PORT: u16 = 7_946;
 /// Under way between two members of one zone, in microseconds: at least, and so much more at the most.
-const IN_ZONE: (Micros, Micros) = (2_000, 3_000);
+const ZONE_LATENCY_US: (Micros, Micros) = (2_000, 3_000);
 /// The same between two zones of a region.
-const IN_REGION: (Micros, Micros) = (3_000, 5_000);
+const REGION_LATENCY_US: (Micros, Micros) = (3_000, 5_000);
 /// The same from a region to the next; to the one after it is twice as far.
-const BETWEEN: (Micros, Micros) = (14_000, 3_000);
+const INTER_REGION_LATENCY_US: (Micros, Micros) = (14_000, 3_000);
 /// No datagram is under way for less.
-pub const LEAST: Micros = IN_ZONE.0;
+pub const MIN_LATENCY_US: Micros = ZONE_LATENCY_US.0;
 
 /// Where a member is reached.
 pub fn address(member: usize) -> SocketAddr {
@@ -26,7 +26,7 @@
 }
 
 /// Who is reached at an address.
-pub fn member(address: SocketAddr) -> Option<usize> {
+pub fn member_at(address: SocketAddr) -> Option<usize> {
     match address {
         SocketAddr::V4(v4) if v4.port() == PORT && v4.ip().octets()[0] == 10 => {
             Some(u32::from_be_bytes(v4.ip().octets()) as usize & 0xff_ffff)
@@ -41,12 +41,12 @@
 }
 
 /// What a zone is called.
-pub fn name(zone: usize) -> String {
+pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
 /// The zone that is called so.
-pub fn named(name: &str) -> Option<usize> {
+pub fn zone_index(name: &str) -> Option<usize> {
     name.strip_prefix("zone-")?.parse().ok()
 }
 
@@ -59,9 +59,9 @@
 pub fn latency(from: usize, to: usize, size: usize, random: &mut impl Rng) -> Micros {
     let apart = region(from, size).abs_diff(region(to, size)) as Micros;
     let (least, more) = match apart {
-        0 if zone(from, size) == zone(to, size) => IN_ZONE,
-        0 => IN_REGION,
-        _ => (BETWEEN.0 * apart, BETWEEN.1),
+        0 if zone(from, size) == zone(to, size) => ZONE_LATENCY_US,
+        0 => REGION_LATENCY_US,
+        _ => (INTER_REGION_LATENCY_US.0 * apart, INTER_REGION_LATENCY_US.1),
     };
     least + random.gen_range(0..=more)
 }
