--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `oakport-testbed fleet`: days with real processes on loopback, judged.
+//! `oakport-testbed fleet`: plays scenarios with real processes on loopback and judges them.
 
 use crate::cluster::forwarder::Broken;
 use crate::cluster::{self, Play, Program, Progress, Tell, Verdict};
@@ -11,28 +11,28 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Days with real processes on loopback.
+/// Plays scenarios with real processes on loopback.
 #[derive(Debug, Args)]
 #[command(
-    after_help = "Exit status: 0 rules kept and expectations held, 1 not, 2 a scenario or program cannot be played, \
-                  3 the rig was too late to judge."
+    after_help = "Exit status: 0 rules kept and expectations held, 1 a rule was broken or an expectation did not hold, \
+                  2 a scenario or program cannot be played, 3 the test cluster was too late to judge."
 )]
 pub struct Fleet {
-    /// Days to play, as TOML
+    /// Scenario files to play (TOML)
     #[arg(required = true)]
     scenarios: Vec<PathBuf>,
-    /// The seed
+    /// Seed of the random draws
     #[arg(long, default_value_t = 1, value_name = "N")]
     seed: u64,
     #[command(flatten)]
     programs: Programs,
-    /// Print a line for each second of the day
+    /// Print a line for each second of the scenario
     #[arg(long)]
     seconds: bool,
-    /// Write all figures there, as JSON
+    /// Write all figures to this file, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write a page with plots for each day into this folder
+    /// Write a page with plots for each scenario into this folder
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
     /// Keep the log of each process in this folder
@@ -40,28 +40,28 @@
     logs: Option<PathBuf>,
 }
 
-/// For plays that end when their days do.
+/// No time limit beyond the duration of the scenario.
 pub const UNLIMITED: Duration = Duration::MAX;
 
-/// Which programs the proxies are.
+/// The programs that run as proxies.
 #[derive(Debug, Args)]
 pub struct Programs {
-    /// The program that the proxies run; else the one beside this
+    /// Program of the proxies [default: oakport in the folder of this program]
     #[arg(long, value_name = "PATH")]
     oakport: Option<PathBuf>,
-    /// The program that relieves it at upgrades; else the same
+    /// Program that replaces it at upgrades [default: the same]
     #[arg(long, value_name = "PATH")]
     second: Option<PathBuf>,
-    /// In place of oakport the lab's own forwarder, which picks at random
+    /// Use the testbed's own forwarder, which picks endpoints at random, instead of oakport
     #[arg(long, conflicts_with = "oakport")]
     forwarder: bool,
-    /// What that forwarder does wrong
+    /// Fault that the forwarder has
     #[arg(long, value_enum, value_name = "HOW", requires = "forwarder")]
     broken: Option<Broken>,
 }
 
 impl Programs {
-    /// The arguments that name the same programs again, each after a space.
+    /// The command-line arguments that select the same programs, each preceded by a space.
     pub fn arguments(&self) -> String {
         let mut text = String::new();
         for (name, path) in [("oakport", &self.oakport), ("second", &self.second)] {
@@ -74,16 +74,17 @@
         text + &broken.map_or(String::new(), |broken| format!(" --broken {}", broken.get_name()))
     }
 
-    /// The program, and the one that relieves it.
+    /// The program of the proxies, and the program that replaces it at upgrades.
     pub fn resolve(&self) -> Result<[Program; 2], RunError> {
-        let testbed = std::env::current_exe().map_err(|e| RunError::Failed(format!("this program: {e}")))?;
+        let testbed =
+            std::env::current_exe().map_err(|e| RunError::Failed(format!("path of this program: {e}")))?;
         if self.forwarder {
             let broken = self.broken.as_ref().and_then(clap::ValueEnum::to_possible_value);
             let program = Program::forwarder(&testbed, broken.as_ref().map(|broken| broken.get_name()));
             return Ok([program.clone(), program]);
         }
-        let beside = testbed.with_file_name("oakport");
-        let first = self.oakport.clone().unwrap_or(beside);
+        let default_program = testbed.with_file_name("oakport");
+        let first = self.oakport.clone().unwrap_or(default_program);
         let second = self.second.clone().unwrap_or_else(|| first.clone());
         for path in [&first, &second] {
             if !path.is_file() {
@@ -115,7 +116,7 @@
 }
 
 impl RunStatus {
-    /// How a day with this verdict ended.
+    /// The status of a play with this verdict.
     pub fn of(verdict: &Verdict) -> Self {
         match () {
             () if verdict.too_late() => RunStatus::NotJudged,
@@ -126,92 +127,99 @@
 }
 
 impl Fleet {
-    /// Plays all days, one after the other.
+    /// Plays all scenarios in order.
     pub fn run(&self) -> Result<RunStatus, RunError> {
         let [program, second] = self.programs.resolve()?;
-        let days = self.scenarios.iter().map(|path| read(path)).collect::<Result<Vec<_>, _>>()?;
+        let scenarios = self.scenarios.iter().map(|path| read(path)).collect::<Result<Vec<_>, _>>()?;
         for folder in [&self.logs, &self.report].into_iter().flatten() {
             std::fs::create_dir_all(folder)
                 .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
         }
-        let (mut ended, mut all) = (RunStatus::Passed, Vec::new());
-        for (name, day) in days {
-            println!("{name} (seed {}): {}", self.seed, day.purpose);
+        let (mut status, mut all) = (RunStatus::Passed, Vec::new());
+        for (name, scenario) in scenarios {
+            println!("{name} (seed {}): {}", self.seed, scenario.purpose);
             let (program, second) = (program.clone(), second.clone());
-            let play = Play { day, seed: self.seed, program, second, logs: self.logs.clone() };
+            let play = Play { day: scenario, seed: self.seed, program, second, logs: self.logs.clone() };
             let verdict = play_with_progress_bar(&play, UNLIMITED)?;
             if let Some(folder) = &self.report {
                 let page = report::html(&name, &play.day, self.seed, &verdict).map_err(RunError::Failed)?;
                 write(&folder.join(format!("{name}.html")), &page)?;
             }
             print!("{}", table(&verdict, self.seconds));
-            ended = ended.max(RunStatus::of(&verdict));
+            status = status.max(RunStatus::of(&verdict));
             all.push(json!({"day": name, "seed": self.seed, "verdict": verdict}));
         }
         if let Some(path) = &self.json {
             let text = format!("{:#}\n", json!({ "days": all }));
             write(path, &text)?;
         }
-        Ok(ended)
+        Ok(status)
     }
 }
 
-/// Writes a file.
+/// Writes a file; the error names its path.
 pub fn write(path: &Path, text: &str) -> Result<(), RunError> {
     std::fs::write(path, text).map_err(|e| RunError::Failed(format!("{}: {e}", path.display())))
 }
 
-/// Reads a day, and tells its name.
+/// Reads a scenario; returns it with its name, the file's stem.
 pub fn read(path: &Path) -> Result<(String, Scenario), RunError> {
-    let bad = |odd: &dyn std::fmt::Display| RunError::Failed(format!("{}: {odd}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|e| bad(&e))?;
-    let day = Scenario::parse(&text).map_err(|odd| bad(&odd))?;
+    let failed = |e: &dyn std::fmt::Display| RunError::Failed(format!("{}: {e}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|e| failed(&e))?;
+    let scenario = Scenario::parse(&text).map_err(|e| failed(&e))?;
     let name = path.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-    Ok((name, day))
+    Ok((name, scenario))
 }
 
-/// Plays a day, with its progress on a terminal, until its end or Ctrl-C.
+/// Plays a scenario, with a progress bar on a terminal, until its end or Ctrl-C.
 ///
 /// # Errors
-/// It cannot be played, takes longer than `most`, or Ctrl-C.
+/// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
 pub fn play_with_progress_bar(play: &Play, max_duration: Duration) -> Result<Verdict, RunError> {
-    let shown = std::io::stderr().is_terminal();
-    let bar =
-        if shown { indicatif::ProgressBar::new(play.day.duration) } else { indicatif::ProgressBar::hidden() };
+    let is_terminal = std::io::stderr().is_terminal();
+    let progress_bar = if is_terminal {
+        indicatif::ProgressBar::new(play.day.duration)
+    } else {
+        indicatif::ProgressBar::hidden()
+    };
     if let Ok(style) = indicatif::ProgressStyle::with_template("{bar:40} {percent}% {msg}") {
-        bar.set_style(style);
+        progress_bar.set_style(style);
     }
-    let tell = |progress: Progress<'_>| match progress {
-        Progress::Begun => bar.set_message("the fleet stands"),
-        Progress::Event(at, text) => bar.set_message(format!("{} s: {text}", at / 1_000_000)),
-        Progress::At(at, _) => bar.set_position(at),
+    let report_progress = |progress: Progress<'_>| match progress {
+        Progress::Begun => progress_bar.set_message("all proxies are ready"),
+        Progress::Event(at, text) => progress_bar.set_message(format!("{} s: {text}", at / 1_000_000)),
+        Progress::At(at, _) => progress_bar.set_position(at),
     };
-    let verdict = play_with_progress(play, &tell, max_duration);
-    bar.finish_and_clear();
+    let verdict = play_with_progress(play, &report_progress, max_duration);
+    progress_bar.finish_and_clear();
     verdict
 }
 
-/// Plays a day, telling how far it is, until its end or Ctrl-C.
+/// Plays a scenario, reporting its progress to `report_progress`, until its end or Ctrl-C.
 ///
 /// # Errors
-/// It cannot be played, takes longer than `most`, or Ctrl-C.
-pub fn play_with_progress(play: &Play, tell: &Tell<'_>, max_duration: Duration) -> Result<Verdict, RunError> {
+/// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
+pub fn play_with_progress(
+    play: &Play,
+    report_progress: &Tell<'_>,
+    max_duration: Duration,
+) -> Result<Verdict, RunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|e| RunError::Failed(format!("runtime: {e}")))?;
     runtime.block_on(async {
         tokio::select! {
-            verdict = cluster::play(play, tell) => verdict.map_err(RunError::Failed),
+            verdict = cluster::play(play, report_progress) => verdict.map_err(RunError::Failed),
             _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
             () = tokio::time::sleep(max_duration) => Err(RunError::Failed(format!("play did not end within {max_duration:?}"))),
         }
     })
 }
 
-/// A verdict for people.
+/// A verdict as text for the terminal, with a line for each second if `seconds`.
 pub fn table(verdict: &Verdict, seconds: bool) -> String {
     let mut text = String::new();
     if seconds {
-        text += &by_seconds(verdict);
+        text += &second_table(verdict);
     }
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["figure", "value"]);
@@ -225,16 +233,16 @@
     let rules = if broken.is_empty() { "kept".to_owned() } else { format!("broken: {}", broken.join(", ")) };
     text += &format!("rules {rules}\n");
     text.extend(verdict.stories.iter().map(|story| format!("  {story}\n")));
-    for (wanted, held) in &verdict.expect {
-        text += &format!("{} {wanted}\n", if *held { "held" } else { "NOT HELD" });
+    for (expectation, held) in &verdict.expect {
+        text += &format!("{} {expectation}\n", if *held { "held" } else { "NOT HELD" });
     }
     if verdict.too_late() {
-        text += "not judged: the rig itself was too late; give it idle cores\n";
+        text += "not judged: the test cluster itself was too late; run it on idle cores\n";
     }
     text
 }
 
-fn by_seconds(verdict: &Verdict) -> String {
+fn second_table(verdict: &Verdict) -> String {
     let mut table = Table::new();
     let head = ["second", "asked", "served", "refused", "failed", "p50 ms", "crossing", "connections"];
     table.load_preset(presets::NOTHING).set_header(head);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! What `oakport-testbed` is made of: days in virtual time, and a rig that plays them with real processes on loopback.
+//! Library of `oakport-testbed`: plays scenarios in virtual time, and in a test cluster of real processes on loopback.
 
 pub mod cluster;
 pub mod compare;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oakport-testbed`: tries oakport out.
+//! The program `oakport-testbed`: tests oakport in simulated and real fleets.
 
 use clap::{Parser, Subcommand};
 use oakport_testbed::cluster::forwarder::{self, Broken};
@@ -15,13 +15,13 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  oakport-testbed demo --quick                                  a small fleet live while parts of it fail
-  oakport-testbed fleet scenarios/fleet/zone-lost.toml          a day with real processes on loopback
-  oakport-testbed sim scenarios/slow.toml                       a day with all policies, side by side
-  oakport-testbed sim scenarios/*.toml --seeds 5                five draws of each of many days
+  oakport-testbed demo --quick                                  a small fleet in which parts fail, shown live
+  oakport-testbed fleet scenarios/fleet/zone-lost.toml          a scenario with real processes on loopback
+  oakport-testbed sim scenarios/slow.toml                       a scenario with all policies, side by side
+  oakport-testbed sim scenarios/*.toml --seeds 5                many scenarios with five seeds each
   oakport-testbed sim scenarios/zone.toml --policy oakport --windows --json out.json";
 
-/// Tries oakport out: plays days of a fleet, in virtual time or with real processes, and judges them.
+/// Tests oakport: plays scenarios of a fleet, in virtual time or with real processes, and judges them.
 #[derive(Debug, Parser)]
 #[command(name = "oakport-testbed", version, after_help = EXAMPLES, arg_required_else_help = true)]
 struct Arguments {
@@ -31,27 +31,27 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Show a small fleet live while parts of it fail, and write a report with plots
+    /// Show a small fleet live while parts fail, and write a report with plots
     Demo(Demo),
-    /// Play days with real processes on loopback
+    /// Play scenarios with real processes on loopback
     Fleet(Fleet),
-    /// Play a day with two programs in turn
+    /// Play a scenario with two programs by turns
     Compare(Compare),
-    /// Measure what a hop through oakport costs
+    /// Measure the cost of a hop through oakport
     Overhead(Overhead),
-    /// Measure what each role of a process costs by the size of the fleet
+    /// Measure the cost of each role of a process by the size of the fleet
     Scale(Scale),
-    /// Play many short worlds with real processes, drawn from seeds
+    /// Play many short random scenarios, drawn from seeds, with real processes
     Soak(Soak),
-    /// Play days in virtual time, with several policies side by side
+    /// Play scenarios in virtual time, with several policies side by side
     Sim(Sim),
-    /// Serve as a proxy that picks at random, by the platform's environment
+    /// Serve as a proxy that picks endpoints at random, configured by the platform's environment variables
     Forward {
-        /// What it does wrong
+        /// Fault that the proxy has
         #[arg(long, value_enum, value_name = "HOW")]
         broken: Option<Broken>,
     },
-    /// Become this program, which ends when whoever started it does
+    /// Execute a program that is killed when its parent process ends
     #[command(hide = true)]
     Hold {
         /// The program and its arguments
@@ -60,43 +60,43 @@
     },
 }
 
-/// Exit statuses beside 0 and 1.
-const BAD: u8 = 2;
-const LATE: u8 = 3;
-/// That of a program that Ctrl-C has ended.
-const INTERRUPTED: u8 = 130;
+/// Exit statuses besides 0 and 1.
+const EXIT_CANNOT_RUN: u8 = 2;
+const EXIT_NOT_JUDGED: u8 = 3;
+/// Exit status after Ctrl-C, by convention of shells.
+const EXIT_INTERRUPTED: u8 = 130;
 
 fn main() -> ExitCode {
-    let stopped = |stop| match stop {
-        RunError::Failed(odd) => (odd, BAD),
-        RunError::Interrupted => ("interrupted".to_owned(), INTERRUPTED),
+    let failure = |error| match error {
+        RunError::Failed(message) => (message, EXIT_CANNOT_RUN),
+        RunError::Interrupted => ("interrupted".to_owned(), EXIT_INTERRUPTED),
     };
-    let done = match Arguments::parse().command {
-        Command::Sim(sim) => sim.run().map_err(|odd| (odd, 1)).map(|kept| u8::from(!kept)),
-        Command::Fleet(fleet) => fleet.run().map_err(stopped).map(status),
-        Command::Soak(soak) => soak.run().map_err(stopped).map(status),
-        Command::Compare(compare) => compare.run().map_err(stopped).map(status),
-        Command::Demo(demo) => demo.run().map_err(stopped).map(status),
-        Command::Overhead(overhead) => overhead.run().map(|held| u8::from(!held)).map_err(stopped),
-        Command::Scale(scale) => scale.run().map(|held| u8::from(!held)).map_err(stopped),
-        Command::Forward { broken } => forward(broken).map(|()| 0).map_err(|odd| (odd, 1)),
+    let result = match Arguments::parse().command {
+        Command::Sim(sim) => sim.run().map_err(|e| (e, 1)).map(|rules_kept| u8::from(!rules_kept)),
+        Command::Fleet(fleet) => fleet.run().map_err(failure).map(exit_status),
+        Command::Soak(soak) => soak.run().map_err(failure).map(exit_status),
+        Command::Compare(compare) => compare.run().map_err(failure).map(exit_status),
+        Command::Demo(demo) => demo.run().map_err(failure).map(exit_status),
+        Command::Overhead(overhead) => overhead.run().map(|held| u8::from(!held)).map_err(failure),
+        Command::Scale(scale) => scale.run().map(|held| u8::from(!held)).map_err(failure),
+        Command::Forward { broken } => forward(broken).map(|()| 0).map_err(|e| (e, 1)),
         Command::Hold { command } => Err((hold(&command), 1)),
     };
-    match done {
+    match result {
         Ok(status) => ExitCode::from(status),
-        Err((odd, status)) => {
-            eprintln!("oakport-testbed: {odd}");
+        Err((message, status)) => {
+            eprintln!("oakport-testbed: {message}");
             ExitCode::from(status)
         }
     }
 }
 
-/// The status by which a play's end is told.
-fn status(ended: RunStatus) -> u8 {
-    match ended {
+/// The exit status for the outcome of a run.
+fn exit_status(status: RunStatus) -> u8 {
+    match status {
         RunStatus::Passed => 0,
         RunStatus::Failed => 1,
-        RunStatus::NotJudged => LATE,
+        RunStatus::NotJudged => EXIT_NOT_JUDGED,
     }
 }
 
@@ -106,12 +106,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, forwarder::run(broken))
 }
 
-/// Returns only if it fails, and then why.
+/// Replaces this process by the command; returns only on failure, with the reason.
 fn hold(command: &[OsString]) -> String {
-    let Some((program, arguments)) = command.split_first() else { return "no program".to_owned() };
-    if let Err(odd) = nix::sys::prctl::set_pdeathsig(nix::sys::signal::Signal::SIGKILL) {
-        return format!("death signal: {odd}");
+    let Some((program, arguments)) = command.split_first() else { return "no program to execute".to_owned() };
+    if let Err(e) = nix::sys::prctl::set_pdeathsig(nix::sys::signal::Signal::SIGKILL) {
+        return format!("setting the parent-death signal: {e}");
     }
-    let odd = std::process::Command::new(program).args(arguments).exec();
-    format!("{}: {odd}", program.to_string_lossy())
+    let e = std::process::Command::new(program).args(arguments).exec();
+    format!("{}: {e}", program.to_string_lossy())
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a day as one HTML file, with plots.
+//! The report of a play as one HTML file, with plots.
 
 use crate::cluster::{Second, Verdict, RULES};
 use askama::Template;
@@ -6,8 +6,8 @@
 use plotters::prelude::*;
 
 /// Width and height of a plot, in pixels.
-const SIZE: (u32, u32) = (860, 260);
-/// Colours of lines, for those who see few of them too (Okabe and Ito).
+const PLOT_SIZE_PX: (u32, u32) = (860, 260);
+/// Line colours that colour-blind readers can tell apart (Okabe and Ito).
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -55,19 +55,19 @@
     figures: Vec<(&'a String, String)>,
 }
 
-/// A plot and what its lines are.
+/// A plot and its legend.
 struct Plot {
     title: &'static str,
     svg: String,
-    /// Names and colours.
+    /// Names and colours of the lines.
     legend: Vec<(String, String)>,
 }
 
-/// A line of a plot: its name, and a value for each second that has one.
+/// A line of a plot: its name, and a point for each second that has a value.
 type Line = (String, Vec<(f64, f64)>);
 
-/// What is wrong, for people: where, from when to when.
-pub fn events(day: &Scenario) -> Vec<(f64, f64, String)> {
+/// The faults of a scenario: start and end in seconds, and a description with the place.
+pub fn events(scenario: &Scenario) -> Vec<(f64, f64, String)> {
     let seconds = |at: u64| at as f64 / 1e6;
     let event = |e: &oakport_simulator::scenario::FaultSpec| {
         let place = match (&e.zone, e.link_groups.as_slice()) {
@@ -75,22 +75,22 @@
             (None, []) => String::new(),
             (None, groups) => format!(" between {}", groups.join(" and ")),
         };
-        let what = format!("{:?}{place}", e.kind).to_lowercase();
-        (seconds(e.at), seconds(e.at + e.duration), what)
+        let description = format!("{:?}{place}", e.kind).to_lowercase();
+        (seconds(e.at), seconds(e.at + e.duration), description)
     };
-    day.events.iter().map(event).collect()
+    scenario.events.iter().map(event).collect()
 }
 
-/// Writes the report of a day.
+/// Renders the report of a play.
 ///
 /// # Errors
-/// A plot or the page could not be made, and why.
-pub fn html(name: &str, day: &Scenario, seed: u64, verdict: &Verdict) -> Result<String, String> {
+/// A plot or the page could not be rendered.
+pub fn html(name: &str, scenario: &Scenario, seed: u64, verdict: &Verdict) -> Result<String, String> {
     let seconds = &verdict.seconds;
     let share = |part: [f64; 2]| if part[0] > 0.0 { Some(100.0 * part[1] / part[0]) } else { None };
     let mut served = vec![line("all", seconds, |s| share([s.worth, s.served]))];
     let mut traffic = Vec::new();
-    for zone in &day.zones {
+    for zone in &scenario.zones {
         served.push(line(zone, seconds, |s| share(s.by_zone.get(zone).copied().unwrap_or_default())));
         let attempts = |s: &Second| s.attempts.get(zone).copied().unwrap_or_default();
         traffic.push(line(zone, seconds, |s| Some(attempts(s).iter().sum::<u64>() as f64)));
@@ -100,34 +100,42 @@
         line("median", seconds, |s| Some(s.latency_ms[1])),
         line("p99", seconds, |s| Some(s.latency_ms[2])),
     ];
-    let marks = events(day);
-    let plot = |title, lines: &[Line], unit, most| {
-        let svg = draw(lines, &marks, unit, most)?;
+    let faults = events(scenario);
+    let plot = |title, lines: &[Line], unit, max| {
+        let svg = draw(lines, &faults, unit, max)?;
         let colour = |c: &RGBColor| format!("rgb({}, {}, {})", c.0, c.1, c.2);
         let colours = COLOURS.iter().cycle().map(colour);
         Ok(Plot { title, svg, legend: lines.iter().map(|(name, _)| name.clone()).zip(colours).collect() })
     };
     let plots = [
-        plot("Worth served in time, of what was asked, by the zone of the client", &served, "%", Some(100.0)),
+        plot(
+            "Requests served in time, weighted by priority, by the zone of the client",
+            &served,
+            "%",
+            Some(100.0),
+        ),
         plot("Latency from the intended start", &latency, "ms", None),
         plot("Attempts a second, by the zone of the server", &traffic, "/s", None),
     ];
     let plots = plots.into_iter().collect::<Result<Vec<_>, String>>()?;
     let broken: u64 = RULES.iter().filter_map(|rule| verdict.rules.get(rule)).sum();
-    let unheld = verdict.expect.iter().filter(|(_, held)| !held).count();
-    let told = match (verdict.too_late(), broken, unheld) {
-        (true, ..) => "Not judged: the rig itself was too late.".to_owned(),
+    let failed_expectations = verdict.expect.iter().filter(|(_, held)| !held).count();
+    let verdict_text = match (verdict.too_late(), broken, failed_expectations) {
+        (true, ..) => "Not judged: the test cluster itself was too late.".to_owned(),
         (_, 0, 0) => "All rules kept, all expectations held.".to_owned(),
-        _ => format!("Rules broken {broken} times; {unheld} expectations not held."),
+        _ => format!("Rules broken {broken} times; {failed_expectations} expectations not held."),
     };
     let page = Page {
         name,
-        purpose: &day.purpose,
+        purpose: &scenario.purpose,
         seed,
         well: verdict.holds() && !verdict.too_late(),
-        verdict: told,
+        verdict: verdict_text,
         stories: &verdict.stories,
-        events: marks.iter().map(|(from, to, what)| format!("{what}, {from:.0} s to {to:.0} s")).collect(),
+        events: faults
+            .iter()
+            .map(|(from, to, description)| format!("{description}, {from:.0} s to {to:.0} s"))
+            .collect(),
         plots,
         figures: verdict.figures.iter().map(|(figure, value)| (figure, format!("{value:.4}"))).collect(),
     };
@@ -140,30 +148,30 @@
     (name.to_owned(), points.collect())
 }
 
-/// Lines over the day, with what was wrong shaded.
+/// Draws lines over the duration of the play, with the times of faults shaded.
 fn draw(
     lines: &[Line],
-    marks: &[(f64, f64, String)],
+    faults: &[(f64, f64, String)],
     unit: &str,
-    most: Option<f64>,
+    max: Option<f64>,
 ) -> Result<String, String> {
-    let odd = |e: &dyn std::fmt::Display| format!("plot: {e}");
+    let failed = |e: &dyn std::fmt::Display| format!("plot: {e}");
     let points = || lines.iter().flat_map(|(_, points)| points);
     let end = points().map(|p| p.0).fold(1.0, f64::max) + 0.5;
-    let top = most.unwrap_or_else(|| points().map(|p| p.1).fold(1.0, f64::max) * 1.08);
-    // Nearly all is served on most days: the axis begins below the worst of it.
-    let least = points().map(|p| p.1).fold(top, f64::min);
-    let bottom = if most.is_some() { (least - 3.0).max(0.0).floor() } else { 0.0 };
+    let top = max.unwrap_or_else(|| points().map(|p| p.1).fold(1.0, f64::max) * 1.08);
+    // In most plays nearly all requests are served, so the axis starts just below the lowest value.
+    let min = points().map(|p| p.1).fold(top, f64::min);
+    let bottom = if max.is_some() { (min - 3.0).max(0.0).floor() } else { 0.0 };
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|e| odd(&e))?;
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
+        area.fill(&WHITE).map_err(|e| failed(&e))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..end, bottom..top)
-            .map_err(|e| odd(&e))?;
+            .map_err(|e| failed(&e))?;
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -171,16 +179,16 @@
             .x_desc("seconds")
             .y_desc(unit)
             .draw()
-            .map_err(|e| odd(&e))?;
-        let shades = marks.iter().map(|(from, to, _)| {
+            .map_err(|e| failed(&e))?;
+        let shaded_areas = faults.iter().map(|(from, to, _)| {
             Rectangle::new([(*from, bottom), (to.max(from + 0.25), top)], BLACK.mix(0.08).filled())
         });
-        chart.draw_series(shades).map_err(|e| odd(&e))?;
+        chart.draw_series(shaded_areas).map_err(|e| failed(&e))?;
         for ((_, points), colour) in lines.iter().zip(COLOURS.iter().cycle()) {
             let style = colour.stroke_width(2);
-            chart.draw_series(LineSeries::new(points.iter().copied(), style)).map_err(|e| odd(&e))?;
+            chart.draw_series(LineSeries::new(points.iter().copied(), style)).map_err(|e| failed(&e))?;
         }
-        area.present().map_err(|e| odd(&e))?;
+        area.present().map_err(|e| failed(&e))?;
     }
     Ok(svg)
 }
