--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,12 +1,13 @@
-//! Deciding where calls go: so many balancers before one service, in virtual time.
+//! Role `decisions`: the cost of choosing endpoints, by the number of balancers that call one service, in virtual time.
 //!
-//! The operators plan with 310,000 calls a second in 1,000 services: one service sees 310 a second, however
-//! many services a process calls. Processes that call 1, 6 or 17 services send each 49, 8.2 or 2.9 calls a
-//! second, and a service then has 6, 38 or 107 callers. The sizes played here are those of a service that
-//! more call: with 6,300 balancers each sends it a call in 20 s. One of 60 servers sees ten times as much.
+//! The operators plan with 310,000 calls a second in 1,000 services, so one service receives 310 calls a second
+//! regardless of how many services a process calls. Processes that call 1, 6 or 17 services send 49, 8.2 or 2.9
+//! calls a second to each, and a service then has 6, 38 or 107 callers. The sizes here are those of a service
+//! with more callers: with 6,300 balancers, each sends it one call in 20 s. A service of 60 servers receives ten
+//! times as many calls.
 //!
-//! Time is the thread's own around each call into the policy, less what measuring costs; memory is what the
-//! allocator gave to these calls and has not got back, and the balancer itself.
+//! Processor time is that of the thread during each call into the policy, minus the cost of measuring. Memory is
+//! what these calls have allocated and not freed, plus the balancer itself.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use nix::time::{clock_gettime, ClockId};
@@ -16,21 +17,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Calls a second of a service for each of its servers: 310,000 by 1,000 services of six.
-const RATE: f64 = 310_000.0 / 1_000.0 / 6.0;
-/// Servers of the services that are played.
-const SERVICES: [usize; 2] = [6, 60];
-/// Windows of a verdict, of 5 s each, without trouble, and then in it.
-const CALM: usize = 2;
-/// See `CALM`.
-const TROUBLE: usize = 1;
-/// Seconds of a window.
-const WINDOW: f64 = 5.0;
+/// Calls a second for each server of a service: 310,000 over 1,000 services of six servers.
+const CALLS_PER_SERVER_PER_S: f64 = 310_000.0 / 1_000.0 / 6.0;
+/// Numbers of servers of the simulated services.
+const SERVICE_SIZES: [usize; 2] = [6, 60];
+/// Windows of a verdict, of 5 s each, before the burst.
+const WINDOWS_BEFORE: usize = 2;
+/// Windows of the burst.
+const BURST_WINDOWS: usize = 1;
+/// Length of a window.
+const WINDOW_S: f64 = 5.0;
 
-/// That of `scenarios/burst.toml`, with servers so large that in calm they do half of what they can do. More
-/// connections than this are not looked at here: whether a server's table holds so many balancers is for
-/// sockets to show.
-const DAY: &str = r#"
+/// As `scenarios/burst.toml`, with servers so large that half of their capacity is used before the burst. The limit
+/// of connections is never reached here: whether a server's connection table holds so many balancers is a question
+/// for tests with real sockets.
+const BASE_SCENARIO: &str = r#"
 purpose = "many balancers before one service"
 length = "30s"
 balancers = 1
@@ -80,10 +81,10 @@
 idempotency = "single_shot"
 "#;
 
-/// A burst of 5 s is over after this, in seconds. The letter names no time; it is ours.
-const WAY_BACK: f64 = 10.0;
+/// Longest recovery after a burst of 5 s. The operators' requirements name no time for it.
+const MAX_RECOVERY_S: f64 = 10.0;
 
-/// The role.
+/// How the role is measured.
 pub const ROLE: RoleSpec = RoleSpec {
     name: "decisions",
     size_unit: "balancers",
@@ -91,97 +92,103 @@
     bounds: &[
         Bound { figure: "of_6.cold.fallen", max: 0.0, min_size: 1, is_enforced: true },
         Bound { figure: "of_60.cold.fallen", max: 0.0, min_size: 1, is_enforced: true },
-        Bound { figure: "of_6.after_burst.recover_s", max: WAY_BACK, min_size: 1, is_enforced: false },
-        Bound { figure: "of_60.after_burst.recover_s", max: WAY_BACK, min_size: 1, is_enforced: false },
+        Bound { figure: "of_6.after_burst.recover_s", max: MAX_RECOVERY_S, min_size: 1, is_enforced: false },
+        Bound { figure: "of_60.after_burst.recover_s", max: MAX_RECOVERY_S, min_size: 1, is_enforced: false },
         Bound { figure: "of_6.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
         Bound { figure: "of_60.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
     ],
     measure: play,
 };
 
-/// What happens after the calm.
+/// What happens after the first two windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Day {
-    /// More calls than the servers bear, for a window; crowded servers choke, and clients come again at once.
+pub enum Disturbance {
+    /// More calls than the servers' capacity for one window; overloaded servers slow down, and clients retry at once.
     Burst,
-    /// A third of the servers are replaced by cold ones, within a window.
+    /// A third of the servers are replaced by cold ones within one window.
     Release,
 }
 
-impl Day {
+impl Disturbance {
     fn event(self) -> &'static str {
         match self {
-            Day::Burst => "[[event]]\nat = \"10s\"\nfor = \"5s\"\nwhat = \"surge\"\nfactor = 2.5",
-            Day::Release => "[[event]]\nat = \"10s\"\nfor = \"5s\"\nwhat = \"release\"\npart = 0.34",
+            Disturbance::Burst => "[[event]]\nat = \"10s\"\nfor = \"5s\"\nwhat = \"surge\"\nfactor = 2.5",
+            Disturbance::Release => "[[event]]\nat = \"10s\"\nfor = \"5s\"\nwhat = \"release\"\npart = 0.34",
         }
     }
 
     fn scenario(self, balancers: usize, servers: usize) -> Result<Scenario, MeasureError> {
-        let day = Scenario::parse(&format!("{DAY}{}", self.event()));
-        let day = day.map_err(|odd| MeasureError::Failed(odd.to_string()))?;
-        // After a burst there is time for choked servers to be well again by themselves.
-        let length = if self == Day::Burst { 2 * day.duration } else { day.duration };
-        Ok(Scenario { balancers, servers, duration: length, rate: RATE * servers as f64, ..day })
+        let base = Scenario::parse(&format!("{BASE_SCENARIO}{}", self.event()));
+        let base = base.map_err(|e| MeasureError::Failed(e.to_string()))?;
+        // After a burst, twice the time lets slowed-down servers recover without intervention.
+        let length = if self == Disturbance::Burst { 2 * base.duration } else { base.duration };
+        Ok(Scenario {
+            balancers,
+            servers,
+            duration: length,
+            rate: CALLS_PER_SERVER_PER_S * servers as f64,
+            ..base
+        })
     }
 }
 
-/// What a day gave.
+/// The result of a simulated scenario.
 #[derive(Clone, Debug)]
-pub struct Course {
-    /// How it was judged.
+pub struct Simulated {
+    /// Verdict of the simulator.
     pub verdict: Verdict,
-    /// Bytes that each balancer holds in the end.
+    /// Bytes that each balancer holds at the end.
     pub memory: Vec<i64>,
-    /// Its length without its end, in seconds.
+    /// Duration of the scenario in seconds, without the time in which the last calls end.
     pub seconds: f64,
-    /// Events that balancers were told of.
+    /// Events that the balancers handled.
     pub events: u64,
-    /// Time that they took for them, on a core.
-    pub spent: Duration,
+    /// Processor time that the balancers spent on them.
+    pub cpu_time: Duration,
 }
 
-/// Counts what balancers take.
+/// Adds up the time and memory that balancers use.
 struct Meter {
     deadline: Instant,
-    /// What a measurement takes itself.
-    costs: Duration,
+    /// Processor time of an empty measurement.
+    overhead: Duration,
     late: Cell<bool>,
     events: Cell<u64>,
-    spent: Cell<Duration>,
+    cpu_time: Cell<Duration>,
     memory: RefCell<Vec<i64>>,
 }
 
 impl Meter {
     fn new(deadline: Instant) -> Self {
         const TRIES: u32 = 2_000;
-        let begin = on_core();
+        let begin = thread_cpu_time();
         (0..TRIES).for_each(|_| {
             measured(|| {});
         });
         Meter {
             deadline,
-            costs: (on_core() - begin) / TRIES,
+            overhead: (thread_cpu_time() - begin) / TRIES,
             late: Cell::new(false),
             events: Cell::new(0),
-            spent: Cell::new(Duration::ZERO),
+            cpu_time: Cell::new(Duration::ZERO),
             memory: RefCell::default(),
         }
     }
 }
 
-/// Time that this thread has spent on a core.
-fn on_core() -> Duration {
+/// Processor time of this thread.
+fn thread_cpu_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map(Duration::from).unwrap_or_default()
 }
 
-/// Does something, and tells how long it took on a core and how many bytes more are held after it.
-fn measured(does: impl FnOnce()) -> (Duration, i64) {
-    let begin = on_core();
-    let held = allocation_counter::measure(does);
-    (on_core() - begin, held.bytes_current)
+/// Runs a function; returns its processor time and by how many bytes the allocated memory has grown.
+fn measured(act: impl FnOnce()) -> (Duration, i64) {
+    let begin = thread_cpu_time();
+    let held = allocation_counter::measure(act);
+    (thread_cpu_time() - begin, held.bytes_current)
 }
 
-/// A policy, and what it takes.
+/// A policy whose use of time and memory is measured.
 struct Metered {
     policy: Box<dyn Policy>,
     number: usize,
@@ -194,7 +201,7 @@
         let (_, held) = measured(|| policy = Some(PolicyKind::Oakport.make(seed, settings)));
         let number = meter.memory.borrow().len();
         meter.memory.borrow_mut().push(held);
-        // It has just been made.
+        // The closure above always sets it.
         let policy = policy.unwrap_or_else(|| unreachable!("made above"));
         Box::new(Metered { policy, number, meter: Rc::clone(meter) })
     }
@@ -202,55 +209,55 @@
 
 impl Policy for Metered {
     fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>) {
-        /// Room for what an event brings: the list of actions is not the balancer's, and is not to grow.
-        const ROOM: usize = 256;
+        /// Reserved actions, so that the list, which does not belong to the balancer, does not grow while it is measured.
+        const RESERVED_ACTIONS: usize = 256;
         let meter = &self.meter;
         if meter.late.get() || Instant::now() > meter.deadline {
-            // A day cannot be stopped, but without decisions it soon ends.
+            // The simulation cannot be stopped, but without decisions it ends soon.
             return meter.late.set(true);
         }
-        actions.reserve(ROOM);
-        // What comes with an event was given by others, and is given back here.
-        let given = match &event {
+        actions.reserve(RESERVED_ACTIONS);
+        // The memory of an event was allocated outside the measurement but is freed within it.
+        let freed_bytes = match &event {
             Event::EndpointList { endpoints: entries, .. } => entries.capacity() * size_of::<EndpointInfo>(),
             _ => 0,
         };
-        let (spent, held) = measured(|| self.policy.handle(now, event, truth, actions));
+        let (cpu_time, held) = measured(|| self.policy.handle(now, event, truth, actions));
         meter.events.set(meter.events.get() + 1);
-        meter.spent.set(meter.spent.get() + spent.saturating_sub(meter.costs));
-        meter.memory.borrow_mut()[self.number] += held + given as i64;
+        meter.cpu_time.set(meter.cpu_time.get() + cpu_time.saturating_sub(meter.overhead));
+        meter.memory.borrow_mut()[self.number] += held + freed_bytes as i64;
     }
 }
 
-/// Plays a day with so many balancers before a service of so many servers.
+/// Simulates a service with these numbers of balancers and servers.
 ///
 /// # Errors
-/// It did not end in its time.
-pub fn course(
+/// The simulation did not end before `deadline`.
+pub fn simulate_service(
     balancers: usize,
     servers: usize,
-    day: Day,
+    disturbance: Disturbance,
     seed: u64,
     deadline: Instant,
-) -> Result<Course, MeasureError> {
+) -> Result<Simulated, MeasureError> {
     let meter = Rc::new(Meter::new(deadline));
     let make = |seed: u64, settings: &Settings| Metered::make(seed, settings, &meter);
-    let scenario = day.scenario(balancers, servers)?;
+    let scenario = disturbance.scenario(balancers, servers)?;
     let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.visibility(), &make, seed);
     if meter.late.get() {
-        let why = format!("{day:?} with {servers} servers did not end in its time");
+        let why = format!("{disturbance:?} with {servers} servers did not end in its time");
         return Err(MeasureError::NotRun(why));
     }
-    Ok(Course {
+    Ok(Simulated {
         verdict,
         memory: meter.memory.take(),
         seconds: scenario.duration as f64 / 1e6,
         events: meter.events.get(),
-        spent: meter.spent.get(),
+        cpu_time: meter.cpu_time.get(),
     })
 }
 
-/// Share of the worth asked for that was served in time.
+/// Share of the requests served in time, weighted by priority.
 fn served(windows: &[Window]) -> f64 {
     let sum = |part: fn(&Window) -> f64| windows.iter().map(part).sum::<f64>();
     match sum(|w| w.requested_weight) {
@@ -261,28 +268,32 @@
 
 fn play(point: &Point) -> Result<Figures, MeasureError> {
     let mut figures = Figures::new();
-    for servers in SERVICES {
-        let course = |day| course(point.size, servers, day, point.seed, point.deadline);
-        let (burst, release) = (course(Day::Burst)?, course(Day::Release)?);
-        let (calm, troubled) = burst.verdict.windows.split_at(CALM);
-        let (stirred, rest) = troubled.split_at(TROUBLE);
-        let mut tell = |name: &str, value: f64| figures.insert(format!("of_{servers}.{name}"), value);
-        tell("calm.served_share", served(calm));
-        tell("burst.served_share", served(stirred));
-        tell("after_burst.served_share", served(rest));
-        // Where it is never served as before, at least the rest of the day.
-        let never = burst.seconds - (CALM + TROUBLE) as f64 * WINDOW;
-        tell("after_burst.recover_s", burst.verdict.recovery_time.map_or(never, |took| took as f64 / 1e6));
-        tell("cold.served_share", served(&release.verdict.windows[CALM..]));
-        tell("cold.fallen", (burst.verdict.cold_overloads + release.verdict.cold_overloads) as f64);
-        tell("rules_broken", (burst.verdict.violation_count + release.verdict.violation_count) as f64);
+    for servers in SERVICE_SIZES {
+        let simulate =
+            |disturbance| simulate_service(point.size, servers, disturbance, point.seed, point.deadline);
+        let (burst, release) = (simulate(Disturbance::Burst)?, simulate(Disturbance::Release)?);
+        let (before, from_burst) = burst.verdict.windows.split_at(WINDOWS_BEFORE);
+        let (during, rest) = from_burst.split_at(BURST_WINDOWS);
+        let mut add = |name: &str, value: f64| figures.insert(format!("of_{servers}.{name}"), value);
+        add("calm.served_share", served(before));
+        add("burst.served_share", served(during));
+        add("after_burst.served_share", served(rest));
+        // Without recovery, the rest of the scenario is a lower bound of the time.
+        let lower_bound = burst.seconds - (WINDOWS_BEFORE + BURST_WINDOWS) as f64 * WINDOW_S;
+        add(
+            "after_burst.recover_s",
+            burst.verdict.recovery_time.map_or(lower_bound, |took| took as f64 / 1e6),
+        );
+        add("cold.served_share", served(&release.verdict.windows[WINDOWS_BEFORE..]));
+        add("cold.fallen", (burst.verdict.cold_overloads + release.verdict.cold_overloads) as f64);
+        add("rules_broken", (burst.verdict.violation_count + release.verdict.violation_count) as f64);
         let memory = burst.memory.iter().sum::<i64>() as f64 / point.size as f64;
-        tell("memory_bytes", memory);
-        tell("memory_bytes_most", burst.memory.iter().max().copied().unwrap_or(0) as f64);
-        let spent = (burst.spent + release.spent).as_secs_f64();
+        add("memory_bytes", memory);
+        add("memory_bytes_most", burst.memory.iter().max().copied().unwrap_or(0) as f64);
+        let cpu_time = (burst.cpu_time + release.cpu_time).as_secs_f64();
         let seconds = burst.seconds + release.seconds;
-        tell("cpu_share", spent / seconds / point.size as f64);
-        tell("us_per_try", spent * 1e6 / (burst.verdict.tries + release.verdict.tries) as f64);
+        add("cpu_share", cpu_time / seconds / point.size as f64);
+        add("us_per_try", cpu_time * 1e6 / (burst.verdict.tries + release.verdict.tries) as f64);
     }
     Ok(figures)
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -3,11 +3,11 @@
 /// A power law: the figure is `factor` times the size to the power of `exponent`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// What the figure is at size 1.
+    /// Value of the figure at size 1.
     pub factor: f64,
-    /// 1: as fast as the size; more: faster.
+    /// 1 if the figure grows in proportion to the size, above 1 if it grows faster.
     pub exponent: f64,
-    /// The largest distance of a point from the line, as a share of the line there.
+    /// Largest deviation of a point from the fitted value, as a share of the fitted value.
     pub residual: f64,
 }
 
@@ -28,8 +28,8 @@
         }
         let exponent = logs.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
         let mut fit = Fit { factor: (y - exponent * x).exp(), exponent, residual: 0.0 };
-        let off = |(size, figure): &(f64, f64)| (figure / fit.at(*size) - 1.0).abs();
-        fit.residual = points.iter().map(off).fold(0.0, f64::max);
+        let deviation = |(size, figure): &(f64, f64)| (figure / fit.at(*size) - 1.0).abs();
+        fit.residual = points.iter().map(deviation).fold(0.0, f64::max);
         Some(fit)
     }
 
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,19 +1,19 @@
-//! What holding the list of servers costs one process, by the length of the list.
+//! Role `list`: the cost for one process of holding the endpoint list, by the length of the list.
 //!
-//! A process of its own, with no calls, follows an agent of discovery on loopback, once as it is pushed
-//! lists and once as it asks for them. No server of the list answers, and none is asked. Seen from outside:
-//! processor time by the kernel's count, memory by `/proc`, bytes of HTTP by what the agent has written (TCP
-//! and IP headers are not in it).
+//! A single process without client calls follows a discovery agent on loopback, once with lists pushed by watches
+//! and once with polling. No server of the list exists, and none is called. All figures are taken from outside
+//! the process: processor time from the kernel's accounting, memory from `/proc`, HTTP bytes as written by the
+//! agent (without TCP and IP headers).
 //!
-//! - A change counts from when the agent has it: its own time for writing a list is in `ms_in_force`.
-//! - It is in force when the process tells operators the new number of servers (`hosts_listed`), asked
-//!   without a pause. These plays are timed only; processor time is taken of others, where nobody asks, up to
-//!   the process's next call.
-//! - `whole` is told to a process that has nothing, `again` to one that has all of it already; `one` leaves
-//!   and comes back, and of `zone` (1 of 11) the leaving counts.
-//! - An ordinary day's 845 events are three changes each (drains, is gone, is there again), all in this list
-//!   however short it is. The day is that many times what a change costs in a series pressed together, beside
-//!   what a quiet second costs.
+//! - A change starts when the agent has it, so `ms_in_force` includes the agent's time for writing a list.
+//! - A change is in force when the process reports the new number of servers (`hosts_listed`) at its admin
+//!   endpoint, which is polled without a pause. These runs are used for times only; processor time is taken in
+//!   other runs without polling, up to the process's next call to the agent.
+//! - `whole` is a full list sent to a process with an empty list, `again` the same to a process that has it
+//!   already. `one` is a server that leaves and returns; for `zone` (1 of 11) only the leaving counts.
+//! - Each of an ordinary day's 845 events is three changes (draining, removed, ready again), all in this list
+//!   however short it is. The cost of the day is the mean cost of a change, measured in a compressed series, times
+//!   the number of changes, plus the cost of the idle process.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::discovery::{Agent, Member};
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::{interval, sleep, timeout, timeout_at, MissedTickBehavior};
 
-/// The role.
+/// How the role is measured.
 pub const ROLE: RoleSpec = RoleSpec {
     name: "list",
     size_unit: "servers in the list",
@@ -43,7 +43,7 @@
         budget("asked.whole.ms_in_force", IN_FORCE_MS),
         budget("asked.one.ms_in_force", IN_FORCE_MS),
         budget("asked.zone.ms_in_force", IN_FORCE_MS),
-        // What is told as one comes within one second.
+        // A change that is sent in one response arrives within one second.
         budget("pushed.whole.bytes", BYTES_PER_S),
         budget("pushed.zone.bytes", BYTES_PER_S),
     ],
@@ -60,14 +60,16 @@
 
 /// Zones over which servers are spread.
 const ZONES: usize = 11;
-/// Machines that fail, are restarted or replaced on an ordinary day, and what the list has to tell of each.
-const EVENTS_A_DAY: f64 = 845.0;
-const STEPS: [EndpointState; 3] = [EndpointState::Draining, EndpointState::Removed, EndpointState::Ready];
+/// Machines that fail, are restarted or replaced on an ordinary day.
+const EVENTS_PER_DAY: f64 = 845.0;
+/// Changes of the list for each of these events.
+const STATES_PER_EVENT: [EndpointState; 3] =
+    [EndpointState::Draining, EndpointState::Removed, EndpointState::Ready];
 const DAY_S: f64 = 86_400.0;
-/// What is not in force by then never will be: the list is not taken.
-const NEVER: Duration = Duration::from_secs(20);
-/// The site, of which only the names of the process's settings count here.
-const SITE: &str = r#"
+/// A list that is not in force after this time counts as rejected.
+const MAX_WAIT: Duration = Duration::from_secs(20);
+/// The scenario, of which only the settings of the process are used.
+const SCENARIO: &str = r#"
 purpose = "what a list costs"
 length = "1s"
 balancers = 1
@@ -84,26 +86,26 @@
 idempotency = "free"
 "#;
 
-/// How often each moment is played.
+/// How often each kind of change is measured.
 #[derive(Clone, Copy, Debug)]
 pub struct Extent {
-    /// Processes that are wholly told from nothing, half of them timed.
+    /// Processes that start with an empty list and receive the full one; half of them are timed.
     pub starts: usize,
-    /// Times that a change is played for its processor time, and again for the time until it is in force.
+    /// Repetitions of a change for its processor time, and as many for the time until it is in force.
     pub changes: usize,
-    /// See `changes`, for a zone and for the whole list again.
+    /// As `changes`, for a zone and for the full list sent again.
     pub large: usize,
-    /// Servers that are restarted on the day that is pressed together, and the pause between two changes.
+    /// Servers that restart in the compressed series of an ordinary day.
     pub restarts: usize,
-    /// See `restarts`.
+    /// Pause between two changes of that series.
     pub pause: Duration,
-    /// How long nothing happens; with it the longest wait of a call is seen.
+    /// Length of the phase without changes, long enough to include the longest wait of a call to the agent.
     pub quiet: Duration,
 }
 
 impl Extent {
-    /// What the figures are taken of.
-    pub const WHOLE: Extent = Extent {
+    /// The extent of a full measurement.
+    pub const FULL: Extent = Extent {
         starts: 6,
         changes: 20,
         large: 5,
@@ -114,48 +116,53 @@
 }
 
 fn play(point: &Point) -> Result<Figures, MeasureError> {
-    measure(point, Extent::WHOLE)
+    measure(point, Extent::FULL)
 }
 
-/// Plays one size with a process that is pushed lists and one that asks for them, side by side.
+/// Measures one size with a process that receives pushed lists and one that polls, concurrently.
 ///
 /// # Errors
 /// See `Stopped`.
 pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(odd)?;
+    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(failed)?;
     let played = runtime.block_on(async {
-        let both =
-            async { tokio::try_join!(played(point, Way::Pushed, extent), played(point, Way::Asked, extent)) };
+        let both = async {
+            tokio::try_join!(
+                measure_mode(point, ListMode::Pushed, extent),
+                measure_mode(point, ListMode::Polled, extent)
+            )
+        };
         timeout_at(point.deadline.into(), both).await
     });
-    let (pushed, asked) = played.map_err(|_| MeasureError::NotRun("its time was over".to_owned()))??;
+    let (pushed, asked) =
+        played.map_err(|_| MeasureError::NotRun("the time limit was reached".to_owned()))??;
     let mut figures = Figures::new();
-    for (way, of_way) in [("pushed", pushed), ("asked", asked)] {
-        for (name, figure) in of_way {
+    for (mode, of_mode) in [("pushed", pushed), ("asked", asked)] {
+        for (name, figure) in of_mode {
             if ["memory_bytes", "day.cpu_share", "day.bytes_per_s"].contains(&name.as_str()) {
                 let most = figures.entry(name.clone()).or_insert(figure);
                 *most = most.max(figure);
             }
-            figures.insert(format!("{way}.{name}"), figure);
+            figures.insert(format!("{mode}.{name}"), figure);
         }
     }
     Ok(figures)
 }
 
-/// How lists come.
+/// How the process receives lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum ListMode {
     Pushed,
-    Asked,
+    Polled,
 }
 
-impl Way {
-    /// What a process's file says of it.
-    fn file(self) -> fn(&mut Value) {
+impl ListMode {
+    /// Changes the process's settings file for this mode.
+    fn file_change(self) -> fn(&mut Value) {
         match self {
-            Way::Pushed => |_| (),
-            // A call waits as long as where lists are pushed, so that a quiet second is the same.
-            Way::Asked => |file| {
+            ListMode::Pushed => |_| (),
+            // One call takes as long as with pushed lists, so that an idle second is comparable.
+            ListMode::Polled => |file| {
                 file["settings"]["discovery"] = json!("ask");
                 file["settings"]["invariants"]["ask_every_us"] = json!(4_000_000);
             },
@@ -163,11 +170,11 @@
     }
 }
 
-fn odd(fault: impl std::fmt::Display) -> MeasureError {
-    MeasureError::Failed(fault.to_string())
+fn failed(error: impl std::fmt::Display) -> MeasureError {
+    MeasureError::Failed(error.to_string())
 }
 
-/// A process and its agent.
+/// A process and its discovery agent.
 struct Process {
     shared: Arc<Shared>,
     agent: Arc<Agent>,
@@ -176,38 +183,38 @@
     operator: SocketAddr,
 }
 
-/// What has been spent up to a moment.
+/// Processor time and bytes used so far, or by a change.
 #[derive(Clone, Copy)]
-struct Spent {
+struct Usage {
     cpu_s: f64,
     bytes: u64,
 }
 
 impl Process {
-    /// Starts one whose list is empty, and waits until it watches.
-    async fn start(point: &Point, way: Way) -> Result<Self, MeasureError> {
-        let day = Scenario::parse(SITE).map_err(odd)?;
-        let shared = Arc::new(Shared::new(day, point.seed));
-        let agent = Agent::start(&shared, 0).await.map_err(odd)?;
-        let mut seat = Seat::new(&shared, &agent, 0, agent.address, false, None).map_err(odd)?;
-        let operator = seat.operated().map_err(odd)?;
-        seat.differs(way.file());
-        seat.start(&point.program).map_err(odd)?;
-        seat.ready().await.map_err(odd)?;
-        let pid = seat.pid().ok_or_else(|| odd("the process has ended"))?;
+    /// Starts a process with an empty list, and waits until it follows the agent.
+    async fn start(point: &Point, mode: ListMode) -> Result<Self, MeasureError> {
+        let scenario = Scenario::parse(SCENARIO).map_err(failed)?;
+        let shared = Arc::new(Shared::new(scenario, point.seed));
+        let agent = Agent::start(&shared, 0).await.map_err(failed)?;
+        let mut seat = Seat::new(&shared, &agent, 0, agent.address, false, None).map_err(failed)?;
+        let operator = seat.operated().map_err(failed)?;
+        seat.differs(mode.file_change());
+        seat.start(&point.program).map_err(failed)?;
+        seat.ready().await.map_err(failed)?;
+        let pid = seat.pid().ok_or_else(|| failed("the process ended after it became ready"))?;
         let process = Process { shared, agent, seat, pid, operator };
         process.agent.taken(0).await;
-        process.in_force(0, Instant::now()).await?;
+        process.wait_until_in_force(0, Instant::now()).await?;
         Ok(process)
     }
 
-    fn spent(&self) -> Result<Spent, MeasureError> {
-        Ok(Spent { cpu_s: outside::cpu_s(self.pid).map_err(odd)?, bytes: self.agent.written() })
+    fn usage(&self) -> Result<Usage, MeasureError> {
+        Ok(Usage { cpu_s: outside::cpu_s(self.pid).map_err(failed)?, bytes: self.agent.written() })
     }
 
-    /// A server as the list has it.
-    fn member(&self, server: usize, state: EndpointState) -> Member {
-        // Nobody is there, nor is anybody asked.
+    /// The list entry of a server.
+    fn list_entry(&self, server: usize, state: EndpointState) -> Member {
+        // Nothing listens at this address, and nothing is sent there.
         let [_, _, high, low] = (server as u32).to_be_bytes();
         Member {
             state,
@@ -218,155 +225,168 @@
         }
     }
 
-    fn members(&self, servers: impl Iterator<Item = usize>, state: EndpointState) -> Vec<(usize, Member)> {
-        servers.map(|server| (server, self.member(server, state))).collect()
+    fn list_entries(
+        &self,
+        servers: impl Iterator<Item = usize>,
+        state: EndpointState,
+    ) -> Vec<(usize, Member)> {
+        servers.map(|server| (server, self.list_entry(server, state))).collect()
     }
 
-    /// Waits until the process has taken what the agent has, by its next call.
-    async fn taken(&self) -> Result<(), MeasureError> {
-        let taken = timeout(NEVER, self.agent.taken(self.agent.version())).await;
-        taken.map_err(|_| MeasureError::NotRun(format!("a list was not taken within {NEVER:?}")))
+    /// Waits until the process has received the agent's current version, shown by its next call.
+    async fn wait_until_received(&self) -> Result<(), MeasureError> {
+        let taken = timeout(MAX_WAIT, self.agent.taken(self.agent.version())).await;
+        taken.map_err(|_| {
+            MeasureError::NotRun(format!("the process did not receive a list within {MAX_WAIT:?}"))
+        })
     }
 
-    /// Asks the process until it tells this number of servers: milliseconds since the change.
-    async fn in_force(&self, servers: usize, since: Instant) -> Result<f64, MeasureError> {
+    /// Polls the process until it reports this number of servers; returns the milliseconds since the change.
+    async fn wait_until_in_force(&self, servers: usize, since: Instant) -> Result<f64, MeasureError> {
         loop {
-            let listed = outside::dump(self.operator).await.map_err(odd)?["hosts_listed"].as_u64();
+            let listed = outside::dump(self.operator).await.map_err(failed)?["hosts_listed"].as_u64();
             if listed == Some(servers as u64) {
                 return Ok(since.elapsed().as_secs_f64() * 1e3);
             }
-            if since.elapsed() > NEVER {
-                let told = format!("{listed:?} servers listed after {NEVER:?}, not {servers}");
-                return Err(MeasureError::NotRun(told));
+            if since.elapsed() > MAX_WAIT {
+                let reason = format!("{listed:?} servers listed after {MAX_WAIT:?}, expected {servers}");
+                return Err(MeasureError::NotRun(reason));
             }
         }
     }
 
-    /// Servers that the process tells to have.
+    /// Number of servers that the process reports.
     async fn listed(&self) -> Result<f64, MeasureError> {
-        let report = outside::dump(self.operator).await.map_err(odd)?;
-        report["hosts_listed"].as_f64().ok_or_else(|| odd("no hosts_listed"))
+        let report = outside::dump(self.operator).await.map_err(failed)?;
+        report["hosts_listed"].as_f64().ok_or_else(|| failed("no hosts_listed in the report of the process"))
     }
 
-    /// What a change costs, up to the process's next call.
-    async fn cost(&self, change: impl FnOnce()) -> Result<Spent, MeasureError> {
-        let before = self.spent()?;
+    /// The cost of a change, up to the process's next call to the agent.
+    async fn cost(&self, change: impl FnOnce()) -> Result<Usage, MeasureError> {
+        let before = self.usage()?;
         change();
-        self.taken().await?;
-        let after = self.spent()?;
-        Ok(Spent { cpu_s: after.cpu_s - before.cpu_s, bytes: after.bytes - before.bytes })
+        self.wait_until_received().await?;
+        let after = self.usage()?;
+        Ok(Usage { cpu_s: after.cpu_s - before.cpu_s, bytes: after.bytes - before.bytes })
     }
 
-    /// Servers leave and come back, again and again: processor time and bytes when they leave, the longest
-    /// until it is in force, and how many the process then lacks. Of one server both ways count, as both
-    /// change one.
-    async fn leave(&self, size: usize, servers: &[usize], times: usize) -> Result<[f64; 4], MeasureError> {
-        let gone = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Removed));
-        let back = || self.agent.news_of_many(self.members(servers.iter().copied(), EndpointState::Ready));
-        let mut spent = Vec::new();
+    /// Removes and re-adds servers repeatedly. Returns the mean processor time and bytes of a removal, the longest
+    /// time until a change is in force in milliseconds, and the number of servers that a removal took from the
+    /// list. For a single server the re-addition counts too, as it also changes one entry.
+    async fn measure_leaving(
+        &self,
+        size: usize,
+        servers: &[usize],
+        times: usize,
+    ) -> Result<[f64; 4], MeasureError> {
+        let remove =
+            || self.agent.news_of_many(self.list_entries(servers.iter().copied(), EndpointState::Removed));
+        let re_add =
+            || self.agent.news_of_many(self.list_entries(servers.iter().copied(), EndpointState::Ready));
+        let mut usages = Vec::new();
         for _ in 0..times {
-            spent.push(self.cost(gone).await?);
-            let returned = self.cost(back).await?;
+            usages.push(self.cost(remove).await?);
+            let returned = self.cost(re_add).await?;
             if servers.len() == 1 {
-                spent.push(returned);
+                usages.push(returned);
             }
         }
         let (mut slowest, mut changed) = (0.0_f64, 0.0);
         for _ in 0..times {
             let begin = Instant::now();
-            gone();
-            slowest = slowest.max(self.in_force(size - servers.len(), begin).await?);
+            remove();
+            slowest = slowest.max(self.wait_until_in_force(size - servers.len(), begin).await?);
             changed = size as f64 - self.listed().await?;
             let begin = Instant::now();
-            back();
-            slowest = slowest.max(self.in_force(size, begin).await?);
+            re_add();
+            slowest = slowest.max(self.wait_until_in_force(size, begin).await?);
         }
-        let [cpu_s, bytes] = mean(&spent);
+        let [cpu_s, bytes] = mean(&usages);
         Ok([cpu_s, bytes, slowest, changed])
     }
 }
 
-/// Processor time and bytes of one among these.
-fn mean(spent: &[Spent]) -> [f64; 2] {
-    let count = spent.len().max(1) as f64;
+/// Mean processor time and bytes.
+fn mean(usages: &[Usage]) -> [f64; 2] {
+    let count = usages.len().max(1) as f64;
     [
-        spent.iter().map(|spent| spent.cpu_s).sum::<f64>() / count,
-        spent.iter().map(|spent| spent.bytes as f64).sum::<f64>() / count,
+        usages.iter().map(|usage| usage.cpu_s).sum::<f64>() / count,
+        usages.iter().map(|usage| usage.bytes as f64).sum::<f64>() / count,
     ]
 }
 
-async fn played(point: &Point, way: Way, extent: Extent) -> Result<Figures, MeasureError> {
+async fn measure_mode(point: &Point, mode: ListMode, extent: Extent) -> Result<Figures, MeasureError> {
     let size = point.size;
     let mut figures = Figures::new();
-    let mut tell = |name: &str, figure: f64| _ = figures.insert(name.to_owned(), figure);
+    let mut add = |name: &str, figure: f64| _ = figures.insert(name.to_owned(), figure);
 
-    // From nothing: every second process is asked when it is in force, and the others are left alone.
-    let (mut spent, mut slowest) = (Vec::new(), 0.0_f64);
+    // Full list to an empty process: half of the processes are polled for the time, the others measured undisturbed.
+    let (mut usages, mut slowest) = (Vec::new(), 0.0_f64);
     let mut last: Option<Process> = None;
     for start in 0..extent.starts.max(2) {
         if let Some(mut before) = last.take() {
             before.seat.end(Duration::ZERO).await;
         }
-        let process = Process::start(point, way).await?;
-        let all = process.members(0..size, EndpointState::Ready);
+        let process = Process::start(point, mode).await?;
+        let all = process.list_entries(0..size, EndpointState::Ready);
         if start % 2 == 0 {
             let begin = Instant::now();
             process.agent.begin_anew(all);
-            slowest = slowest.max(process.in_force(size, begin).await?);
+            slowest = slowest.max(process.wait_until_in_force(size, begin).await?);
         } else {
-            spent.push(process.cost(|| process.agent.begin_anew(all)).await?);
+            usages.push(process.cost(|| process.agent.begin_anew(all)).await?);
         }
         last = Some(process);
     }
-    let Some(mut process) = last else { unreachable!("at least one was started") };
-    let [cpu_s, bytes] = mean(&spent);
-    tell("whole.cpu_s", cpu_s);
-    tell("whole.bytes", bytes);
-    tell("whole.ms_in_force", slowest);
-    tell("whole.listed", process.listed().await?);
-    tell("whole.memory_bytes", outside::memory(process.pid).map_err(odd)?.now as f64);
+    let Some(mut process) = last else { unreachable!("at least two processes were started") };
+    let [cpu_s, bytes] = mean(&usages);
+    add("whole.cpu_s", cpu_s);
+    add("whole.bytes", bytes);
+    add("whole.ms_in_force", slowest);
+    add("whole.listed", process.listed().await?);
+    add("whole.memory_bytes", outside::memory(process.pid).map_err(failed)?.now as f64);
 
-    let mut spent = Vec::new();
+    let mut usages = Vec::new();
     for _ in 0..extent.large {
-        spent.push(process.cost(|| process.agent.begin_anew([])).await?);
+        usages.push(process.cost(|| process.agent.begin_anew([])).await?);
     }
-    tell("again.cpu_s", mean(&spent)[0]);
+    add("again.cpu_s", mean(&usages)[0]);
 
     let zone: Vec<usize> = (0..size).step_by(ZONES).collect();
     for (name, servers, times) in [("one", &zone[..1], extent.changes), ("zone", &zone, extent.large)] {
-        let [cpu_s, bytes, slowest, changed] = process.leave(size, servers, times).await?;
-        tell(&format!("{name}.cpu_s"), cpu_s);
-        tell(&format!("{name}.bytes"), bytes);
-        tell(&format!("{name}.ms_in_force"), slowest);
-        tell(&format!("{name}.changed"), changed);
+        let [cpu_s, bytes, slowest, changed] = process.measure_leaving(size, servers, times).await?;
+        add(&format!("{name}.cpu_s"), cpu_s);
+        add(&format!("{name}.bytes"), bytes);
+        add(&format!("{name}.ms_in_force"), slowest);
+        add(&format!("{name}.changed"), changed);
     }
 
-    let before = process.spent()?;
+    let before = process.usage()?;
     sleep(extent.quiet).await;
-    let after = process.spent()?;
+    let after = process.usage()?;
     let second = extent.quiet.as_secs_f64();
     let quiet = [(after.cpu_s - before.cpu_s) / second, (after.bytes - before.bytes) as f64 / second];
-    tell("quiet.cpu_share", quiet[0]);
-    tell("quiet.bytes_per_s", quiet[1]);
+    add("quiet.cpu_share", quiet[0]);
+    add("quiet.bytes_per_s", quiet[1]);
 
     let mut beat = interval(extent.pause);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut spent = Vec::new();
+    let mut usages = Vec::new();
     for restart in 0..extent.restarts {
-        // Far from each other, as machines that fail on one day are.
+        // Far apart in the list, as machines that fail on one day are.
         let server = restart * size / extent.restarts;
-        for state in STEPS {
+        for state in STATES_PER_EVENT {
             beat.tick().await;
-            let change = || process.agent.news_of_many([(server, process.member(server, state))]);
-            spent.push(process.cost(change).await?);
+            let change = || process.agent.news_of_many([(server, process.list_entry(server, state))]);
+            usages.push(process.cost(change).await?);
         }
     }
-    let a_second = EVENTS_A_DAY * STEPS.len() as f64 / DAY_S;
-    let [cpu_s, bytes] = mean(&spent).map(|change| change * a_second);
-    tell("day.cpu_share", quiet[0] + cpu_s);
-    tell("day.bytes_per_s", quiet[1] + bytes);
-    tell("day.listed", process.listed().await?);
-    tell("memory_bytes", outside::memory(process.pid).map_err(odd)?.most as f64);
+    let changes_per_s = EVENTS_PER_DAY * STATES_PER_EVENT.len() as f64 / DAY_S;
+    let [cpu_s, bytes] = mean(&usages).map(|change| change * changes_per_s);
+    add("day.cpu_share", quiet[0] + cpu_s);
+    add("day.bytes_per_s", quiet[1] + bytes);
+    add("day.listed", process.listed().await?);
+    add("memory_bytes", outside::memory(process.pid).map_err(failed)?.most as f64);
     process.seat.end(Duration::ZERO).await;
     Ok(figures)
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `oakport-testbed scale`: what each role of a process costs by the size of the fleet (`docs/CAPACITY.md`).
+//! `oakport-testbed scale`: measures the cost of each role of a process by the size of the fleet (`docs/CAPACITY.md`).
 
 pub mod calls;
 pub mod decisions;
@@ -21,42 +21,42 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A cost that grows with a higher power of the size than this grows faster than the size.
-const FASTER: f64 = 1.1;
+/// Above this exponent, a cost is reported as growing faster than the size.
+const MAX_LINEAR_EXPONENT: f64 = 1.1;
 
-/// What each role costs by the size of the fleet.
+/// Measures the cost of each role by the size of the fleet.
 #[derive(Debug, Args)]
 #[command(
-    after_help = "Each role is played at each size with each seed; a figure's slope is a straight line through the \
-                  logarithms of size and figure.\n\
-                  Exit status: 0 expectations held, 1 not, 2 a role cannot be played. A size that does not end in its \
-                  time is told as not run, which breaks nothing."
+    after_help = "Each role is measured at each size with each seed; the slope of a figure is that of a straight line \
+                  fitted to the logarithms of size and figure.\n\
+                  Exit status: 0 expectations held, 1 an expectation did not hold, 2 a role cannot be measured. A size \
+                  that exceeds its time limit is reported as not run, which breaks no expectation."
 )]
 pub struct Scale {
-    /// Roles to play [default: all]
+    /// Roles to measure [default: all]
     #[arg(value_enum)]
     roles: Vec<Role>,
-    /// Sizes, in place of a role's own
+    /// Sizes to measure [default: those of the role]
     #[arg(long, value_name = "N,N", value_delimiter = ',', value_parser = size)]
     sizes: Vec<usize>,
-    /// Seeds each size is played with
+    /// Number of seeds for each size
     #[arg(long, default_value_t = 3, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=100))]
     seeds: u64,
-    /// A size may take so many seconds with all its seeds, and what those before it left
+    /// Time limit for each size with all its seeds, in seconds; unused time is added to the limit of the next size
     #[arg(long, default_value_t = 60, value_name = "S", value_parser = clap::value_parser!(u64).range(1..=3_600))]
     limit: u64,
-    /// The members of `peers` have a scope for each zone, in place of one for all
+    /// Give the members of `peers` one scope for each zone instead of one for the whole fleet
     #[arg(long)]
     scopes: bool,
     #[command(flatten)]
     programs: Programs,
-    /// Write all figures there, as JSON
+    /// Write all figures to this file, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write a page with plots of what has a budget into this folder
+    /// Write a page with plots of all figures that have a budget into this folder
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
-    /// Play nothing, but draw the tables of this page anew from the JSON files it names
+    /// Measure nothing, but regenerate the tables of this page from the JSON files that it names
     #[arg(long, value_name = "FILE", conflicts_with_all = ["roles", "sizes", "scopes", "json", "report"])]
     page: Option<PathBuf>,
 }
@@ -64,22 +64,22 @@
 fn size(text: &str) -> Result<usize, String> {
     match text.parse() {
         Ok(size @ 1..=100_000) => Ok(size),
-        _ => Err("a size is a whole number from 1 to 100000".to_owned()),
+        _ => Err("size must be a whole number from 1 to 100000".to_owned()),
     }
 }
 
-/// A part that a process plays in the fleet.
+/// A function of a client proxy whose cost grows with the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum Role {
-    /// Knowing who is present
+    /// Membership: knowing which processes are present
     Peers,
-    /// Holding the list of servers
+    /// Holding the endpoint list
     List,
-    /// Taking new settings
+    /// Applying new settings
     Settings,
-    /// Passing calls on
+    /// Forwarding calls
     Calls,
-    /// Deciding where calls go
+    /// Choosing endpoints for calls
     Decisions,
 }
 
@@ -98,36 +98,36 @@
 }
 
 impl Scale {
-    /// Plays the roles and prints their tables. True if all expectations held.
+    /// Measures the roles and prints their tables. Returns true if all expectations held.
     ///
     /// # Errors
-    /// A role cannot be played.
+    /// A role cannot be measured.
     pub fn run(&self) -> Result<bool, RunError> {
         if let Some(page) = &self.page {
-            return drawn(page)
+            return regenerate_tables(page)
                 .map(|()| true)
-                .map_err(|odd| RunError::Failed(format!("{}: {odd}", page.display())));
+                .map_err(|e| RunError::Failed(format!("{}: {e}", page.display())));
         }
         let [program, _] = self.programs.resolve()?;
         let roles = if self.roles.is_empty() { Role::value_variants() } else { &self.roles };
-        let (mut held, mut all, mut pages) = (true, Map::new(), Vec::new());
+        let (mut expectations_held, mut all, mut measured_roles) = (true, Map::new(), Vec::new());
         for spec in roles.iter().map(|role| role.spec(self.scopes)) {
             let sizes = if self.sizes.is_empty() { spec.sizes } else { &self.sizes };
-            let mut played = ResultsBySize::new();
+            let mut results = ResultsBySize::new();
             let mut deadline = Instant::now();
             for size in sizes {
                 eprintln!("{} at {size} {} ...", spec.name, spec.size_unit);
                 deadline += Duration::from_secs(self.limit);
                 let point = Point { size: *size, seed: 1, deadline, program: program.clone() };
-                played.insert(*size, self.measure(spec, &point)?);
+                results.insert(*size, self.measure(spec, &point)?);
             }
-            let table = table(spec, &played);
+            let table = table(spec, &results);
             println!("{table}");
-            let exceeded = exceeded_bounds(spec, &played);
+            let exceeded = exceeded_bounds(spec, &results);
             exceeded.iter().for_each(|(message, _)| println!("{message}"));
-            held &= !exceeded.iter().any(|(_, is_enforced)| *is_enforced);
-            all.insert(spec.name.to_owned(), in_json(&played));
-            pages.push((spec, played, table));
+            expectations_held &= !exceeded.iter().any(|(_, is_enforced)| *is_enforced);
+            all.insert(spec.name.to_owned(), in_json(&results));
+            measured_roles.push((spec, results, table));
         }
         if let Some(path) = &self.json {
             let text = format!("{:#}\n", json!({ "roles": all }));
@@ -136,82 +136,83 @@
         if let Some(folder) = &self.report {
             std::fs::create_dir_all(folder)
                 .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
-            write(&folder.join("scale.html"), &report::html(&pages).map_err(RunError::Failed)?)?;
+            write(&folder.join("scale.html"), &report::html(&measured_roles).map_err(RunError::Failed)?)?;
         }
-        Ok(held)
+        Ok(expectations_held)
     }
 
-    /// Plays a size with each seed, as far as its time allows.
+    /// Measures a size with each seed, as far as its time limit allows.
     fn measure(&self, spec: RoleSpec, point: &Point) -> Result<SizeResult, RunError> {
-        let mut played = SizeResult::default();
+        let mut results = SizeResult::default();
         for seed in 1..=self.seeds {
-            let begin = Instant::now();
-            let stopped = match (spec.measure)(&Point { seed, ..point.clone() }) {
+            let start = Instant::now();
+            let error = match (spec.measure)(&Point { seed, ..point.clone() }) {
                 Ok(figures) => {
-                    played.seeds.push(figures);
+                    results.seeds.push(figures);
                     let (took, left) =
-                        (begin.elapsed(), point.deadline.saturating_duration_since(Instant::now()));
+                        (start.elapsed(), point.deadline.saturating_duration_since(Instant::now()));
                     if seed < self.seeds && took > left {
-                        let why = format!(
-                            "seed {seed} of {} took {took:.0?}, and {left:.0?} were left",
+                        let reason = format!(
+                            "seed {seed} of {} took {took:.0?}, and only {left:.0?} are left for the next",
                             self.seeds
                         );
-                        played.not_run = Some(why);
+                        results.not_run = Some(reason);
                         break;
                     }
                     continue;
                 }
-                Err(stopped) => stopped,
+                Err(error) => error,
             };
-            let why = match stopped {
-                MeasureError::Failed(odd) => return Err(RunError::Failed(format!("{}: {odd}", spec.name))),
-                MeasureError::NotRun(why) => why,
-                MeasureError::Partial(figures, why) => {
-                    // What one seed has more of than the others would pass for their median.
-                    if played.seeds.is_empty() {
-                        played.seeds.push(figures);
+            let reason = match error {
+                MeasureError::Failed(e) => return Err(RunError::Failed(format!("{}: {e}", spec.name))),
+                MeasureError::NotRun(reason) => reason,
+                MeasureError::Partial(figures, reason) => {
+                    // Partial figures of one seed are not mixed with the complete figures of others: a figure with fewer
+                    // values would be taken for a median over all seeds.
+                    if results.seeds.is_empty() {
+                        results.seeds.push(figures);
                     }
-                    why
+                    reason
                 }
             };
-            played.not_run = Some(format!("seed {seed} of {}: {why}", self.seeds));
+            results.not_run = Some(format!("seed {seed} of {}: {reason}", self.seeds));
             break;
         }
-        Ok(played)
+        Ok(results)
     }
 }
 
-/// Draws a page's tables anew.
-fn drawn(page: &Path) -> Result<(), String> {
+/// Regenerates the tables of a page.
+fn regenerate_tables(page: &Path) -> Result<(), String> {
     let specs: Vec<RoleSpec> = Role::value_variants().iter().map(|role| role.spec(false)).collect();
     let text = std::fs::read_to_string(page).map_err(|e| e.to_string())?;
     let folder = page.parent().unwrap_or_else(|| Path::new("."));
     std::fs::write(page, page::draw(&text, folder, &specs)?).map_err(|e| e.to_string())
 }
 
-fn table(spec: RoleSpec, played: &ResultsBySize) -> String {
+fn table(spec: RoleSpec, results: &ResultsBySize) -> String {
     let mut table = Table::new();
-    let sizes = played.keys().map(|size| format!("{size}"));
+    let sizes = results.keys().map(|size| format!("{size}"));
     let head = [format!("{}, by {}", spec.name, spec.size_unit)].into_iter().chain(sizes);
     let fit = ["exponent", "residual", "at 6300"].map(str::to_owned);
     table.load_preset(presets::NOTHING).set_header(head.chain(fit));
-    for figure in names(played) {
+    for figure in names(results) {
         let mut row = vec![figure.clone()];
-        for played in played.values() {
-            row.push(match played.spread(figure) {
-                Some([median, least, most]) if least < most => {
-                    format!("{} ({} to {})", short(median), short(least), short(most))
+        for results in results.values() {
+            row.push(match results.spread(figure) {
+                Some([median, min, max]) if min < max => {
+                    format!("{} ({} to {})", short(median), short(min), short(max))
                 }
                 Some([median, ..]) => short(median),
-                None if played.not_run.is_some() => "not run".to_owned(),
+                None if results.not_run.is_some() => "not run".to_owned(),
                 None => "-".to_owned(),
             });
         }
-        row.extend(match fitted(played, figure) {
+        row.extend(match fitted(results, figure) {
             Some(fit) => {
-                let faster = if fit.exponent > FASTER { " faster than the size" } else { "" };
+                let note = if fit.exponent > MAX_LINEAR_EXPONENT { " faster than the size" } else { "" };
                 let planned = short(fit.at(PLANNED_SIZE as f64));
-                [format!("{:.2}{faster}", fit.exponent), format!("{:.0}%", fit.residual * 100.0), planned]
+                [format!("{:.2}{note}", fit.exponent), format!("{:.0}%", fit.residual * 100.0), planned]
             }
             None => ["-", "-", "-"].map(str::to_owned),
         });
@@ -219,49 +220,49 @@
     }
     table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
     let mut text: String = table.lines().map(|line| format!("{}\n", line.trim_end())).collect();
-    for (size, played) in played {
-        if let Some(why) = &played.not_run {
-            text.push_str(&format!("{} at {size}: not run: {why}\n", spec.name));
+    for (size, results) in results {
+        if let Some(reason) = &results.not_run {
+            text.push_str(&format!("{} at {size}: not run: {reason}\n", spec.name));
         }
     }
     text
 }
 
-/// Bounds that a size is over, and whether it was expected to keep them.
-fn exceeded_bounds(spec: RoleSpec, played: &ResultsBySize) -> Vec<(String, bool)> {
-    let mut told = Vec::new();
+/// A message for each exceeded bound, and whether the bound is enforced.
+fn exceeded_bounds(spec: RoleSpec, results: &ResultsBySize) -> Vec<(String, bool)> {
+    let mut messages = Vec::new();
     for bound in spec.bounds {
-        for (size, played) in played.range(bound.min_size..) {
-            let Some([_, _, most]) = played.spread(bound.figure) else { continue };
-            if most > bound.max {
-                let how = if bound.is_enforced { "expected" } else { "budget" };
+        for (size, results) in results.range(bound.min_size..) {
+            let Some([_, _, max]) = results.spread(bound.figure) else { continue };
+            if max > bound.max {
+                let kind = if bound.is_enforced { "expected" } else { "budget" };
                 let (role, figure) = (spec.name, bound.figure);
                 let text = format!(
-                    "{role} at {size}: {figure} is {}, {how} at most {}",
-                    short(most),
+                    "{role} at {size}: {figure} is {}, {kind} at most {}",
+                    short(max),
                     short(bound.max)
                 );
-                told.push((text, bound.is_enforced));
+                messages.push((text, bound.is_enforced));
             }
         }
     }
-    told
+    messages
 }
 
-/// `"6300": {"figure": median, ...}`; what was not run, or not wholly, has its reason there.
-fn in_json(played: &ResultsBySize) -> Value {
-    let size = |(size, played): (&usize, &SizeResult)| {
-        let names = played.names().into_iter();
-        let spreads = names.filter_map(|figure| Some((figure, played.spread(figure)?)));
-        let statistics = spreads.flat_map(|(figure, [median, least, most])| {
+/// `"6300": {"figure": median, ...}`; a size that was not run, or only partly, has the reason in it.
+fn in_json(results: &ResultsBySize) -> Value {
+    let size = |(size, results): (&usize, &SizeResult)| {
+        let names = results.names().into_iter();
+        let spreads = names.filter_map(|figure| Some((figure, results.spread(figure)?)));
+        let statistics = spreads.flat_map(|(figure, [median, min, max])| {
             let statistic = |suffix: &str, value| (format!("{figure}{suffix}"), json!(value));
-            [statistic("", median), statistic(".least", least), statistic(".most", most)]
+            [statistic("", median), statistic(".least", min), statistic(".most", max)]
         });
-        let name = if played.seeds.is_empty() { "not_run" } else { "partly" };
-        let not_run = played.not_run.iter().map(|why| (name.to_owned(), json!(why)));
-        let seeds = ("seeds".to_owned(), json!(played.seeds.len()));
+        let name = if results.seeds.is_empty() { "not_run" } else { "partly" };
+        let not_run = results.not_run.iter().map(|reason| (name.to_owned(), json!(reason)));
+        let seeds = ("seeds".to_owned(), json!(results.seeds.len()));
         let figures = statistics.chain(not_run).chain([seeds]).collect();
         (size.to_string(), Value::Object(figures))
     };
-    Value::Object(played.iter().map(size).collect())
+    Value::Object(results.iter().map(size).collect())
 }
--- a/crates/testbed/src/scale/results.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -1,23 +1,23 @@
-//! What a role gave at its sizes: spreads over the seeds, and slopes.
+//! Results of a role by size, their spreads over the seeds, and their slopes.
 
 use super::fit::Fit;
 use super::point::Figures;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a size gave.
+/// The results of one size.
 #[derive(Clone, Debug, Default)]
 pub struct SizeResult {
-    /// The figures of each seed that was played.
+    /// The figures of each seed that was measured.
     pub seeds: Vec<Figures>,
-    /// Why there are none, or not all.
+    /// Why the size was not run, or not with all seeds.
     pub not_run: Option<String>,
 }
 
-/// What a role gave, by its sizes.
+/// The results of a role by size.
 pub type ResultsBySize = BTreeMap<usize, SizeResult>;
 
 impl SizeResult {
-    /// A figure's median over the seeds, with the least and the most.
+    /// Median, minimum and maximum of a figure over the seeds.
     pub fn spread(&self, figure: &str) -> Option<[f64; 3]> {
         let mut all: Vec<f64> =
             self.seeds.iter().filter_map(|figures| figures.get(figure).copied()).collect();
@@ -31,13 +31,13 @@
     }
 }
 
-/// The names of all figures that some size has.
+/// The names of the figures of all sizes.
 pub fn names(sizes: &ResultsBySize) -> BTreeSet<&String> {
     sizes.values().flat_map(SizeResult::names).collect()
 }
 
-/// The slope of a figure's medians.
+/// The power law fitted to a figure's medians.
 pub fn fitted(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
-    let point = |(size, played): (&usize, &SizeResult)| Some((*size as f64, played.spread(figure)?[0]));
+    let point = |(size, result): (&usize, &SizeResult)| Some((*size as f64, result.spread(figure)?[0]));
     Fit::of(&sizes.iter().filter_map(point).collect::<Vec<_>>())
 }
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,31 +1,31 @@
-//! The scale test: its slopes, and the tables drawn from them.
+//! The scale test: fitted slopes, and the tables generated from results.
 
 use oakport_testbed::scale::fit::Fit;
 use oakport_testbed::scale::page;
 use oakport_testbed::scale::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 
 #[test]
-fn a_power_law_is_found_again() {
+fn a_fit_recovers_a_power_law() {
     let points: Vec<(f64, f64)> =
         [60.0, 300.0, 1_000.0, 6_300.0].map(|size: f64| (size, 0.5 * size.powf(1.3))).into();
     let fit = Fit::of(&points).expect("four sizes");
     assert!((fit.exponent - 1.3).abs() < 1e-9, "{fit:?}");
     assert!(fit.residual < 1e-9, "{fit:?}");
-    let reaches = fit.reaches(fit.at(2_000.0)).expect("it grows");
+    let reaches = fit.reaches(fit.at(2_000.0)).expect("the figure grows");
     assert!((reaches - 2_000.0).abs() < 1e-6, "{reaches}");
 }
 
 #[test]
-fn what_has_no_slope_is_not_given_one() {
+fn points_without_a_slope_give_no_fit() {
     assert_eq!(Fit::of(&[(60.0, 1.0)]), None, "one size");
     assert_eq!(Fit::of(&[(60.0, 1.0), (60.0, 2.0)]), None, "one size twice");
-    assert_eq!(Fit::of(&[(60.0, 0.0), (300.0, 2.0)]), None, "nothing has no logarithm");
+    assert_eq!(Fit::of(&[(60.0, 0.0), (300.0, 2.0)]), None, "0 has no logarithm");
     let flat = Fit::of(&[(60.0, 2.0), (300.0, 2.0)]).expect("two sizes");
-    assert_eq!(flat.reaches(3.0), None, "what does not grow reaches no bound");
+    assert_eq!(flat.reaches(3.0), None, "a constant figure reaches no bound");
 }
 
 fn none(_: &Point) -> Result<Figures, MeasureError> {
-    Err(MeasureError::NotRun("only drawn".to_owned()))
+    Err(MeasureError::NotRun("not measured in this test".to_owned()))
 }
 
 const BOUNDS: &[Bound] = &[
@@ -33,7 +33,7 @@
     Bound { figure: "memory_bytes", max: 5_000.0, min_size: 0, is_enforced: false },
     Bound { figure: "start.bytes", max: 50.0, min_size: 0, is_enforced: false },
 ];
-const PARTS: &[RoleSpec] =
+const SPECS: &[RoleSpec] =
     &[RoleSpec { name: "peers", size_unit: "members", sizes: &[60, 600], bounds: BOUNDS, measure: none }];
 const JSON: &str = r#"{"roles": {"peers": {
     "60": {"quiet.cpu_share": 0.001, "memory_bytes": 600, "start.bytes": 100},
@@ -41,12 +41,12 @@
     "6300": {"not_run": "no time"}}}}"#;
 
 #[test]
-fn a_pages_tables_are_drawn_from_figures_and_drawing_them_again_changes_nothing() {
+fn tables_are_generated_from_results_and_regenerating_them_changes_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("a.json"), JSON).expect("written");
     let page = "# Page\n<!-- scale a.json peers quiet.cpu_share memory_bytes -->\nold\n<!-- end -->\nText.\n\
                 <!-- scale a.json order -->\n<!-- end -->\n";
-    let drawn = page::draw(page, folder.path(), PARTS).expect("drawn");
+    let drawn = page::draw(page, folder.path(), SPECS).expect("drawn");
     assert!(!drawn.contains("old") && drawn.contains("Text."), "{drawn}");
     let row = "| `quiet.cpu_share` | 1.00e-3 | 0.0100 | not run | 1.00 | 0.1050 computed | 0.0180 | 1080 computed |";
     assert!(drawn.contains(row), "{drawn}");
@@ -56,28 +56,28 @@
     let figures = ["start.bytes", "memory_bytes", "quiet.cpu_share"];
     assert_eq!(order.len(), figures.len(), "{drawn}");
     assert!(order.iter().zip(figures).all(|(line, figure)| line.contains(figure)), "{order:#?}");
-    assert_eq!(page::draw(&drawn, folder.path(), PARTS).expect("drawn again"), drawn);
-    // Of a role that two files have the last counts.
+    assert_eq!(page::draw(&drawn, folder.path(), SPECS).expect("drawn again"), drawn);
+    // If two files contain the same role, the last one counts.
     let later = JSON.replace("0.001", "0.002");
     std::fs::write(folder.path().join("b.json"), later).expect("written");
     let both = page.replace("a.json peers", "a.json,b.json peers");
-    let drawn = page::draw(&both, folder.path(), PARTS).expect("drawn of both");
+    let drawn = page::draw(&both, folder.path(), SPECS).expect("drawn from both");
     assert!(drawn.contains("| `quiet.cpu_share` | 2.00e-3 |"), "{drawn}");
 }
 
 #[test]
-fn what_a_page_asks_for_in_vain_is_told_with_its_line() {
+fn missing_files_roles_figures_and_ends_are_reported_with_their_line() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("a.json"), JSON).expect("written");
-    let draw = |asked: &str| {
-        let page = format!("# Page\n<!-- scale {asked} -->\n<!-- end -->\n");
-        page::draw(&page, folder.path(), PARTS).expect_err("in vain")
+    let draw = |request: &str| {
+        let page = format!("# Page\n<!-- scale {request} -->\n<!-- end -->\n");
+        page::draw(&page, folder.path(), SPECS).expect_err("nothing to generate from")
     };
     assert!(draw("b.json peers x").contains("line 2: b.json: "));
-    assert_eq!(draw("a.json"), "line 2: a table is asked for by a file, a role and figures");
-    assert_eq!(draw("a.json calls x"), "line 2: no role is 'calls'");
+    assert_eq!(draw("a.json"), "line 2: expected a file, a role and figures");
+    assert_eq!(draw("a.json calls x"), "line 2: unknown role 'calls'");
     assert_eq!(draw("a.json peers x"), "line 2: a.json has no figure 'x' of peers");
     let page = "<!-- scale a.json peers memory_bytes -->\n";
-    let odd = page::draw(page, folder.path(), PARTS).expect_err("no end");
-    assert!(odd.starts_with("line 1: the table has no end"), "{odd}");
+    let error = page::draw(page, folder.path(), SPECS).expect_err("the end line is missing");
+    assert!(error.starts_with("line 1: the table has no end"), "{error}");
 }
--- a/crates/testbed/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -1,43 +1,52 @@
-//! The scale test of `decisions`: rules are kept, cold servers stand, and the way back from a burst is found.
+//! The scale test's role `decisions`: all rules are kept, no cold server is overloaded, and service recovers after a
+//! burst.
 
-use oakport_testbed::scale::decisions::{course, Course, Day};
+use oakport_testbed::scale::decisions::{simulate_service, Disturbance, Simulated};
 use oakport_testbed::scale::point::MeasureError;
 use std::time::{Duration, Instant};
 
-/// Longest time for a day.
-const LONG: Duration = Duration::from_secs(300);
+/// Time limit of a simulation.
+const TIME_LIMIT: Duration = Duration::from_secs(300);
 
-fn played(balancers: usize, day: Day) -> Course {
-    let course = course(balancers, 6, day, 1, Instant::now() + LONG).expect("it ends in its time");
-    let verdict = &course.verdict;
-    println!("{balancers} {day:?}: {} tries, {} events, {verdict:?}", verdict.tries, course.events);
+fn simulate_and_check(balancers: usize, disturbance: Disturbance) -> Simulated {
+    let simulated = simulate_service(balancers, 6, disturbance, 1, Instant::now() + TIME_LIMIT)
+        .expect("the simulation ends in its time");
+    let verdict = &simulated.verdict;
+    println!(
+        "{balancers} {disturbance:?}: {} tries, {} events, {verdict:?}",
+        verdict.tries, simulated.events
+    );
     assert_eq!((verdict.violation_count, verdict.cold_overloads), (0, 0), "{:?}", verdict.violations);
-    assert_eq!(course.memory.len(), balancers);
-    // Each try is an event, and a call that is served is another.
-    assert!(course.events > verdict.tries + verdict.requests / 2, "{} events", course.events);
-    course
+    assert_eq!(simulated.memory.len(), balancers);
+    // Each attempt is an event, and each served call another.
+    assert!(simulated.events > verdict.tries + verdict.requests / 2, "{} events", simulated.events);
+    simulated
 }
 
-fn both_days(balancers: usize) {
-    let burst = played(balancers, Day::Burst);
-    assert!(burst.verdict.recovery_time.is_some(), "it is served as before: {:?}", burst.verdict.windows);
+fn check_both_disturbances(balancers: usize) {
+    let burst = simulate_and_check(balancers, Disturbance::Burst);
+    assert!(
+        burst.verdict.recovery_time.is_some(),
+        "service recovers after the burst: {:?}",
+        burst.verdict.windows
+    );
     assert!(burst.memory.iter().all(|held| *held > 0), "{:?}", burst.memory);
-    let release = played(balancers, Day::Release);
+    let release = simulate_and_check(balancers, Disturbance::Release);
     assert_eq!(release.verdict.recovery_time, None, "there was no burst");
 }
 
 #[test]
-fn sixty_balancers_find_their_way() {
-    both_days(60);
+fn sixty_balancers_keep_the_rules_and_recover_after_a_burst() {
+    check_both_disturbances(60);
 }
 
 #[test]
-fn three_hundred_balancers_find_their_way() {
-    both_days(300);
+fn three_hundred_balancers_keep_the_rules_and_recover_after_a_burst() {
+    check_both_disturbances(300);
 }
 
 #[test]
-fn a_day_that_would_not_end_in_its_time_has_no_figures() {
-    let late = course(60, 6, Day::Burst, 1, Instant::now());
+fn a_simulation_that_exceeds_its_deadline_has_no_result() {
+    let late = simulate_service(60, 6, Disturbance::Burst, 1, Instant::now());
     assert!(matches!(late, Err(MeasureError::NotRun(_))), "{late:?}");
 }
