--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -210,7 +210,9 @@
         tokio::select! {
             verdict = cluster::play(play, report_progress) => verdict.map_err(RunError::Failed),
             _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
-            () = tokio::time::sleep(max_duration) => Err(RunError::Failed(format!("play did not end within {max_duration:?}"))),
+            () = tokio::time::sleep(max_duration) => {
+                Err(RunError::Failed(format!("play did not end within {max_duration:?}")))
+            }
         }
     })
 }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -18,8 +18,8 @@
 /// Measures the cost of a hop.
 #[derive(Debug, Args)]
 #[command(
-    after_help = "Servers answer at once, so that only the hop is measured. The ways (routes of the calls) take turns within one run; \
-                        ratios are medians, with the minimum and maximum over the rounds."
+    after_help = "Servers answer at once, so that only the hop is measured. The ways (routes of the calls) take \
+                        turns within one run; ratios are medians, with the minimum and maximum over the rounds."
 )]
 pub struct Overhead {
     /// Program [default: oakport in the folder of this program]
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -1,12 +1,12 @@
-//! Knowing who is present: `oakport-membership` by hollow processes in virtual time, in quiet and in the moments
-//! that the operators plan with.
+//! Role `peers`: the cost of membership, measured on `oakport-membership` with simulated processes in virtual time,
+//! without events and in the situations that the operators plan with.
 //!
-//! Members lie in 11 zones of 3 regions. A datagram is under way for 2 to 5 ms within a zone, 3 to 8 ms
-//! between zones of a region, 14 to 17 ms to the next region and 28 to 31 ms to the one after it; none is
-//! lost. Each member is told of three others, drawn for it, and of one process, so that what it counts is all
-//! from what it knows. Processor time is the thread's own (`CLOCK_THREAD_CPUTIME_ID`) around each call into
-//! `Peers`, less what measuring costs; memory is what these calls allocate and hold; bytes have the headers
-//! of UDP and IP.
+//! Members are spread over 11 zones of 3 regions. The one-way latency is 2 to 5 ms within a zone, 3 to 8 ms between
+//! zones of a region, 14 to 17 ms to the next region and 28 to 31 ms to the one after it; no datagram is lost. Each
+//! member starts with three random seeds and a configured count of 1, so its live count depends only on the members
+//! that it knows. Processor time is that of the thread (`CLOCK_THREAD_CPUTIME_ID`) during each call into `Node`, minus
+//! the cost of measuring; memory is what these calls have allocated and not freed; bytes include the headers of UDP
+//! and IP.
 
 mod member;
 pub mod net;
@@ -18,7 +18,7 @@
 use oakport_membership::{Node, RemoteScope, ScopeStatus};
 use topology::ZONES;
 
-/// The role.
+/// How the role is measured.
 pub const ROLE: RoleSpec = RoleSpec {
     name: "peers",
     size_unit: "members",
@@ -27,22 +27,22 @@
     measure: play,
 };
 
-/// The role with a scope for each zone.
+/// The same with one scope for each zone.
 pub const ROLE_WITH_SCOPES: RoleSpec =
     RoleSpec { size_unit: "members in scopes", measure: play_in_scopes, ..ROLE };
 
-/// Bytes a second that control may cost a process.
+/// Budget of a process for membership traffic.
 const MAX_BYTES_PER_S: f64 = 22_000.0;
-/// Share of a core.
+/// Budget of a process, as a share of a core.
 const MAX_CPU_SHARE: f64 = 0.018;
-/// Bytes of memory.
+/// Budget of a process.
 const MAX_MEMORY_BYTES: f64 = 64e6;
 
 const fn budget(figure: &'static str, max: f64) -> Bound {
     Bound { figure, max, min_size: 1, is_enforced: false }
 }
 
-/// What the operators allow, and what is aimed at within it at the size they plan with.
+/// The budgets of the operators, and tighter targets at the size that they plan with.
 const BOUNDS: [Bound; 23] = [
     budget("quiet.bytes_in_worst_second", MAX_BYTES_PER_S),
     budget("start.bytes_in_worst_second", MAX_BYTES_PER_S),
@@ -69,48 +69,48 @@
     budget("healed.s_until_agreed", 15.0),
 ];
 
-/// Members of a rack.
+/// Members of a rack, if the fleet has at least `SMALL_SITE_RACKS` times as many.
 const MAX_RACK_MEMBERS: usize = 40;
-/// Of a smaller site a rack is this part.
+/// Number of racks of a smaller fleet.
 const SMALL_SITE_RACKS: usize = 15;
-/// Deaths and restarts of an ordinary day.
+/// Deaths and restarts on an ordinary day.
 const DAILY_DEATHS_AND_RESTARTS: [usize; 2] = [35, 810];
-/// They come within so long.
+/// Time into which the events of an ordinary day are compressed.
 const DAY_LENGTH_US: Micros = 3_600 * SECOND_US;
-/// A restart takes so long.
+/// Time between the leaving of a member and its restart.
 const RESTART_US: Micros = 2 * SECOND_US;
-/// All start within this.
+/// Time within which all members start.
 const START_SPREAD_US: Micros = SECOND_US;
-/// Of the sizes from this one on moments are played for a shorter time, but for the parting.
+/// From this size on, phases are shortened, except for the partition.
 const LARGE_SIZE: usize = 3_000;
-/// So many members keep a thread busy.
+/// Members that keep one thread busy.
 const MEMBERS_PER_THREAD: usize = 75;
-/// What is spent has settled once it falls by less than this share from one span to the next.
+/// The byte rate has settled once it falls by less than this share from one span to the next.
 const SETTLED_CHANGE_RATIO: f64 = 0.02;
 
-/// Something that happens to all members.
+/// A phase of the measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// All start at once, each with seeds of its own.
+    /// All members start together, each with its own random seeds.
     Start,
-    /// Nothing happens.
+    /// No member starts, leaves or dies.
     Quiet,
-    /// One dies, and starts anew.
+    /// One member dies and restarts.
     Death,
-    /// A rack loses its power, and starts anew.
+    /// A rack loses power and restarts.
     Rack,
-    /// A zone loses its power, and starts anew.
+    /// A zone loses power and restarts.
     Zone,
-    /// A region is parted from the others, and joins them again.
+    /// A region is partitioned from the others, then the partition heals.
     Partition,
-    /// Machines die and are restarted as on an ordinary day, but within an hour.
+    /// Machines die and restart as on an ordinary day, compressed into an hour.
     OrdinaryDay,
-    /// All start at once, and all know the same three: a fleet of its own, and only of the smaller sizes.
+    /// A new fleet, in which all members start together with the same three seeds; only for the smaller sizes.
     StartFromThree,
 }
 
 impl Phase {
-    /// All, in the order in which they are played.
+    /// All phases, in the order in which they run.
     pub const ALL: [Phase; 8] = [
         Phase::Start,
         Phase::Quiet,
@@ -131,24 +131,26 @@
     run_phases(point, Scopes::Zones, &Phase::ALL)
 }
 
-/// Plays one moment after the other, the first of which is the start.
+/// Runs the phases in order; the first must be `Phase::Start`.
 ///
 /// # Errors
-/// The time or the memory that it may take was used up; with the figures of the moments that had ended.
+/// The time or memory limit was reached; with the figures of the phases that had ended.
 pub fn run_phases(point: &Point, scopes: Scopes, phases: &[Phase]) -> Result<Figures, MeasureError> {
-    // More threads than have something to do in a window only wait for one another.
+    // With more threads than there is work for in a window, threads only wait for each other.
     let threads = (point.size / MEMBERS_PER_THREAD).clamp(1, rayon::current_num_threads());
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
     let pool = pool.map_err(|e| MeasureError::Failed(format!("threads: {e}")))?;
     let mut figures = Figures::new();
     match pool.install(|| run_in_order(point, scopes, phases, &mut figures)) {
         Ok(()) => Ok(figures),
-        Err(MeasureError::NotRun(why)) if !figures.is_empty() => Err(MeasureError::Partial(figures, why)),
+        Err(MeasureError::NotRun(reason)) if !figures.is_empty() => {
+            Err(MeasureError::Partial(figures, reason))
+        }
         Err(stopped) => Err(stopped),
     }
 }
 
-/// Plays moments and adds the figures of each that has ended.
+/// Runs phases and adds the figures of each that has ended.
 fn run_in_order(
     point: &Point,
     scopes: Scopes,
@@ -157,56 +159,56 @@
 ) -> Result<(), MeasureError> {
     let mut network = Network::new(point.size, point.seed, scopes, point.deadline);
     for phase in phases {
-        let played = match phase {
+        let result = match phase {
             Phase::Start => start(&mut network, figures),
             Phase::Quiet => quiet(&mut network, figures),
             Phase::Death => death(&mut network, figures),
             Phase::Rack => rack(&mut network, figures),
             Phase::Zone => zone(&mut network, figures),
-            Phase::Partition => parted(&mut network, figures),
-            Phase::OrdinaryDay => day(&mut network, figures),
+            Phase::Partition => partition(&mut network, figures),
+            Phase::OrdinaryDay => ordinary_day(&mut network, figures),
             Phase::StartFromThree if point.size >= LARGE_SIZE => Ok(()),
             Phase::StartFromThree => {
                 network = Network::new(point.size, point.seed, scopes, point.deadline);
                 start_from_three(&mut network, figures)
             }
         };
-        played.map_err(|stopped| match stopped {
-            MeasureError::NotRun(why) => MeasureError::NotRun(format!("{why}, in its moment {phase:?}")),
+        result.map_err(|error| match error {
+            MeasureError::NotRun(reason) => MeasureError::NotRun(format!("{reason}, in phase {phase:?}")),
             other => other,
         })?;
     }
     Ok(())
 }
 
-/// How many a member holds to be in another scope than its own.
+/// Number of members that a member knows of in the scope of another zone.
 fn count_in_zone(node: &Node, zone: usize) -> usize {
     let of_zone = |(name, _): &(&str, &RemoteScope)| topology::zone_index(name) == Some(zone);
     match node.scopes().iter().find(of_zone) {
-        // What a scope that is silent had last is not known to be there.
+        // The last count of a silent scope says nothing about its present members.
         Some((_, scope)) if scope.status() == ScopeStatus::Fresh => scope.member_count(),
         _ => 0,
     }
 }
 
-/// Whether a member holds all that run to be there, and no other; so many run in each zone.
+/// Whether a member counts exactly the members that run, given their number in each zone.
 fn knows_all(node: &Node, running: &[usize; ZONES]) -> bool {
     let Some(own) = topology::zone_index(node.scope()) else {
         return node.members().size() == running.iter().sum::<usize>();
     };
-    let mut held = [0; ZONES];
-    held[own] = node.members().size();
-    held[own] == running[own] && {
+    let mut counted = [0; ZONES];
+    counted[own] = node.members().size();
+    counted[own] == running[own] && {
         for (name, scope) in node.scopes().iter().filter(|(_, scope)| scope.status() == ScopeStatus::Fresh) {
-            if let Some(held) = topology::zone_index(name).and_then(|zone| held.get_mut(zone)) {
-                *held = scope.member_count();
+            if let Some(counted) = topology::zone_index(name).and_then(|zone| counted.get_mut(zone)) {
+                *counted = scope.member_count();
             }
         }
-        held == *running
+        counted == *running
     }
 }
 
-/// Whether a member knows that another is gone. Of another scope it is told how many there are.
+/// Whether a member knows that another is gone. Of other scopes it knows only the number of members.
 fn knows_gone(node: &Node, gone: usize, size: usize, running: &[usize; ZONES]) -> bool {
     let zone = topology::zone(gone, size);
     match topology::zone_index(node.scope()) {
@@ -215,25 +217,25 @@
     }
 }
 
-/// Goes on until all hold all that run to be there, and no other.
-fn run_until_all_known(network: &mut Network, most: Micros) -> Result<Propagation, MeasureError> {
+/// Runs until all members know exactly the running members.
+fn run_until_all_known(network: &mut Network, timeout: Micros) -> Result<Propagation, MeasureError> {
     let running = network.running();
-    network.run_until_known(most, 1, |node, _| usize::from(knows_all(node, &running)))
+    network.run_until_known(timeout, 1, |node, _| usize::from(knows_all(node, &running)))
 }
 
-/// Goes on until all know that these are gone.
+/// Runs until all members know that these are gone.
 fn run_until_gone_known(
     network: &mut Network,
-    most: Micros,
+    timeout: Micros,
     gone: &[usize],
 ) -> Result<Propagation, MeasureError> {
     let (size, running) = (network.size(), network.running());
-    network.run_until_known(most, gone.len(), |node, known| {
+    network.run_until_known(timeout, gone.len(), |node, known| {
         known + gone[known..].iter().take_while(|gone| knows_gone(node, **gone, size, &running)).count()
     })
 }
 
-/// Adds what a moment cost.
+/// Adds the costs of a phase.
 fn add(figures: &mut Figures, name: &str, tally: &Tally) {
     let mut add = |figure: &str, value| figures.insert(format!("{name}.{figure}"), value);
     let seconds = tally.member_seconds.max(f64::MIN_POSITIVE);
@@ -247,20 +249,20 @@
     add("scopes_silent_wrongly", tally.false_silent as f64);
 }
 
-/// Adds how long it took until members knew.
+/// Adds the times until members knew of a change.
 fn add_propagation(figures: &mut Figures, name: &str, propagation: Propagation) {
     let mut add = |figure: &str, value| figures.insert(format!("{name}.{figure}"), value);
-    add("know_share", propagation.share);
-    propagation.most.map(|seconds| add("s_until_99_know", seconds));
-    propagation.all.map(|seconds| add("s_until_all_know", seconds));
+    add("know_share", propagation.known_share);
+    propagation.s_until_99_percent.map(|seconds| add("s_until_99_know", seconds));
+    propagation.s_until_all.map(|seconds| add("s_until_all_know", seconds));
 }
 
-/// The least that a member counted, as a share of those that are really there.
-fn count_least_share(tally: &Tally, there: usize) -> f64 {
-    tally.least_count as f64 / there as f64
+/// The lowest live count of any member, as a share of the running members.
+fn count_least_share(tally: &Tally, running: usize) -> f64 {
+    tally.min_live_count as f64 / running as f64
 }
 
-/// So many seconds, or of large sizes fewer.
+/// Length of a phase in seconds: `large` for large sizes, else `seconds`.
 fn phase_seconds(network: &Network, seconds: f64, large: f64) -> f64 {
     if network.size() < LARGE_SIZE {
         return seconds;
@@ -268,12 +270,12 @@
     large
 }
 
-/// Goes on until a moment that began has lasted so long.
+/// Runs until this many seconds have passed since the tally was started.
 fn run_to(network: &mut Network, seconds: f64) -> Result<(), MeasureError> {
     network.run_for(((seconds - network.elapsed_s()).max(0.0) * SECOND_US as f64) as Micros)
 }
 
-/// Starts all within a second.
+/// Starts all members within a second.
 fn start_all(network: &mut Network, seeds: Option<&[usize]>) -> Result<(), MeasureError> {
     let size = network.size();
     for (order, member) in network.shuffled().into_iter().enumerate() {
@@ -283,25 +285,26 @@
     Ok(())
 }
 
-/// All start at once, each with seeds of its own.
+/// Starts all members together, each with its own random seeds.
 fn start(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     network.start_tally();
     start_all(network, None)?;
     let all = network.size();
     let mut propagation = run_until_all_known(network, 15 * SECOND_US - START_SPREAD_US)?;
     run_to(network, 15.0)?;
-    let off = network.nodes().map(|node| node.live_count().get().abs_diff(all)).max().unwrap_or(all);
-    if propagation.all.is_none() {
+    let max_deviation =
+        network.nodes().map(|node| node.live_count().get().abs_diff(all)).max().unwrap_or(all);
+    if propagation.s_until_all.is_none() {
         propagation = run_until_all_known(network, 45 * SECOND_US)?;
     }
     let tally = network.tally().clone();
     add(figures, "start", &tally);
     add_propagation(figures, "start", propagation);
-    figures.insert("start.count_off_share_after_15_s".to_owned(), off as f64 / all as f64);
+    figures.insert("start.count_off_share_after_15_s".to_owned(), max_deviation as f64 / all as f64);
     Ok(())
 }
 
-/// All start at once, and all know the same three.
+/// Starts all members together with the same three seeds.
 fn start_from_three(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     network.start_tally();
     let size = network.size();
@@ -312,7 +315,7 @@
     Ok(())
 }
 
-/// Goes on until what is spent falls no more.
+/// Runs until the byte rate has settled; returns the seconds that it took.
 fn settle(network: &mut Network) -> Result<f64, MeasureError> {
     const MAX_SECONDS: f64 = 120.0;
     let span = phase_seconds(network, 5.0, 2.0);
@@ -331,7 +334,7 @@
     Ok(settled)
 }
 
-/// Nothing happens.
+/// Measures a settled fleet without events.
 fn quiet(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     let settled = settle(network)?;
     network.start_tally();
@@ -347,7 +350,7 @@
     Ok(())
 }
 
-/// One dies.
+/// One member dies and restarts.
 fn death(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     network.start_tally();
     let dead = network.size() / 2;
@@ -365,7 +368,7 @@
     Ok(())
 }
 
-/// A rack loses its power.
+/// A rack loses power and restarts.
 fn rack(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(network)?;
     network.start_tally();
@@ -380,7 +383,7 @@
     Ok(())
 }
 
-/// A zone loses its power, and starts anew half a minute later.
+/// A zone loses power and restarts half a minute later.
 fn zone(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(network)?;
     network.start_tally();
@@ -402,8 +405,8 @@
     Ok(())
 }
 
-/// A region is parted from the others for three minutes.
-fn parted(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
+/// A region is partitioned from the others for three minutes.
+fn partition(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(network)?;
     network.start_tally();
     network.set_partition(Some(1));
@@ -420,26 +423,26 @@
     let propagation = run_until_all_known(network, 120 * SECOND_US)?;
     run_to(network, phase_seconds(network, 15.0, 8.0))?;
     add(figures, "healed", &network.tally().clone());
-    // Who was parted is held dead until it is heard again.
+    // Members beyond the partition are considered dead until they are heard again.
     figures.retain(|name, _| !(name.starts_with("healed.") && name.ends_with("_wrongly")));
-    figures.insert("healed.agreed_share".to_owned(), propagation.share);
-    propagation.all.map(|seconds| figures.insert("healed.s_until_agreed".to_owned(), seconds));
+    figures.insert("healed.agreed_share".to_owned(), propagation.known_share);
+    propagation.s_until_all.map(|seconds| figures.insert("healed.s_until_agreed".to_owned(), seconds));
     Ok(())
 }
 
-/// Some minutes of an ordinary day whose events come within an hour.
-fn day(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
+/// Some minutes of an ordinary day whose events are compressed into an hour.
+fn ordinary_day(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
     settle(network)?;
     network.start_tally();
     let size = network.size();
     let length = phase_seconds(network, 180.0, 30.0) as u64 * SECOND_US;
     let [deaths, restarts] = DAILY_DEATHS_AND_RESTARTS;
-    let every = DAY_LENGTH_US / (deaths + restarts) as Micros;
+    let interval = DAY_LENGTH_US / (deaths + restarts) as Micros;
     let mut down: Option<usize> = None;
-    for event in 0..(length / every) as usize {
+    for event in 0..(length / interval) as usize {
         let begin = network.elapsed_s();
         let member = network.draw(size);
-        // Each 24th is a death, which another machine replaces only after this.
+        // Each 24th event is a death, whose replacement by another machine is later than this phase.
         if event % ((deaths + restarts) / deaths) == 0 {
             network.crash(member);
         } else {
@@ -450,7 +453,7 @@
         if let Some(member) = down.take() {
             network.start(member, None);
         }
-        run_to(network, begin + every as f64 / SECOND_US as f64)?;
+        run_to(network, begin + interval as f64 / SECOND_US as f64)?;
     }
     let tally = network.tally().clone();
     add(figures, "day", &tally);
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -1,4 +1,4 @@
-//! A hollow process: a member and its timers, without sockets and calls, and what it spends.
+//! A simulated process: a membership node and its timers, without sockets and client calls, and its resource usage.
 
 use super::topology;
 use nix::time::{clock_gettime, ClockId};
@@ -8,78 +8,78 @@
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// Bytes of the headers of UDP and IP.
-const HEADERS: u64 = 28;
-/// Of so many empty measurements the median is what measuring costs.
-const TRIALS: usize = 2_001;
+/// Headers of UDP and IP.
+const HEADER_BYTES: u64 = 28;
+/// Number of empty measurements whose median is the cost of measuring.
+const EMPTY_MEASUREMENTS: usize = 2_001;
 
-/// What is due for a member at a moment.
+/// A datagram or timer that is due for a member.
 pub struct Event {
-    /// The member.
+    /// Number of the member.
     pub to: usize,
-    /// When.
+    /// Time at which it is due.
     pub at: Micros,
-    /// Who sent it, and its number among what that one sent.
+    /// Number of the sender, and sequence number of the datagram at the sender.
     pub from: (usize, u64),
-    /// None: a timer.
+    /// The datagram; `None` for a timer.
     pub datagram: Option<Box<[u8]>>,
 }
 
-/// What a member did in a window.
+/// What a member has sent and changed in a window.
 #[derive(Default)]
 pub struct WindowResult {
-    /// Datagrams on their way.
+    /// Datagrams sent, due at their receivers.
     pub sent: Vec<Event>,
-    /// When it has to be told the time again.
+    /// When its next timer is due, if it must be set.
     pub due: Option<Micros>,
-    /// Lives that it holds dead from now on.
+    /// Members that it has declared dead, with their incarnations.
     pub dead: Vec<(usize, u64)>,
-    /// Scopes that it holds silent from now on.
+    /// Scopes that it has declared silent.
     pub silent: Vec<String>,
 }
 
-/// What members spent between two moments.
+/// Resources that members have used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time, in nanoseconds.
     pub cpu_ns: u64,
-    /// Bytes sent, with their headers.
+    /// Bytes sent, including headers.
     pub bytes: u64,
     /// Datagrams sent.
     pub datagrams: u64,
 }
 
-/// The network as a member meets it.
+/// State of the simulated network.
 pub struct NetworkConditions {
-    /// Members that there are.
+    /// Number of members, running or not.
     pub size: usize,
-    /// Nothing passes to and from this region.
+    /// The region that is partitioned from the others.
     pub partitioned_region: Option<usize>,
-    /// Share of the datagrams that are lost.
+    /// Share of datagrams that are lost.
     pub loss_share: f64,
-    /// What measuring a call costs, in nanoseconds.
+    /// Processor time of measuring a call, in nanoseconds.
     pub measuring_cost_ns: u64,
 }
 
-/// A process that may run.
+/// A simulated process, running or not.
 pub struct Member {
     number: usize,
-    /// Its state machine, if it runs.
+    /// The state machine of its membership, if it runs.
     pub node: Option<Box<Node>>,
     random: Pcg32,
     sent: u64,
-    /// It was told the time up to then.
+    /// Time up to which its timers have been handled.
     time_handled_until: Micros,
-    /// When it is told the time next.
+    /// When its next timer is set.
     next_timer: Micros,
-    /// What it spent since that was last taken.
+    /// Resources used since the last tally.
     pub usage: Usage,
-    /// Bytes of the heap that it holds.
+    /// Heap bytes of its state machine.
     pub heap: i64,
 }
 
 impl Member {
-    /// One that does not run yet.
+    /// A member that does not run yet.
     pub fn new(number: usize, seed: u64) -> Self {
         Member {
             number,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Starts as a new life that knows these seeds, in a scope or in a fleet that is one.
+    /// Starts a new incarnation with these seeds, in a scope or, if `scope` is empty, in a fleet without scopes.
     pub fn start(&mut self, now: Micros, zone: usize, seeds: &[usize], scope: &str) -> Event {
         let own = Identity::new(
             &format!("fare-{}", self.number),
@@ -103,7 +103,7 @@
             &topology::zone_name(zone),
         );
         let seeds = seeds.iter().map(|seed| topology::address(*seed)).collect();
-        // Told of one process, so that what it counts is all from what it knows.
+        // A configured count of 1, so that its live count depends only on the members that it knows.
         let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let seed = self.random.gen();
         let mut node = None;
@@ -112,91 +112,91 @@
         });
         (self.node, self.heap, self.time_handled_until, self.next_timer) =
             (node, held.bytes_current, now, now);
-        self.timer(now)
+        self.timer_event(now)
     }
 
-    /// It is gone without a word.
+    /// Ends the member without notifying others.
     pub fn crash(&mut self) {
         self.node = None;
         self.heap = 0;
     }
 
-    /// It says that it leaves, and is gone.
+    /// Announces that the member leaves, then ends it; returns the datagrams sent.
     pub fn leave(&mut self, now: Micros, conditions: &NetworkConditions) -> Vec<Event> {
-        let mut done = WindowResult::default();
-        self.call(now, conditions, &mut done, |node| node.leave(now));
+        let mut result = WindowResult::default();
+        self.call(now, conditions, &mut result, |node| node.leave(now));
         self.crash();
-        done.sent
+        result.sent
     }
 
-    fn timer(&self, at: Micros) -> Event {
+    fn timer_event(&self, at: Micros) -> Event {
         Event { to: self.number, at, from: (self.number, u64::MAX), datagram: None }
     }
 
-    /// Takes what is due before the end of a window, in its order.
-    pub fn play(
+    /// Handles the events of a window in order, and the timers due before its end.
+    pub fn run_window(
         &mut self,
         events: &mut [Event],
         end: Micros,
         conditions: &NetworkConditions,
     ) -> WindowResult {
-        let mut done = WindowResult::default();
+        let mut result = WindowResult::default();
         for event in events {
-            self.timers(event.at, conditions, &mut done);
+            self.handle_timers(event.at, conditions, &mut result);
             let Some(datagram) = event.datagram.take() else { continue };
             let at = event.at;
-            // As the socket's loop does.
-            self.call(at, conditions, &mut done, |node| {
+            // The same order as in the receive loop of the real socket.
+            self.call(at, conditions, &mut result, |node| {
                 node.handle_datagram(at, &datagram);
                 node.handle_time(at);
             });
         }
-        self.timers(end - 1, conditions, &mut done);
+        self.handle_timers(end - 1, conditions, &mut result);
         let due = self.node.as_ref().map(|node| node.next_deadline().max(end));
-        // A timer that is set already is not set again; one that comes too early finds nothing due.
+        // An earlier timer that is set already is not set again; if it fires too early, nothing is due.
         if let Some(due) = due.filter(|due| self.next_timer < end || *due < self.next_timer) {
             self.next_timer = due;
-            done.due = Some(due);
+            result.due = Some(due);
         }
-        done
+        result
     }
 
-    /// The timer that was asked for.
-    pub fn wake(&self, at: Micros) -> Event {
-        self.timer(at)
+    /// The timer event for a time that `run_window` returned.
+    pub fn timer_at(&self, at: Micros) -> Event {
+        self.timer_event(at)
     }
 
-    /// Tells it the time whenever that is due, up to a moment.
-    fn timers(&mut self, deadline: Micros, conditions: &NetworkConditions, done: &mut WindowResult) {
+    /// Handles all timers due up to a time.
+    fn handle_timers(&mut self, deadline: Micros, conditions: &NetworkConditions, result: &mut WindowResult) {
         while let Some(node) = &self.node {
             let due = node.next_deadline().max(self.time_handled_until);
             if due > deadline {
                 return;
             }
             self.time_handled_until = due + 1;
-            self.call(due, conditions, done, |node| node.handle_time(due));
+            self.call(due, conditions, result, |node| node.handle_time(due));
         }
     }
 
-    /// A call into the state machine, of which alone its processor time and its memory are taken.
+    /// Calls the state machine; only this call is measured. Then sends its datagrams and collects its events.
     fn call(
         &mut self,
         now: Micros,
         conditions: &NetworkConditions,
-        done: &mut WindowResult,
+        result: &mut WindowResult,
         act: impl FnOnce(&mut Node),
     ) {
         let Some(node) = &mut self.node else { return };
-        let (mut outbox, mut news) = (Vec::new(), Vec::new());
-        let (held, took) = measured(|| {
+        let (mut outbox, mut node_events) = (Vec::new(), Vec::new());
+        let (held, elapsed) = measured(|| {
             act(node);
-            (outbox, news) = (node.take_outbox(), node.take_events());
+            (outbox, node_events) = (node.take_outbox(), node.take_events());
         });
-        self.usage.cpu_ns += took.saturating_sub(conditions.measuring_cost_ns);
+        self.usage.cpu_ns += elapsed.saturating_sub(conditions.measuring_cost_ns);
         for (to, datagram) in &outbox {
             self.sent += 1;
             self.usage.datagrams += 1;
-            self.usage.bytes += datagram.len() as u64 + HEADERS;
+            self.usage.bytes += datagram.len() as u64 + HEADER_BYTES;
             let Some(to) = topology::member_at(*to).filter(|to| *to < conditions.size) else { continue };
             let region = |member| topology::region(member, conditions.size);
             let crosses = region(self.number) != region(to);
@@ -207,33 +207,33 @@
             }
             let at = now + topology::latency(self.number, to, conditions.size, &mut self.random);
             let datagram = Some(Box::from(datagram.as_slice()));
-            done.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
+            result.sent.push(Event { to, at, from: (self.number, self.sent), datagram });
         }
-        done.dead.extend(news.iter().filter_map(|news| match news {
+        result.dead.extend(node_events.iter().filter_map(|event| match event {
             MembershipEvent::MemberChanged { member, status: MemberStatus::Dead } => {
                 Some((topology::member_at(member.address)?, member.incarnation))
             }
             _ => None,
         }));
-        done.silent.extend(news.iter().filter_map(|news| match news {
+        result.silent.extend(node_events.iter().filter_map(|event| match event {
             MembershipEvent::ScopeChanged { scope, status: ScopeStatus::Silent } => Some(scope.clone()),
             _ => None,
         }));
-        // What it gave away is not its own any more.
-        let given = allocation_counter::measure(|| drop((outbox, news)));
-        self.heap += held + given.bytes_current;
+        // The outbox and events were allocated in the measured call but do not belong to the state machine.
+        let freed = allocation_counter::measure(|| drop((outbox, node_events)));
+        self.heap += held + freed.bytes_current;
     }
 }
 
-/// Bytes that a call allocated and still holds, and the nanoseconds of the processor that it took.
+/// Runs a function; returns by how many bytes the allocated memory has grown, and its processor time in nanoseconds.
 fn measured(act: impl FnOnce()) -> (i64, u64) {
-    let mut took = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let held = allocation_counter::measure(|| {
         let begin = thread_cpu_time();
         act();
-        took = thread_cpu_time().saturating_sub(begin);
+        elapsed = thread_cpu_time().saturating_sub(begin);
     });
-    (held.bytes_current, took.as_nanos() as u64)
+    (held.bytes_current, elapsed.as_nanos() as u64)
 }
 
 /// Processor time of this thread.
@@ -241,9 +241,9 @@
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
-/// What measuring a call costs, in nanoseconds.
+/// Processor time of measuring a call, in nanoseconds.
 pub fn measuring_cost_ns() -> u64 {
-    let mut all: Vec<u64> = (0..TRIALS).map(|_| measured(|| ()).1).collect();
+    let mut all: Vec<u64> = (0..EMPTY_MEASUREMENTS).map(|_| measured(|| ()).1).collect();
     all.sort_unstable();
-    all[TRIALS / 2]
+    all[EMPTY_MEASUREMENTS / 2]
 }
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -1,6 +1,6 @@
-//! Hollow members in virtual time. No datagram is under way for less than a window, so that the members play
-//! a window side by side; each draws for itself and takes what came in the order of time and sender, whoever
-//! plays it.
+//! Simulated members in virtual time. The latency of a datagram is at least one window, so the members can run each
+//! window in parallel. Each member has its own random generator and handles events in the order of time and sender,
+//! so the result does not depend on the threads.
 
 use super::member::{self, Event, Member, NetworkConditions, Usage, WindowResult};
 use super::topology;
@@ -13,35 +13,35 @@
 use rayon::prelude::*;
 use std::time::Instant;
 
-/// A second.
+/// A second in microseconds.
 pub const SECOND_US: Micros = 1_000_000;
-/// A window.
+/// Length of a window.
 const WINDOW_US: Micros = topology::MIN_LATENCY_US;
-/// Windows that are laid out; what is due later is looked at again meanwhile.
+/// Number of windows that events are scheduled for; a timer that is due later fires early and is set again.
 const SCHEDULED_WINDOWS: usize = 1_024;
-/// With fewer members in a window they are played by one thread: that is sooner done.
+/// With fewer active members, a window is run by one thread, which is faster.
 const MIN_PARALLEL_MEMBERS: usize = 4;
-/// Others that each member is told of at its start.
+/// Seeds that each member has at its start.
 pub const SEEDS: usize = 3;
-/// Between two looks at what the members hold.
+/// Interval between two checks of what the members know.
 const KNOWLEDGE_CHECK_US: Micros = 100_000;
-/// Windows between two looks at this program's memory.
+/// Windows between two checks of this program's memory.
 const MEMORY_CHECK_WINDOWS: u64 = 250;
 
-/// Which members know each other one by one.
+/// Which members know each other individually.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scopes {
-    /// All.
+    /// All members of the fleet.
     One,
-    /// Those of a zone; of the others they know how many there are.
+    /// Those of a zone; of other zones they know only the number of members.
     Zones,
 }
 
-/// A fleet of hollow members on a network.
+/// A fleet of simulated members on a simulated network.
 pub struct Network {
     scopes: Scopes,
     now: Micros,
-    /// What is due, by its window.
+    /// Scheduled events, by window.
     due: Vec<Vec<Event>>,
     members: Vec<Member>,
     conditions: NetworkConditions,
@@ -51,42 +51,42 @@
     tally: Tally,
 }
 
-/// What was spent since a moment began.
+/// Resources used, and errors of the members, since the tally was started.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     start: Micros,
-    /// When the second that runs began.
+    /// Start of the current second.
     second_start: Micros,
-    /// Seconds, added over the members that ran.
+    /// Running time of all members added up, in seconds.
     pub member_seconds: f64,
-    /// All members together.
+    /// Usage of all members together.
     pub total: Usage,
-    /// The most of a member in a second.
+    /// For each resource, the highest usage of any member in a second.
     pub worst_second: Usage,
-    /// The most processor time of a member.
+    /// Highest processor time of any member, in nanoseconds.
     pub max_cpu_ns: u64,
-    /// The least that a member counted.
-    pub least_count: usize,
-    /// How often one was held dead that ran and could be reached.
+    /// Lowest live count of any member.
+    pub min_live_count: usize,
+    /// How often a member was declared dead that ran and could be reached.
     pub false_dead: u64,
-    /// How often a scope was held silent of which some ran and could be reached.
+    /// How often a scope was declared silent of which members ran and could be reached.
     pub false_silent: u64,
     cpu_ns_by_member: Vec<u64>,
 }
 
-/// How far the members have learnt something.
+/// How far the knowledge of a change has spread.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
-    /// When 99 in 100 had, in seconds from the moment's beginning.
-    pub most: Option<f64>,
-    /// When all had.
-    pub all: Option<f64>,
-    /// The share that had at the end.
-    pub share: f64,
+    /// When 99 % of the members knew it, in seconds since the tally was started.
+    pub s_until_99_percent: Option<f64>,
+    /// When all members knew it, in seconds since the tally was started.
+    pub s_until_all: Option<f64>,
+    /// Share of the members that knew it at the end.
+    pub known_share: f64,
 }
 
 impl Network {
-    /// Members that do not run yet.
+    /// A fleet whose members do not run yet.
     pub fn new(size: usize, seed: u64, scopes: Scopes, deadline: Instant) -> Self {
         let conditions = NetworkConditions {
             size,
@@ -96,7 +96,7 @@
         };
         Network {
             scopes,
-            // Not the zero of time, which is the life of nobody.
+            // Not time 0: incarnations are derived from the time, and no member has incarnation 0.
             now: 1_000 * SECOND_US,
             due: (0..SCHEDULED_WINDOWS).map(|_| Vec::new()).collect(),
             members: (0..size).map(|number| Member::new(number, seed)).collect(),
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Members, running or not.
+    /// Number of members, running or not.
     pub fn size(&self) -> usize {
         self.members.len()
     }
 
-    /// How many run in each zone.
+    /// Number of running members in each zone.
     pub fn running(&self) -> [usize; topology::ZONES] {
         let mut running = [0; topology::ZONES];
         let members = self.members.iter().enumerate().filter(|(_, member)| member.node.is_some());
@@ -121,35 +121,35 @@
         running
     }
 
-    /// All members' state machines that run.
+    /// The state machines of all running members.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.members.iter().filter_map(|member| member.node.as_deref())
     }
 
-    /// Bytes of memory that each that runs holds.
+    /// Memory of each running member, in bytes.
     pub fn memory(&self) -> impl Iterator<Item = usize> + '_ {
         let running = self.members.iter().filter(|member| member.node.is_some());
         running.map(|member| std::mem::size_of::<Node>() + usize::try_from(member.heap).unwrap_or(0))
     }
 
-    /// All members, in an order by lot.
+    /// All members in random order.
     pub fn shuffled(&mut self) -> Vec<usize> {
         index::sample(&mut self.random, self.members.len(), self.members.len()).into_vec()
     }
 
-    /// A number below another, by lot.
+    /// A random number below another.
     pub fn draw(&mut self, below: usize) -> usize {
         self.random.gen_range(0..below)
     }
 
     fn schedule(&mut self, event: Event) {
-        // What is due later than is laid out is looked at at its end: that can only be a timer.
+        // Only a timer can be due after the last scheduled window; it fires in that window instead.
         let last = self.now + (SCHEDULED_WINDOWS as Micros - 1) * WINDOW_US;
         let window = event.at.min(last) / WINDOW_US;
         self.due[window as usize % SCHEDULED_WINDOWS].push(event);
     }
 
-    /// Starts a member that knows these, or else some that are drawn.
+    /// Starts a member with these seeds, or else with random ones.
     pub fn start(&mut self, number: usize, seeds: Option<&[usize]>) {
         let size = self.size();
         let others = index::sample(&mut self.random, size - 1, SEEDS.min(size - 1));
@@ -163,43 +163,43 @@
         self.schedule(event);
     }
 
-    /// A member dies.
+    /// Ends a member without notifying others.
     pub fn crash(&mut self, number: usize) {
         self.members[number].crash();
     }
 
-    /// A member says that it leaves, and ends.
+    /// Ends a member after it has announced that it leaves.
     pub fn leave(&mut self, number: usize) {
         let sent = self.members[number].leave(self.now, &self.conditions);
         sent.into_iter().for_each(|event| self.schedule(event));
     }
 
-    /// Nothing passes to and from a region, or everything does.
+    /// Partitions a region from the others, or heals the partition.
     pub fn set_partition(&mut self, region: Option<usize>) {
         self.conditions.partitioned_region = region;
     }
 
-    /// A moment begins, of which what is spent is told.
+    /// Starts a new tally of resources.
     pub fn start_tally(&mut self) {
         self.members.iter_mut().for_each(|member| member.usage = Usage::default());
-        let least_count = usize::MAX;
+        let min_live_count = usize::MAX;
         let cpu_ns_by_member = vec![0; self.size()];
         self.tally = Tally {
             start: self.now,
             second_start: self.now,
-            least_count,
+            min_live_count,
             cpu_ns_by_member,
             ..Tally::default()
         };
     }
 
-    /// What has been spent since the moment began.
+    /// The tally up to now.
     pub fn tally(&mut self) -> &Tally {
         self.close_second();
         &self.tally
     }
 
-    /// Adds up a second, or the part of one that has passed.
+    /// Adds the usage of the current second, or of the part that has passed, to the tally.
     fn close_second(&mut self) {
         let tally = &mut self.tally;
         let passed = (self.now - tally.second_start) as f64 / SECOND_US as f64;
@@ -216,33 +216,33 @@
             tally.max_cpu_ns = tally.max_cpu_ns.max(*cpu_ns);
             if let Some(node) = &member.node {
                 tally.member_seconds += passed;
-                tally.least_count = tally.least_count.min(node.live_count().get());
+                tally.min_live_count = tally.min_live_count.min(node.live_count().get());
             }
         }
     }
 
-    /// Seconds since the moment began.
+    /// Seconds since the tally was started.
     pub fn elapsed_s(&self) -> f64 {
         (self.now - self.tally.start) as f64 / SECOND_US as f64
     }
 
-    /// Goes on for so long.
+    /// Runs for a time span.
     ///
     /// # Errors
-    /// The time or the memory that this play may take is used up.
+    /// The time or memory limit of the measurement was reached.
     pub fn run_for(&mut self, span: Micros) -> Result<(), MeasureError> {
         let end = self.now + span;
         while self.now < end {
-            self.window()?;
+            self.run_window()?;
         }
         Ok(())
     }
 
-    /// Goes on until all that run have learnt something, or for so long. `progress` tells how far one has,
-    /// given how far it had when it was last asked; at `goal` it has.
+    /// Runs until all running members know of a change, or for `span` at most. `progress` returns how much a node knows,
+    /// given its last result; at `goal` the node knows of the change.
     ///
     /// # Errors
-    /// As `go`.
+    /// As `run_for`.
     pub fn run_until_known(
         &mut self,
         span: Micros,
@@ -250,25 +250,25 @@
         progress: impl Fn(&Node, usize) -> usize + Sync,
     ) -> Result<Propagation, MeasureError> {
         let end = self.now + span;
-        let mut far = vec![0; self.size()];
-        let mut propagation = Propagation { most: None, all: None, share: 0.0 };
+        let mut progress_by_member = vec![0; self.size()];
+        let mut propagation = Propagation { s_until_99_percent: None, s_until_all: None, known_share: 0.0 };
         loop {
-            let ask = |(member, far): (&Member, &mut usize)| {
+            let check = |(member, known): (&Member, &mut usize)| {
                 let Some(node) = member.node.as_deref() else { return (0, 0) };
-                if *far < goal {
-                    *far = progress(node, *far);
+                if *known < goal {
+                    *known = progress(node, *known);
                 }
-                (1, usize::from(*far >= goal))
+                (1, usize::from(*known >= goal))
             };
             let sum = |a: (usize, usize), b: (usize, usize)| (a.0 + b.0, a.1 + b.1);
-            let asked = self.members.par_iter().with_min_len(64).zip(&mut far).map(ask);
-            let (all, know) = asked.reduce(|| (0, 0), sum);
-            propagation.share = know as f64 / all.max(1) as f64;
+            let checked = self.members.par_iter().with_min_len(64).zip(&mut progress_by_member).map(check);
+            let (all, know) = checked.reduce(|| (0, 0), sum);
+            propagation.known_share = know as f64 / all.max(1) as f64;
             if know * 100 >= all * 99 {
-                propagation.most.get_or_insert(self.elapsed_s());
+                propagation.s_until_99_percent.get_or_insert(self.elapsed_s());
             }
             if know == all {
-                propagation.all = Some(self.elapsed_s());
+                propagation.s_until_all = Some(self.elapsed_s());
                 return Ok(propagation);
             }
             if self.now >= end {
@@ -278,12 +278,12 @@
         }
     }
 
-    /// Plays a window.
-    fn window(&mut self) -> Result<(), MeasureError> {
+    /// Runs a window.
+    fn run_window(&mut self) -> Result<(), MeasureError> {
         self.check_limits()?;
         let end = self.now + WINDOW_US;
-        let place = (self.now / WINDOW_US) as usize % SCHEDULED_WINDOWS;
-        let mut events = std::mem::take(&mut self.due[place]);
+        let window_index = (self.now / WINDOW_US) as usize % SCHEDULED_WINDOWS;
+        let mut events = std::mem::take(&mut self.due[window_index]);
         events.sort_unstable_by_key(|event| (event.to, event.at, event.from));
         let (mut rest, mut first) = (self.members.as_mut_slice(), 0);
         let mut work = Vec::new();
@@ -296,20 +296,20 @@
         }
         let conditions = &self.conditions;
         let play = |(member, events): (&mut Member, &mut [Event])| {
-            let done = member.play(events, end, conditions);
-            let wake = done.due.map(|due| member.wake(due));
-            (done, wake)
+            let result = member.run_window(events, end, conditions);
+            let wake = result.due.map(|due| member.timer_at(due));
+            (result, wake)
         };
-        let done: Vec<(WindowResult, Option<Event>)> = if work.len() < MIN_PARALLEL_MEMBERS {
+        let results: Vec<(WindowResult, Option<Event>)> = if work.len() < MIN_PARALLEL_MEMBERS {
             work.into_iter().map(play).collect()
         } else {
             work.into_par_iter().with_min_len(MIN_PARALLEL_MEMBERS / 2).map(play).collect()
         };
         self.now = end;
-        for (done, wake) in done {
-            done.dead.iter().for_each(|dead| self.count_false_dead(*dead));
-            done.silent.iter().for_each(|scope| self.count_false_silent(scope));
-            done.sent.into_iter().chain(wake).for_each(|event| self.schedule(event));
+        for (result, wake) in results {
+            result.dead.iter().for_each(|dead| self.count_false_dead(*dead));
+            result.silent.iter().for_each(|scope| self.count_false_silent(scope));
+            result.sent.into_iter().chain(wake).for_each(|event| self.schedule(event));
         }
         if self.now >= self.tally.second_start + SECOND_US {
             self.close_second();
@@ -317,33 +317,36 @@
         Ok(())
     }
 
-    /// Somebody holds a life dead: is it?
-    fn count_false_dead(&mut self, (number, life): (usize, u64)) {
+    /// Counts a declaration of death if the incarnation still runs.
+    fn count_false_dead(&mut self, (number, incarnation): (usize, u64)) {
         let runs = self.members.get(number).and_then(|member| member.node.as_deref());
-        let wrong = runs.is_some_and(|node| life >= node.identity().incarnation);
-        // Who is parted is not to be told from who is dead.
-        self.tally.false_dead += u64::from(wrong && self.conditions.partitioned_region.is_none());
+        let is_false = runs.is_some_and(|node| incarnation >= node.identity().incarnation);
+        // During a partition, unreachable members cannot be distinguished from dead ones.
+        self.tally.false_dead += u64::from(is_false && self.conditions.partitioned_region.is_none());
     }
 
-    /// Somebody holds a scope silent: is it?
+    /// Counts a declaration of a silent scope if some of its members still run.
     fn count_false_silent(&mut self, scope: &str) {
         let running = self.running();
-        let wrong =
+        let is_false =
             topology::zone_index(scope).is_some_and(|zone| running.get(zone).is_some_and(|some| *some > 0));
-        self.tally.false_silent += u64::from(wrong && self.conditions.partitioned_region.is_none());
+        self.tally.false_silent += u64::from(is_false && self.conditions.partitioned_region.is_none());
     }
 
-    /// Ends the play before it takes more than it may.
+    /// Returns an error once the time or memory limit is reached.
     fn check_limits(&mut self) -> Result<(), MeasureError> {
         let at = || format!("at {:.1} s of virtual time", self.now as f64 / SECOND_US as f64 - 1_000.0);
         if Instant::now() >= self.deadline {
-            return Err(MeasureError::NotRun(format!("its time was up {}", at())));
+            return Err(MeasureError::NotRun(format!("the time limit was reached {}", at())));
         }
         if self.windows.is_multiple_of(MEMORY_CHECK_WINDOWS) {
             let (own, half) =
-                (memory("/proc/self/status", "VmRSS:"), memory("/proc/meminfo", "MemTotal:") / 2);
+                (proc_kb("/proc/self/status", "VmRSS:"), proc_kb("/proc/meminfo", "MemTotal:") / 2);
             if own > half {
-                return Err(MeasureError::NotRun(format!("it took half of the machine's memory {}", at())));
+                return Err(MeasureError::NotRun(format!(
+                    "more than half of the machine's memory was in use {}",
+                    at()
+                )));
             }
         }
         self.windows += 1;
@@ -351,8 +354,8 @@
     }
 }
 
-/// A line of a file of the kernel's, in kilobytes; 0 if there is none.
-fn memory(path: &str, line: &str) -> u64 {
+/// The value of a line of a `/proc` file, in kilobytes; 0 if the line is missing.
+fn proc_kb(path: &str, line: &str) -> u64 {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let found = text.lines().find_map(|text| text.strip_prefix(line));
     found.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
--- a/crates/testbed/tests/scale_settings.rs
+++ b/crates/testbed/tests/scale_settings.rs
@@ -1,4 +1,4 @@
-//! The scale test's settings: the last of many changes is in force everywhere, and a wrong one nowhere.
+//! The scale test's role `settings`: the last of many changes is in force everywhere, and an invalid one nowhere.
 
 use oakport_testbed::cluster::Program;
 use oakport_testbed::scale::point::{Figures, MeasureError, Point};
@@ -6,28 +6,28 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const SHORT: Extent = Extent { changes: 1, rest: Duration::ZERO, apart: Duration::from_millis(20) };
+const SHORT: Extent = Extent { changes: 1, pause: Duration::ZERO, interval: Duration::from_millis(20) };
 
-fn played(size: usize) -> Result<Figures, MeasureError> {
+fn measure_size(size: usize) -> Result<Figures, MeasureError> {
     let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = lab.with_file_name("oakport");
-    assert!(oakport.is_file(), "it is built with the workspace");
+    assert!(oakport.is_file(), "oakport is built with the workspace");
     let program = Program::oakport(lab, &oakport);
     let deadline = Instant::now() + Duration::from_secs(60);
     measure(&Point { size, seed: 1, deadline, program }, SHORT)
 }
 
 #[test]
-fn the_last_change_is_in_force_everywhere_and_a_wrong_one_nowhere() {
+fn the_last_change_is_in_force_everywhere_and_an_invalid_one_nowhere() {
     for size in &ROLE.sizes[..2] {
-        let figures = played(*size).expect("it is played");
+        let figures = measure_size(*size).expect("the measurement succeeds");
         let figure = |name: &str| figures[name];
         assert_eq!(figure("one.lost"), 0.0, "{figures:?}");
         assert_eq!(figure("ten.lost"), 0.0, "{figures:?}");
         assert!(figure("ten.taken_least") >= 1.0, "{figures:?}");
         for wrong in ["wrong", "wrong_100"] {
             let figure = |name: &str| figure(&format!("{wrong}.{name}"));
-            assert_eq!(figure("not_told"), 0.0, "each counts the file that it turned down: {figures:?}");
+            assert_eq!(figure("not_told"), 0.0, "each process counts the rejected file: {figures:?}");
             assert_eq!(figure("in_force"), 0.0, "{figures:?}");
             assert_eq!(figure("old_lost"), 0.0, "{figures:?}");
             assert_eq!(figure("log_lines"), 1.0, "{figures:?}");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn more_than_the_machine_has_room_for_is_not_run() {
-    let stopped = played(100_000).expect_err("there are not so many descriptors");
-    assert!(matches!(stopped, MeasureError::NotRun(_)), "{stopped:?}");
+fn a_size_that_exceeds_the_resources_of_the_machine_is_not_run() {
+    let error = measure_size(100_000).expect_err("there are too few descriptors");
+    assert!(matches!(error, MeasureError::NotRun(_)), "{error:?}");
 }
