--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -1,4 +1,4 @@
-//! `oakport-testbed sim`: days in virtual time, all policies side by side.
+//! `oakport-testbed sim`: plays scenarios in virtual time and compares policies.
 
 use clap::builder::PossibleValuesParser;
 use clap::Args;
@@ -9,111 +9,115 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Days in virtual time.
+/// Plays scenarios in virtual time.
 #[derive(Debug, Args)]
-#[command(after_help = "Exit status: 0 oakport kept the rules, 1 it did not, or a day could not be played.")]
+#[command(
+    after_help = "Exit status: 0 oakport kept the rules, 1 it broke a rule, or a scenario cannot be played."
+)]
 pub struct Sim {
-    /// Days to play, as TOML
+    /// Scenario files to play (TOML)
     #[arg(required = true)]
     scenarios: Vec<PathBuf>,
     /// The first seed
     #[arg(long, default_value_t = 1, value_name = "N")]
     seed: u64,
-    /// How many draws of each day, by this seed and those after it
+    /// Number of consecutive seeds for each scenario
     #[arg(long, default_value_t = 1, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
-    /// Client proxies, in place of the scenario's
+    /// Number of client proxies [default: that of the scenario]
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(1..=100_000))]
     balancers: Option<u32>,
-    /// Servers, in place of the scenario's
+    /// Number of servers [default: that of the scenario]
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(1..=100_000))]
     servers: Option<u32>,
-    /// Requests a second, in place of the scenario's
+    /// Requests a second [default: that of the scenario]
     #[arg(long, value_name = "R")]
     rate: Option<f64>,
-    /// Only these policies; `random` and `ceiling` are played all the same, as scores need them
+    /// Only these policies; `random` and `ceiling` are always played, as scores need them
     #[arg(long, value_name = "NAME,...", value_delimiter = ',', value_parser = PossibleValuesParser::new(POLICY_KINDS.map(PolicyKind::name)))]
     policy: Vec<String>,
-    /// Also print oakport's day in stretches of five seconds
+    /// Also print the figures of oakport for each window of five seconds
     #[arg(long)]
     windows: bool,
-    /// Write all figures there, as JSON
+    /// Write all figures to this file, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// A day, a seed, and how each policy did.
-struct Day {
+/// The verdicts of all policies on a scenario with a seed.
+struct ScenarioRun {
     name: String,
     seed: u64,
     verdicts: Vec<Verdict>,
 }
 
-impl Day {
-    fn g(&self, kind: PolicyKind) -> f64 {
+impl ScenarioRun {
+    fn goal_value(&self, kind: PolicyKind) -> f64 {
         self.verdicts.iter().find(|v| v.policy == kind.name()).map_or(f64::NAN, |v| v.goal_value)
     }
 
-    /// 0 for random choice, 1 for the ceiling. None: the two lie too near to tell.
+    /// The score of a verdict: 0 as with random choice, 1 as with the ceiling; `None` if these two are too close to compare.
     fn score(&self, verdict: &Verdict) -> Option<f64> {
-        const LEAST: f64 = 0.02;
-        let (floor, top) = (self.g(PolicyKind::Random), self.g(PolicyKind::Ceiling));
-        (top - floor >= LEAST).then(|| (verdict.goal_value - floor) / (top - floor))
+        const MIN_DIFFERENCE: f64 = 0.02;
+        let (floor, top) = (self.goal_value(PolicyKind::Random), self.goal_value(PolicyKind::Ceiling));
+        (top - floor >= MIN_DIFFERENCE).then(|| (verdict.goal_value - floor) / (top - floor))
     }
 }
 
 impl Sim {
-    /// Plays all, in parallel, and prints the tables. True if oakport kept the rules.
+    /// Plays all scenarios in parallel and prints the tables. Returns true if oakport kept the rules.
     pub fn run(&self) -> Result<bool, String> {
         let scenarios = self.scenarios.iter().map(|path| self.read(path)).collect::<Result<Vec<_>, _>>()?;
         let needed = [PolicyKind::Random, PolicyKind::Ceiling];
-        let wanted = |kind: &PolicyKind| {
+        let is_selected = |kind: &PolicyKind| {
             self.policy.is_empty() || needed.contains(kind) || self.policy.iter().any(|p| p == kind.name())
         };
-        let kinds: Vec<PolicyKind> = POLICY_KINDS.into_iter().filter(wanted).collect();
+        let kinds: Vec<PolicyKind> = POLICY_KINDS.into_iter().filter(is_selected).collect();
         let seeds = || self.seed..self.seed + self.seeds;
         let runs: Vec<(usize, u64, PolicyKind)> = (0..scenarios.len())
-            .flat_map(|day| seeds().flat_map(move |seed| [(day, seed)]))
-            .flat_map(|(day, seed)| kinds.iter().map(move |&kind| (day, seed, kind)))
+            .flat_map(|index| seeds().flat_map(move |seed| [(index, seed)]))
+            .flat_map(|(index, seed)| kinds.iter().map(move |&kind| (index, seed, kind)))
             .collect();
-        // Each run is a world of its own, so that the number of threads changes nothing.
+        // Runs are independent of each other, so the number of threads does not change the results.
         let verdicts: Vec<Verdict> =
-            runs.par_iter().map(|&(day, seed, kind)| simulate(&scenarios[day].1, kind, seed)).collect();
-        let days: Vec<Day> = runs
+            runs.par_iter().map(|&(index, seed, kind)| simulate(&scenarios[index].1, kind, seed)).collect();
+        let scenario_runs: Vec<ScenarioRun> = runs
             .chunks(kinds.len())
             .zip(verdicts.chunks(kinds.len()))
             .map(|(runs, verdicts)| {
-                let (day, seed, _) = runs[0];
-                Day { name: scenarios[day].0.clone(), seed, verdicts: verdicts.to_vec() }
+                let (index, seed, _) = runs[0];
+                ScenarioRun { name: scenarios[index].0.clone(), seed, verdicts: verdicts.to_vec() }
             })
             .collect();
-        for day in &days {
-            let purpose =
-                &scenarios.iter().find(|(name, _)| *name == day.name).ok_or("a day without a name")?.1;
-            println!("{} (seed {}): {}\n{}", day.name, day.seed, purpose.purpose, self.table(day));
+        for run in &scenario_runs {
+            let scenario =
+                &scenarios.iter().find(|(name, _)| *name == run.name).ok_or("scenario of a run not found")?.1;
+            println!("{} (seed {}): {}\n{}", run.name, run.seed, scenario.purpose, self.table(run));
         }
-        if days.len() > 1 {
-            println!("{}", summary(&days, &kinds));
+        if scenario_runs.len() > 1 {
+            println!("{}", summary(&scenario_runs, &kinds));
         }
         if let Some(path) = &self.json {
-            let days: Vec<_> =
-                days.iter().map(|d| json!({"day": d.name, "seed": d.seed, "policies": d.verdicts})).collect();
-            let text = format!("{:#}\n", json!({ "days": days }));
+            let scenario_runs: Vec<_> = scenario_runs
+                .iter()
+                .map(|run| json!({"day": run.name, "seed": run.seed, "policies": run.verdicts}))
+                .collect();
+            let text = format!("{:#}\n", json!({ "days": scenario_runs }));
             std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        let broken = |day: &Day| {
-            day.verdicts.iter().any(|v| v.policy == PolicyKind::Oakport.name() && v.violation_count > 0)
+        let broken = |run: &ScenarioRun| {
+            run.verdicts.iter().any(|v| v.policy == PolicyKind::Oakport.name() && v.violation_count > 0)
         };
-        Ok(!days.iter().any(broken))
+        Ok(!scenario_runs.iter().any(broken))
     }
 
     fn read(&self, path: &PathBuf) -> Result<(String, Scenario), String> {
         let file = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-        let mut scenario = Scenario::parse(&text).map_err(|odd| format!("{file}: {odd}"))?;
-        if let Some(what) = scenario.first_socket_only_fault() {
+        let mut scenario = Scenario::parse(&text).map_err(|e| format!("{file}: {e}"))?;
+        if let Some(kind) = scenario.first_socket_only_fault() {
             return Err(format!(
-                "{file}: event {what:?} is not played in virtual time; use oakport-testbed fleet"
+                "{file}: event {kind:?} cannot be played in virtual time; use oakport-testbed fleet"
             ));
         }
         scenario.balancers = self.balancers.map_or(scenario.balancers, |n| n as usize);
@@ -126,7 +130,7 @@
         Ok((name, scenario))
     }
 
-    fn table(&self, day: &Day) -> String {
+    fn table(&self, run: &ScenarioRun) -> String {
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header([
             "policy",
@@ -148,11 +152,11 @@
         ]);
         let percent = |share: f64| format!("{:.1}%", share * 100.0);
         let millis = |us: u64| format!("{:.0} ms", us as f64 / 1e3);
-        for v in &day.verdicts {
+        for v in &run.verdicts {
             table.add_row([
                 v.policy.to_owned(),
                 format!("{:.4}", v.goal_value),
-                day.score(v).map_or("-".to_owned(), |s| format!("{s:.2}")),
+                run.score(v).map_or("-".to_owned(), |s| format!("{s:.2}")),
                 percent(v.served_share),
                 percent(v.worst_window_share),
                 percent(v.refused_share),
@@ -175,16 +179,16 @@
         table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
         let mut text = String::new();
         text.extend(table.lines().map(|line| format!("{}\n", line.trim_end())));
-        for v in day.verdicts.iter().filter(|v| v.policy == PolicyKind::Oakport.name()) {
-            for broken in &v.violations {
+        for v in run.verdicts.iter().filter(|v| v.policy == PolicyKind::Oakport.name()) {
+            for violation in &v.violations {
                 let _ = writeln!(
                     text,
                     "  {:.3} s: {}: proxy {}, call {:?}, server {:?}",
-                    broken.at as f64 / 1e6,
-                    broken.rule,
-                    broken.proxy,
-                    broken.call,
-                    broken.server
+                    violation.at as f64 / 1e6,
+                    violation.rule,
+                    violation.proxy,
+                    violation.call,
+                    violation.server
                 );
             }
             if self.windows {
@@ -212,8 +216,8 @@
     table.lines().map(|line| format!("{}\n", line.trim_end())).collect()
 }
 
-/// Means over all days and seeds.
-fn summary(days: &[Day], kinds: &[PolicyKind]) -> String {
+/// Means over all scenarios and seeds.
+fn summary(scenario_runs: &[ScenarioRun], kinds: &[PolicyKind]) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header([
         "policy",
@@ -223,12 +227,15 @@
         "rules broken on",
     ]);
     for kind in kinds {
-        let own =
-            || days.iter().filter_map(|d| Some((d, d.verdicts.iter().find(|v| v.policy == kind.name())?)));
-        let scores: Vec<f64> = own().filter_map(|(day, v)| day.score(v)).collect();
+        let runs = || {
+            scenario_runs
+                .iter()
+                .filter_map(|run| Some((run, run.verdicts.iter().find(|v| v.policy == kind.name())?)))
+        };
+        let scores: Vec<f64> = runs().filter_map(|(run, v)| run.score(v)).collect();
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
-        let g: Vec<f64> = own().map(|(_, v)| v.goal_value).collect();
-        let broken = own().filter(|(_, v)| v.violation_count > 0).count();
+        let g: Vec<f64> = runs().map(|(_, v)| v.goal_value).collect();
+        let broken = runs().filter(|(_, v)| v.violation_count > 0).count();
         table.add_row([
             kind.name().to_owned(),
             format!("{:.4}", mean(&g)),
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,4 +1,5 @@
-//! `oakport-testbed soak`: many short plays with real processes, each of a world and faults drawn from its seed.
+//! `oakport-testbed soak`: plays many short scenarios with real processes, each with a fleet and faults drawn from a
+//! seed.
 
 mod plan;
 
@@ -12,20 +13,20 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A play that takes so much longer than its day has not ended.
+/// A play that exceeds the duration of its scenario by more than this counts as unfinished.
 const MAX_OVERTIME: Duration = Duration::from_secs(60);
 
-/// Many short plays with real processes, each of a world and faults drawn from its seed.
+/// Plays many short scenarios with real processes, each with a fleet and faults drawn from a seed.
 #[derive(Debug, Args)]
 #[command(
-    after_help = "Exit status: 0 rules kept in all plays, 1 not, 2 a program cannot be played, 3 the test cluster was too \
-                  late to judge a play."
+    after_help = "Exit status: 0 rules kept in all plays, 1 a rule was broken or a play failed, 2 a program cannot be \
+                  played, 3 the test cluster was too late to judge a play."
 )]
 pub struct Soak {
-    /// How many seeds to play
+    /// Number of seeds to play
     #[arg(long, default_value_t = 10, value_name = "N")]
     seeds: u64,
-    /// The first of them
+    /// First seed
     #[arg(long, default_value_t = 1, value_name = "S")]
     first: u64,
     #[command(flatten)]
@@ -36,19 +37,19 @@
     /// Print a line for each second of a play
     #[arg(long)]
     seconds: bool,
-    /// Write the outcome of all plays there, as JSON
+    /// Write the outcome of all plays to this file, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keep plan, logs and verdict of plays that are not well in this folder
+    /// Folder in which the plan, logs and verdict of plays that did not keep all rules are kept
     #[arg(long, value_name = "DIR", default_value = "logs/soak")]
     logs: PathBuf,
 }
 
-/// What became of one play.
+/// The outcome of one play.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
-    /// What went wrong in the world, by plan.
+    /// The planned events.
     events: String,
     requests: u64,
     seconds: f64,
@@ -61,19 +62,19 @@
 enum PlayResult {
     /// All rules were kept.
     Kept,
-    /// Rules were broken: the first cases, in words.
+    /// Rules were broken: descriptions of the first violations.
     Broken(Vec<String>),
     /// The test cluster itself was too late to judge.
     Late,
-    /// The play itself failed, or had not ended in its time.
+    /// The play itself failed, or did not end in its time.
     Unfinished(String),
 }
 
 impl Soak {
-    /// Plays all seeds, one after the other.
+    /// Plays all seeds in order.
     ///
     /// # Errors
-    /// A program or a folder cannot be used, or Ctrl-C.
+    /// A program or a folder cannot be used, or Ctrl-C was pressed.
     pub fn run(&self) -> Result<RunStatus, RunError> {
         let seeds = self.first..self.first.saturating_add(self.seeds);
         if self.print_plan {
@@ -101,19 +102,20 @@
 
     fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, RunError> {
         let text = plan::plan(seed);
-        let day =
-            Scenario::parse(&text).map_err(|odd| RunError::Failed(format!("plan of seed {seed}: {odd}")))?;
+        let scenario =
+            Scenario::parse(&text).map_err(|e| RunError::Failed(format!("plan of seed {seed}: {e}")))?;
         let folder = self.logs.join(format!("seed-{seed}"));
         std::fs::create_dir_all(&folder)
             .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
         write(&folder.join("plan.toml"), &text)?;
-        let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
-        let most = duration(day.duration) + MAX_OVERTIME;
+        let events: Vec<String> =
+            scenario.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
+        let max_duration = duration(scenario.duration) + MAX_OVERTIME;
         let (program, second) = (program.clone(), second.clone());
-        let play = Play { day, seed, program, second, logs: Some(folder.clone()) };
-        let began = Instant::now();
-        let verdict = play_with_progress_bar(&play, most);
-        let seconds = began.elapsed().as_secs_f64();
+        let play = Play { day: scenario, seed, program, second, logs: Some(folder.clone()) };
+        let start = Instant::now();
+        let verdict = play_with_progress_bar(&play, max_duration);
+        let seconds = start.elapsed().as_secs_f64();
         let (result, requests) = match verdict {
             Ok(verdict) => {
                 self.report(&folder, &verdict)?;
@@ -123,7 +125,7 @@
             Err(RunError::Failed(reason)) => (PlayResult::Unfinished(reason), 0),
         };
         if matches!(result, PlayResult::Kept) {
-            // What is left of it harms nothing.
+            // A folder that cannot be removed does no harm.
             let _ = std::fs::remove_dir_all(&folder);
         }
         Ok(Outcome { seed, events: events.join(" "), requests, seconds, result })
@@ -171,7 +173,7 @@
     Duration::from_micros(length)
 }
 
-/// The outcome of a play, as a line, and a line for each broken rule.
+/// The outcome of a play as a line, followed by a line for each violation.
 fn line(outcome: &Outcome) -> String {
     let Outcome { seed, events, requests, seconds, result } = outcome;
     let head = format!("seed {seed}: {events}; {requests} requests, {seconds:.1} s");
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Draws the plan of a soak's play from its seed: a small world and what goes wrong in it, written as a scenario.
+//! Draws the scenario of a soak play from its seed: a small fleet and its faults, as TOML.
 
 mod transfers;
 
@@ -12,22 +12,22 @@
 const CLIENT_PROXIES: RangeInclusive<usize> = 2..=8;
 const ENDPOINTS: RangeInclusive<usize> = 3..=12;
 const ZONES: [&str; 3] = ["nottingham", "derby", "leicester"];
-/// Share of the endpoints' capacity that the requests ask for.
+/// Share of the endpoints' capacity that the requests use.
 const UTILISATION: RangeInclusive<f64> = 0.1..=0.4;
 const REQUESTS_PER_SECOND: RangeInclusive<f64> = 30.0..=300.0;
 const CORES_PER_ENDPOINT: f64 = 2.0;
-/// How long requests come. What ends a process begins early enough for its kill to come before the end.
+/// Duration of the request load. Events that end a process start early enough for its kill to happen within it.
 const LENGTH_MS: u64 = 9_000;
 const PROCESS_EVENT_AT_MS: RangeInclusive<u64> = 800..=3_500;
-const OTHER_EVENT_AT_MS: RangeInclusive<u64> = 500..=6_000;
-const OTHER_EVENT_LENGTH_MS: RangeInclusive<u64> = 300..=2_500;
-const MAX_OTHER_EVENTS: usize = 4;
-/// A connection must stay silent for longer than this before it is used for the first time after a response, so that an
-/// endpoint that always sends extra responses this late is recognised.
+const TEMPORARY_EVENT_AT_MS: RangeInclusive<u64> = 500..=6_000;
+const TEMPORARY_EVENT_LENGTH_MS: RangeInclusive<u64> = 300..=2_500;
+const MAX_TEMPORARY_EVENTS: usize = 4;
+/// Delay of extra responses. oakport first reuses a connection only after it has been silent for longer than this after
+/// a response, so that an endpoint that always sends extra responses this late is recognised.
 const EXTRA_RESPONSE_AFTER_MS: RangeInclusive<u64> = 1..=30;
 const CLOSES_IDLE_AFTER_MS: RangeInclusive<u64> = 5..=300;
 const CROWD_CONNECTIONS: RangeInclusive<usize> = 20..=150;
-/// The series of signals that a process may get.
+/// Series of signals that a process may receive.
 const SIGNAL_SERIES: [&str; 7] = [
     r#"["hup", "hup"]"#,
     r#"["hup", "hup_invalid", "hup"]"#,
@@ -38,29 +38,29 @@
     r#"["term", "hup", "term"]"#,
 ];
 
-/// The plan of this seed, as the text of a scenario.
+/// The plan of this seed, as a scenario in TOML.
 pub fn plan(seed: u64) -> String {
     let mut plan = Plan { random: Pcg64::seed_from_u64(seed), text: String::new() };
     let transfers = Transfers::draw(seed);
-    let world = plan.world(seed);
+    let load = plan.fleet(seed);
     if let Some(transfers) = &transfers {
         transfers
-            .classes(world.requests_per_second / world.classes as f64)
+            .classes(load.requests_per_second / load.classes as f64)
             .iter()
-            .for_each(|class| plan.line(format_args!("{class}")));
+            .for_each(|class| plan.write_line(format_args!("{class}")));
     }
     plan.process_event(transfers.as_ref());
-    plan.endpoint_habits();
-    for _ in 0..plan.random.gen_range(1..=MAX_OTHER_EVENTS) {
-        plan.other_event();
+    plan.permanent_endpoint_faults();
+    for _ in 0..plan.random.gen_range(1..=MAX_TEMPORARY_EVENTS) {
+        plan.temporary_event();
     }
     plan.text
 }
 
-/// What a world's requests come to.
-struct World {
+/// The request load of a drawn fleet.
+struct Load {
     requests_per_second: f64,
-    /// Its classes, each with a share of 1.
+    /// Number of classes, each with a share of 1.
     classes: usize,
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl Plan {
-    fn line(&mut self, line: std::fmt::Arguments<'_>) {
+    fn write_line(&mut self, line: std::fmt::Arguments<'_>) {
         // Writing to a string cannot fail.
         let _ = writeln!(self.text, "{line}");
     }
@@ -88,54 +88,54 @@
         self.random.gen_ratio(1, count)
     }
 
-    fn world(&mut self, seed: u64) -> World {
+    fn fleet(&mut self, seed: u64) -> Load {
         let proxies = self.random.gen_range(CLIENT_PROXIES);
         let endpoints = self.random.gen_range(ENDPOINTS);
         let zones = &ZONES[..self.random.gen_range(1..=ZONES.len())];
-        let classes = self.classes();
+        let classes = self.draw_classes();
         let mean_work_s =
             classes.iter().map(|class| class.work_ms as f64 / 1e3).sum::<f64>() / classes.len() as f64;
         let capacity = endpoints as f64 * CORES_PER_ENDPOINT / mean_work_s;
         let rate = (capacity * self.random.gen_range(UTILISATION))
             .clamp(*REQUESTS_PER_SECOND.start(), *REQUESTS_PER_SECOND.end());
         let unevenness = self.random.gen_range(0.0..=1.0);
-        self.line(format_args!("purpose = \"soak, seed {seed}\""));
-        self.line(format_args!("length = \"{LENGTH_MS}ms\""));
-        self.line(format_args!("balancers = {proxies}"));
-        self.line(format_args!("servers = {endpoints}"));
-        self.line(format_args!("rate = {rate:.1}"));
-        self.line(format_args!("uneven = {unevenness:.1}"));
-        self.line(format_args!("zones = {zones:?}"));
-        self.server();
-        self.clients_and_discovery();
-        classes.iter().for_each(|class| self.class(class));
-        World { requests_per_second: rate, classes: classes.len() }
+        self.write_line(format_args!("purpose = \"soak, seed {seed}\""));
+        self.write_line(format_args!("length = \"{LENGTH_MS}ms\""));
+        self.write_line(format_args!("balancers = {proxies}"));
+        self.write_line(format_args!("servers = {endpoints}"));
+        self.write_line(format_args!("rate = {rate:.1}"));
+        self.write_line(format_args!("uneven = {unevenness:.1}"));
+        self.write_line(format_args!("zones = {zones:?}"));
+        self.write_server();
+        self.write_clients_and_discovery();
+        classes.iter().for_each(|class| self.write_class(class));
+        Load { requests_per_second: rate, classes: classes.len() }
     }
 
-    fn server(&mut self) {
+    fn write_server(&mut self) {
         let idle_close_ms = *[600, 2_000, 5_000].choose(&mut self.random).unwrap_or(&5_000);
         let cold_s = self.random.gen_range(2..=6);
-        self.line(format_args!("\n[server]"));
-        self.line(format_args!("cores = {CORES_PER_ENDPOINT:.1}"));
-        self.line(format_args!("cold_time = \"{cold_s}s\""));
-        self.line(format_args!("fall_time = \"1s\""));
-        self.line(format_args!("idle_close = \"{idle_close_ms}ms\""));
+        self.write_line(format_args!("\n[server]"));
+        self.write_line(format_args!("cores = {CORES_PER_ENDPOINT:.1}"));
+        self.write_line(format_args!("cold_time = \"{cold_s}s\""));
+        self.write_line(format_args!("fall_time = \"1s\""));
+        self.write_line(format_args!("idle_close = \"{idle_close_ms}ms\""));
     }
 
-    fn clients_and_discovery(&mut self) {
+    fn write_clients_and_discovery(&mut self) {
         let retries = self.random.gen_range(0..=2);
-        let least_share = if self.one_in(2) { self.random.gen_range(0.2..=0.9) } else { 1.0 };
-        self.line(format_args!("\n[clients]"));
-        self.line(format_args!("retries = {retries}"));
-        self.line(format_args!("patience = {least_share:.2}"));
+        let min_timeout_ratio = if self.one_in(2) { self.random.gen_range(0.2..=0.9) } else { 1.0 };
+        self.write_line(format_args!("\n[clients]"));
+        self.write_line(format_args!("retries = {retries}"));
+        self.write_line(format_args!("patience = {min_timeout_ratio:.2}"));
         let delay_ms = self.random.gen_range(50..=400);
         let grace_ms = self.random.gen_range(500..=1_000);
-        self.line(format_args!("\n[discovery]"));
-        self.line(format_args!("delay = \"{delay_ms}ms\""));
-        self.line(format_args!("drain_grace = \"{grace_ms}ms\""));
+        self.write_line(format_args!("\n[discovery]"));
+        self.write_line(format_args!("delay = \"{delay_ms}ms\""));
+        self.write_line(format_args!("drain_grace = \"{grace_ms}ms\""));
     }
 
-    fn classes(&mut self) -> Vec<Class> {
+    fn draw_classes(&mut self) -> Vec<Class> {
         let names = ["card-check", "journey-lookup", "fare-charge"];
         let count = self.random.gen_range(1..=names.len());
         let draw = |(number, name): (usize, &'static str)| {
@@ -152,67 +152,68 @@
         names.into_iter().enumerate().take(count).map(draw).collect()
     }
 
-    fn class(&mut self, class: &Class) {
-        self.line(format_args!("\n[[class]]\nname = \"{}\"\nshare = 1", class.name));
-        self.line(format_args!("work = \"{}ms\"", class.work_ms));
-        self.line(format_args!("aim = \"{}ms\"", class.objective_ms));
-        self.line(format_args!("deadline = \"{}ms\"", class.deadline_ms));
-        self.line(format_args!("idempotency = \"{}\"", class.idempotency));
+    fn write_class(&mut self, class: &Class) {
+        self.write_line(format_args!("\n[[class]]\nname = \"{}\"\nshare = 1", class.name));
+        self.write_line(format_args!("work = \"{}ms\"", class.work_ms));
+        self.write_line(format_args!("aim = \"{}ms\"", class.objective_ms));
+        self.write_line(format_args!("deadline = \"{}ms\"", class.deadline_ms));
+        self.write_line(format_args!("idempotency = \"{}\"", class.idempotency));
     }
 
-    fn event(&mut self, at_ms: u64, length_ms: u64, what: &str) {
-        self.line(format_args!(
-            "\n[[event]]\nat = \"{at_ms}ms\"\nfor = \"{length_ms}ms\"\nwhat = \"{what}\""
+    fn write_event(&mut self, at_ms: u64, length_ms: u64, kind: &str) {
+        self.write_line(format_args!(
+            "\n[[event]]\nat = \"{at_ms}ms\"\nfor = \"{length_ms}ms\"\nwhat = \"{kind}\""
         ));
     }
 
-    fn part(&mut self, range: RangeInclusive<f64>) {
+    fn write_part(&mut self, range: RangeInclusive<f64>) {
         let part = self.random.gen_range(range);
-        self.line(format_args!("part = {part:.2}"));
+        self.write_line(format_args!("part = {part:.2}"));
     }
 
-    /// What happens to the processes of the client proxies. Large bodies are to meet their planned ends.
+    /// Adds the event that ends or signals client proxies. With large bodies it is a planned end of the process, so that
+    /// transfers are in progress at that time.
     fn process_event(&mut self, transfers: Option<&Transfers>) {
         let at_ms = self.random.gen_range(PROCESS_EVENT_AT_MS);
         if let Some(transfers) = transfers {
-            self.event(at_ms, 0, transfers.process_event);
-            self.line(format_args!("clients_stay = true"));
-            return self.part(0.5..=1.0);
+            self.write_event(at_ms, 0, transfers.process_event);
+            self.write_line(format_args!("clients_stay = true"));
+            return self.write_part(0.5..=1.0);
         }
         match self.random.gen_range(0..10) {
             0..=4 => {
                 let length_ms = self.random.gen_range(20..=800);
-                self.event(at_ms, length_ms, "signals");
+                self.write_event(at_ms, length_ms, "signals");
                 let series = SIGNAL_SERIES.choose(&mut self.random).unwrap_or(&SIGNAL_SERIES[0]);
-                self.line(format_args!("signals = {series}"));
-                self.line(format_args!("clients_stay = true"));
+                self.write_line(format_args!("signals = {series}"));
+                self.write_line(format_args!("clients_stay = true"));
             }
             5..=6 => {
-                self.event(at_ms, 0, "restart");
-                self.line(format_args!("clients_stay = true"));
+                self.write_event(at_ms, 0, "restart");
+                self.write_line(format_args!("clients_stay = true"));
             }
-            7..=8 => self.event(at_ms, 0, "upgrade"),
-            _ => self.event(at_ms, 500, "kill"),
+            7..=8 => self.write_event(at_ms, 0, "upgrade"),
+            _ => self.write_event(at_ms, 500, "kill"),
         }
-        self.part(0.3..=1.0);
+        self.write_part(0.3..=1.0);
     }
 
-    /// What endpoints do all the time.
-    fn endpoint_habits(&mut self) {
-        for (what, after_ms) in
+    /// Adds faults of endpoints that last for the whole play.
+    fn permanent_endpoint_faults(&mut self) {
+        for (kind, after_ms) in
             [("extra_responses", EXTRA_RESPONSE_AFTER_MS), ("closes_idle", CLOSES_IDLE_AFTER_MS)]
         {
             if self.one_in(2) {
                 let after_ms = self.random.gen_range(after_ms);
-                self.event(0, LENGTH_MS, what);
-                self.line(format_args!("after = \"{after_ms}ms\""));
-                self.part(0.2..=0.6);
+                self.write_event(0, LENGTH_MS, kind);
+                self.write_line(format_args!("after = \"{after_ms}ms\""));
+                self.write_part(0.2..=0.6);
             }
         }
     }
 
-    /// What goes wrong for a while with endpoints, discovery or clients.
-    fn other_event(&mut self) {
+    /// Adds a temporary fault of endpoints, discovery or clients.
+    fn temporary_event(&mut self) {
         const KINDS: [&str; 12] = [
             "slow",
             "hang",
@@ -227,19 +228,19 @@
             "crowd",
             "surge",
         ];
-        let what = *KINDS.choose(&mut self.random).unwrap_or(&KINDS[0]);
-        let at_ms = self.random.gen_range(OTHER_EVENT_AT_MS);
-        let length_ms = self.random.gen_range(OTHER_EVENT_LENGTH_MS);
-        self.event(at_ms, length_ms, what);
-        match what {
+        let kind = *KINDS.choose(&mut self.random).unwrap_or(&KINDS[0]);
+        let at_ms = self.random.gen_range(TEMPORARY_EVENT_AT_MS);
+        let length_ms = self.random.gen_range(TEMPORARY_EVENT_LENGTH_MS);
+        self.write_event(at_ms, length_ms, kind);
+        match kind {
             "crowd" => {
                 let connections = self.random.gen_range(CROWD_CONNECTIONS);
-                self.line(format_args!("connections = {connections}"));
-                self.part(0.3..=1.0);
+                self.write_line(format_args!("connections = {connections}"));
+                self.write_part(0.3..=1.0);
             }
-            "surge" => self.line(format_args!("factor = 1.5")),
-            "list_silent" | "list_unavailable" | "watches_silent" => self.part(0.3..=1.0),
-            _ => self.part(0.1..=0.35),
+            "surge" => self.write_line(format_args!("factor = 1.5")),
+            "list_silent" | "list_unavailable" | "watches_silent" => self.write_part(0.3..=1.0),
+            _ => self.write_part(0.1..=0.35),
         }
     }
 }
