--- a/crates/testbed/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -1,35 +1,35 @@
-//! Proxies that break a rule are caught by it, and the sound ones are not.
+//! Each rule detects proxies that break it, and correct proxies break none.
 
 use serde_json::Value;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// The lab, started at the root of the repository.
-fn lab(arguments: &[&str]) -> Output {
+/// Runs oakport-testbed in the root of the repository.
+fn run_testbed(arguments: &[&str]) -> Output {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     Command::new(env!("CARGO_BIN_EXE_oakport-testbed"))
         .args(arguments)
         .current_dir(root)
         .output()
-        .expect("it starts")
+        .expect("oakport-testbed starts")
 }
 
-/// Plays the small day; the rules that were broken.
+/// Plays the small scenario; returns the rules that were broken.
 fn broken_rules(arguments: &[&str], folder: &Path) -> Vec<String> {
     let json = folder.join(format!("{}.json", arguments.join("")));
-    let day = ["fleet", "scenarios/fleet/small.toml", "--json", json.to_str().expect("a path")];
-    let output = lab(&[&day, arguments].concat());
+    let fixed = ["fleet", "scenarios/fleet/small.toml", "--json", json.to_str().expect("a path")];
+    let output = run_testbed(&[&fixed, arguments].concat());
     let errors = String::from_utf8_lossy(&output.stderr);
     let text = std::fs::read_to_string(&json).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {errors}"));
-    let found: Value = serde_json::from_str(&text).expect("JSON");
-    let rules = found["days"][0]["verdict"]["rules"].as_object().expect("rules").clone();
+    let report: Value = serde_json::from_str(&text).expect("JSON");
+    let rules = report["days"][0]["verdict"]["rules"].as_object().expect("rules").clone();
     assert_eq!(rules.len(), 8, "{rules:?}");
     rules.into_iter().filter(|(_, count)| *count != 0).map(|(rule, _)| rule).collect()
 }
 
 #[test]
-fn each_broken_form_is_caught_by_its_rule_and_sound_proxies_by_none() {
-    let forms: [(&[&str], &[&str]); 10] = [
+fn each_faulty_forwarder_breaks_its_rule_and_correct_proxies_break_none() {
+    let cases: [(&[&str], &[&str]); 10] = [
         (&["--forwarder"], &[]),
         (&[], &[]),
         (&["--forwarder", "--broken", "answers-twice"], &["one_answer"]),
@@ -42,12 +42,12 @@
         (&["--forwarder", "--broken", "ignores-grace"], &["one_answer"]),
     ];
     let folder = tempfile::tempdir().expect("a folder");
-    // Some side by side: a play waits for its timers most of the time.
-    for some in forms.chunks(5) {
+    // Five plays run concurrently: a play waits for its timers most of the time.
+    for chunk in cases.chunks(5) {
         std::thread::scope(|scope| {
             let plays: Vec<_> =
-                some.iter().map(|form| scope.spawn(|| broken_rules(form.0, folder.path()))).collect();
-            for ((arguments, rules), play) in some.iter().zip(plays) {
+                chunk.iter().map(|case| scope.spawn(|| broken_rules(case.0, folder.path()))).collect();
+            for ((arguments, rules), play) in chunk.iter().zip(plays) {
                 assert_eq!(play.join().expect("a play"), *rules, "{arguments:?}");
             }
         });
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_told_with_its_place_and_remedy() {
+fn invalid_scenarios_and_programs_are_reported_with_place_and_remedy() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.toml");
-    let good = std::fs::read_to_string(
+    let valid = std::fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/fleet/small.toml"),
     );
-    let good = good.expect("the small day");
-    for (more, told) in [
+    let valid = valid.expect("the small scenario");
+    for (addition, expected) in [
         (
             "[[event]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"cut\"\n",
             "line 48: event: cut must name two groups",
@@ -74,13 +74,13 @@
         ("[[expect]]\nfigure = \"served.worth\"\n", "line 48: expect served.worth: give least, most or both"),
         ("[[event]]\nat = \"soon\"\nfor = \"1s\"\nwhat = \"cut\"\n", "line 49"),
     ] {
-        std::fs::write(&path, format!("{good}\n{more}")).expect("a file");
-        let output = lab(&["fleet", path.to_str().expect("a path")]);
+        std::fs::write(&path, format!("{valid}\n{addition}")).expect("a file");
+        let output = run_testbed(&["fleet", path.to_str().expect("a path")]);
         let errors = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{errors}");
-        assert!(errors.contains("day.toml") && errors.contains(told), "{errors}");
+        assert!(errors.contains("day.toml") && errors.contains(expected), "{errors}");
     }
-    let output = lab(&["fleet", "scenarios/fleet/small.toml", "--oakport", "nowhere/oakport"]);
+    let output = run_testbed(&["fleet", "scenarios/fleet/small.toml", "--oakport", "nowhere/oakport"]);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(errors.contains("nowhere/oakport: no such program; build it"), "{errors}");
--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -1,4 +1,4 @@
-//! Nothing is left behind when a play ends early.
+//! A play that ends early leaves no processes, files or descriptors behind.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -8,19 +8,19 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest wait for what must come.
-const LONG: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must become true.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !holds() {
-        assert!(begin.elapsed() < LONG, "{what}");
+        assert!(begin.elapsed() < MAX_WAIT, "{what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Processes whose parent this is, and which have not ended.
+/// Children of a process that have not ended.
 fn children(parent: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").expect("processes");
     let pids = all.flatten().filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
@@ -36,62 +36,67 @@
     parts.next()?.parse().ok().filter(|_| state != "Z")
 }
 
-/// Starts the small day with files of its own in `folder`, and waits until it has its proxies.
-fn started(folder: &Path) -> (Child, Vec<u32>) {
+/// Starts the small scenario with its temporary files in `folder`; waits until its three proxies run, and returns them.
+fn start_play(folder: &Path) -> (Child, Vec<u32>) {
     let (logs, own) = (folder.join("logs"), folder.join("own"));
     std::fs::create_dir_all(&own).expect("a folder");
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     command.args(["fleet", "scenarios/fleet/small.toml", "--forwarder", "--logs"]).arg(&logs);
-    command.current_dir(lab_root());
-    let lab =
-        command.env("TMPDIR", &own).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
-    until("three proxies", || children(lab.id()).len() == 3);
-    let found = children(lab.id());
-    (lab, found)
+    command.current_dir(repository_root());
+    let testbed = command
+        .env("TMPDIR", &own)
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
+        .expect("oakport-testbed starts");
+    wait_until("three proxies run", || children(testbed.id()).len() == 3);
+    let proxies = children(testbed.id());
+    (testbed, proxies)
 }
 
 #[test]
 fn an_interrupted_play_leaves_no_process_and_no_file() {
     for (signal, status) in [(Signal::SIGINT, Some(130)), (Signal::SIGKILL, None)] {
         let folder = tempfile::tempdir().expect("a folder");
-        let (mut lab, proxies) = started(folder.path());
-        kill(Pid::from_raw(lab.id() as i32), signal).expect("it runs");
-        assert_eq!(lab.wait().expect("its end").code(), status);
-        until("the proxies are gone", || proxies.iter().all(|pid| parent_of(*pid).is_none()));
+        let (mut testbed, proxies) = start_play(folder.path());
+        kill(Pid::from_raw(testbed.id() as i32), signal).expect("the testbed runs");
+        assert_eq!(testbed.wait().expect("the testbed ends").code(), status);
+        wait_until("all proxies have ended", || proxies.iter().all(|pid| parent_of(*pid).is_none()));
         if signal == Signal::SIGINT {
             let left = std::fs::read_dir(folder.path().join("own")).expect("the folder").count();
-            assert_eq!(left, 0, "files");
+            assert_eq!(left, 0, "temporary files are left");
         }
     }
 }
 
 #[test]
-fn a_proxy_that_does_not_start_is_told_and_leaves_nothing() {
+fn a_proxy_that_does_not_start_is_reported_and_leaves_no_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     command.args(["fleet", "scenarios/fleet/small.toml", "--oakport", "/bin/false"]);
-    command.current_dir(lab_root());
-    let output = command.env("TMPDIR", folder.path()).output().expect("it starts");
+    command.current_dir(repository_root());
+    let output = command.env("TMPDIR", folder.path()).output().expect("oakport-testbed starts");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(errors.contains("ended before it was ready"), "{errors}");
     assert_eq!(std::fs::read_dir(folder.path()).expect("the folder").count(), 0);
 }
 
-/// Descriptors that this process has open.
-fn descriptors() -> usize {
+/// Number of open descriptors of this process.
+fn count_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").expect("descriptors").count()
 }
 
 #[test]
-fn a_panic_of_the_rig_leaves_no_process_and_no_descriptor() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    let day = std::fs::read_to_string(lab_root().join("scenarios/fleet/small.toml")).expect("the small day");
-    let program = Program::forwarder(lab, None);
-    let day = Scenario::parse(&day).expect("a good day");
-    let play = Play { day, seed: 1, second: program.clone(), program, logs: None };
-    let before = descriptors();
-    let mut there = Vec::new();
+fn a_panic_of_the_test_cluster_leaves_no_process_and_no_descriptor() {
+    let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    let scenario = std::fs::read_to_string(repository_root().join("scenarios/fleet/small.toml"))
+        .expect("the small scenario");
+    let program = Program::forwarder(testbed, None);
+    let scenario = Scenario::parse(&scenario).expect("a valid scenario");
+    let play = Play { day: scenario, seed: 1, second: program.clone(), program, logs: None };
+    let before = count_descriptors();
+    let mut open_descriptors = Vec::new();
     for round in 0..2 {
         let panics = |progress: Progress<'_>| {
             if matches!(progress, Progress::Begun) {
@@ -101,23 +106,23 @@
         let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-            // Whoever panics takes all with it.
+            // The panic drops everything that the play has started.
             let _ = runtime.block_on(cluster::play(&play, &panics));
         }));
         assert!(played.is_err(), "round {round}");
-        there.push(descriptors());
+        open_descriptors.push(count_descriptors());
     }
-    let own = std::process::id();
-    until("the proxies are gone", || children(own).iter().all(|pid| !is_lab(*pid)));
-    // What the runtime keeps for all of its life is there after the first round already.
-    assert_eq!(there[0], there[1], "{before} before");
+    let own_pid = std::process::id();
+    wait_until("all proxies have ended", || children(own_pid).iter().all(|pid| !is_testbed(*pid)));
+    // Descriptors that the runtime keeps permanently are open after the first round already.
+    assert_eq!(open_descriptors[0], open_descriptors[1], "{before} descriptors before the first round");
 }
 
-/// A process of the lab's program.
-fn is_lab(pid: u32) -> bool {
+/// Whether a process runs oakport-testbed.
+fn is_testbed(pid: u32) -> bool {
     std::fs::read_link(format!("/proc/{pid}/exe")).is_ok_and(|exe| exe.ends_with("oakport-testbed"))
 }
 
-fn lab_root() -> std::path::PathBuf {
+fn repository_root() -> std::path::PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,4 +1,4 @@
-//! Each fault of a link, seen by a probe on both sides of it.
+//! Each link fault has its effect, as observed on both sides of the link.
 
 use oakport_simulator::scenario::LinkSpec;
 use oakport_testbed::cluster::links::{copies, Datagrams, Relay};
@@ -8,159 +8,176 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::{timeout, Instant};
 
-/// Longest wait for what must come.
-const LONG: Duration = Duration::from_secs(20);
-/// Wait in which what must not come would have come.
-const SHORT: Duration = Duration::from_millis(250);
-/// The delay that is tried, in microseconds.
-const DELAY: u64 = 120_000;
+/// Timeout for data that must arrive.
+const MAX_WAIT: Duration = Duration::from_secs(20);
+/// Time within which data that must not arrive would have arrived.
+const QUIET_TIME: Duration = Duration::from_millis(250);
+/// Delay of the delaying links.
+const DELAY_US: u64 = 120_000;
 
 const NONE: LinkSpec =
     LinkSpec { delay: 0, drop: 0.0, duplicate: 0.0, reorder: 0.0, stall: false, reset: false, refuse: false };
 
-/// A byte comes within this time.
-async fn comes(stream: &mut TcpStream, within: Duration) -> bool {
+/// Whether a byte arrives within this time.
+async fn receives(stream: &mut TcpStream, within: Duration) -> bool {
     matches!(timeout(within, stream.read_u8()).await, Ok(Ok(_)))
 }
 
-/// It has been reset.
+/// Whether the connection has been reset.
 async fn is_reset(stream: &mut TcpStream) -> bool {
-    let end = timeout(LONG, stream.read_u8()).await.expect("an end");
+    let end = timeout(MAX_WAIT, stream.read_u8()).await.expect("the connection ends");
     end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset)
 }
 
-/// What becomes of a new connection.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Up {
-    Yes,
+enum ConnectOutcome {
+    Connected,
     Refused,
-    Never,
+    TimedOut,
 }
 
-/// Waits until new connections fare so: a relay turns a moment after it is told.
-async fn becomes(relay: &Relay, wanted: Up, name: &str) {
+/// Waits until new connections have this result: a relay applies a fault shortly after it is set.
+async fn wait_for_outcome(relay: &Relay, expected: ConnectOutcome, name: &str) {
     let begin = Instant::now();
     loop {
-        let found = match timeout(SHORT, TcpStream::connect(relay.address())).await {
-            Ok(Ok(_)) => Up::Yes,
+        let found = match timeout(QUIET_TIME, TcpStream::connect(relay.address())).await {
+            Ok(Ok(_)) => ConnectOutcome::Connected,
             Ok(Err(e)) => {
                 assert_eq!(e.kind(), ErrorKind::ConnectionRefused, "{name}");
-                Up::Refused
+                ConnectOutcome::Refused
             }
-            Err(_) => Up::Never,
+            Err(_) => ConnectOutcome::TimedOut,
         };
-        if found == wanted {
+        if found == expected {
             return;
         }
-        assert!(begin.elapsed() < LONG, "{name}: {found:?}, not {wanted:?}");
+        assert!(begin.elapsed() < MAX_WAIT, "{name}: {found:?}, expected {expected:?}");
     }
 }
 
 #[tokio::test]
-async fn faults_of_streams_show_on_both_sides() {
-    let delayed = LinkSpec { delay: DELAY, ..NONE };
+async fn stream_faults_affect_both_sides() {
+    let delayed = LinkSpec { delay: DELAY_US, ..NONE };
     let stalled = LinkSpec { stall: true, ..NONE };
     let reset = LinkSpec { reset: true, ..NONE };
     let refused = LinkSpec { refuse: true, ..NONE };
-    for (name, both) in [
-        ("sound", [NONE, NONE]),
-        ("late there", [delayed, NONE]),
-        ("late back", [NONE, delayed]),
+    for (name, links) in [
+        ("no fault", [NONE, NONE]),
+        ("delayed there", [delayed, NONE]),
+        ("delayed back", [NONE, delayed]),
         ("stalled there", [stalled, NONE]),
         ("stalled back", [NONE, stalled]),
         ("reset", [reset, reset]),
         ("refused", [refused, refused]),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let relay = Relay::start(listener.local_addr().expect("its address")).expect("a relay");
-        let mut near =
-            timeout(LONG, TcpStream::connect(relay.address())).await.expect("in time").expect("it takes");
-        let (mut far, _) = timeout(LONG, listener.accept()).await.expect("in time").expect("a connection");
-        relay.turn(both);
-        if both[0].reset {
+        let relay = Relay::start(listener.local_addr().expect("the local address")).expect("a relay");
+        let mut near = timeout(MAX_WAIT, TcpStream::connect(relay.address()))
+            .await
+            .expect("in time")
+            .expect("the relay accepts");
+        let (mut far, _) =
+            timeout(MAX_WAIT, listener.accept()).await.expect("in time").expect("a connection");
+        relay.turn(links);
+        if links[0].reset {
             assert!(is_reset(&mut near).await && is_reset(&mut far).await, "{name}");
             continue;
         }
-        for (way, spec) in both.iter().enumerate() {
-            let (from, to) = if way == 0 { (&mut near, &mut far) } else { (&mut far, &mut near) };
-            let asked = Instant::now();
-            from.write_u8(7).await.expect("it is open");
+        for (direction, spec) in links.iter().enumerate() {
+            let (from, to) = if direction == 0 { (&mut near, &mut far) } else { (&mut far, &mut near) };
+            let start = Instant::now();
+            from.write_u8(7).await.expect("the connection is open");
             if spec.stall {
-                assert!(!comes(to, SHORT).await, "{name}, way {way}");
+                assert!(!receives(to, QUIET_TIME).await, "{name}, direction {direction}");
             } else {
-                assert!(comes(to, LONG).await, "{name}, way {way}");
-                assert!(asked.elapsed() >= Duration::from_micros(spec.delay), "{name}, way {way}");
+                assert!(receives(to, MAX_WAIT).await, "{name}, direction {direction}");
+                assert!(
+                    start.elapsed() >= Duration::from_micros(spec.delay),
+                    "{name}, direction {direction}"
+                );
             }
         }
-        let wanted = match both {
-            _ if both[0].refuse => Up::Refused,
-            _ if both.iter().any(|way| way.stall) => Up::Never,
-            _ => Up::Yes,
+        let expected = match links {
+            _ if links[0].refuse => ConnectOutcome::Refused,
+            _ if links.iter().any(|link| link.stall) => ConnectOutcome::TimedOut,
+            _ => ConnectOutcome::Connected,
         };
-        becomes(&relay, wanted, name).await;
-        // When it is over, what was held comes, and connections come up.
+        wait_for_outcome(&relay, expected, name).await;
+        // After the fault, held-back data arrives and connections are accepted again.
         relay.turn([NONE, NONE]);
-        for (way, spec) in both.iter().enumerate() {
-            let to = if way == 0 { &mut far } else { &mut near };
-            assert!(!spec.stall || comes(to, LONG).await, "{name}, way {way}: what was held");
+        for (direction, spec) in links.iter().enumerate() {
+            let to = if direction == 0 { &mut far } else { &mut near };
+            assert!(
+                !spec.stall || receives(to, MAX_WAIT).await,
+                "{name}, direction {direction}: data held back by the stall arrives"
+            );
         }
-        becomes(&relay, Up::Yes, name).await;
-        // An end passes through as an end.
+        wait_for_outcome(&relay, ConnectOutcome::Connected, name).await;
+        // A closed connection is closed on the other side too.
         drop(near);
-        assert_eq!(timeout(LONG, far.read(&mut [0])).await.expect("in time").expect("an end"), 0, "{name}");
+        assert_eq!(
+            timeout(MAX_WAIT, far.read(&mut [0])).await.expect("in time").expect("the connection ends"),
+            0,
+            "{name}"
+        );
     }
 }
 
 #[tokio::test]
-async fn faults_of_datagrams_are_settled_by_the_seed_and_meet_one_direction() {
+async fn datagram_faults_follow_the_seed_and_affect_one_direction() {
     const SENT: u64 = 200;
     for (name, spec) in [
-        ("sound", NONE),
+        ("no fault", NONE),
         ("lossy", LinkSpec { drop: 0.3, ..NONE }),
-        ("doubling", LinkSpec { duplicate: 0.3, ..NONE }),
-        ("late", LinkSpec { delay: DELAY, ..NONE }),
-        ("overtaking", LinkSpec { reorder: 0.3, ..NONE }),
+        ("duplicating", LinkSpec { duplicate: 0.3, ..NONE }),
+        ("delaying", LinkSpec { delay: DELAY_US, ..NONE }),
+        ("reordering", LinkSpec { reorder: 0.3, ..NONE }),
         ("cut", LinkSpec { stall: true, ..NONE }),
     ] {
         let seed = 0x5eed;
         let one = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-        let ends = [&one, &other].map(|socket| socket.local_addr().expect("its address"));
+        let ends = [&one, &other].map(|socket| socket.local_addr().expect("the local address"));
         let relay = Datagrams::start(seed, ends.to_vec()).await.expect("a relay");
         relay.turn([((0, 1), spec)].into());
-        let asked = Instant::now();
-        let (mut due, mut came, mut back, mut room) = (Vec::new(), Vec::new(), Vec::new(), [0; 8]);
+        let start = Instant::now();
+        let (mut expected_numbers, mut received, mut received_back, mut buffer) =
+            (Vec::new(), Vec::new(), Vec::new(), [0; 8]);
         for number in 0..SENT {
             one.send_to(&number.to_be_bytes(), relay.doors[1]).await.expect("a datagram");
             other.send_to(&number.to_be_bytes(), relay.doors[0]).await.expect("a datagram");
-            due.extend(copies(&spec, seed ^ 1, number).iter().map(|_| number));
+            expected_numbers.extend(copies(&spec, seed ^ 1, number).iter().map(|_| number));
             tokio::time::sleep(Duration::from_millis(1)).await;
-            // Left alone they would overrun the sockets' queues.
-            while let Ok((_, from)) = other.try_recv_from(&mut room) {
-                assert_eq!(from, relay.doors[0], "{name}: it comes from the door of the other");
-                came.push(u64::from_be_bytes(room));
+            // Reads in between, as the datagrams would overflow the receive queues otherwise.
+            while let Ok((_, from)) = other.try_recv_from(&mut buffer) {
+                assert_eq!(from, relay.doors[0], "{name}: the sender is the relay address of the other peer");
+                received.push(u64::from_be_bytes(buffer));
             }
-            while one.try_recv_from(&mut room).is_ok() {
-                back.push(u64::from_be_bytes(room));
+            while one.try_recv_from(&mut buffer).is_ok() {
+                received_back.push(u64::from_be_bytes(buffer));
             }
         }
-        while came.len() < due.len() {
-            timeout(LONG, other.recv_from(&mut room)).await.expect(name).expect("a datagram");
-            came.push(u64::from_be_bytes(room));
+        while received.len() < expected_numbers.len() {
+            timeout(MAX_WAIT, other.recv_from(&mut buffer)).await.expect(name).expect("a datagram");
+            received.push(u64::from_be_bytes(buffer));
         }
-        while back.len() < SENT as usize {
-            timeout(LONG, one.recv_from(&mut room)).await.expect(name).expect("a datagram");
-            back.push(u64::from_be_bytes(room));
+        while received_back.len() < SENT as usize {
+            timeout(MAX_WAIT, one.recv_from(&mut buffer)).await.expect(name).expect("a datagram");
+            received_back.push(u64::from_be_bytes(buffer));
         }
-        assert!(back.into_iter().eq(0..SENT), "{name}: back all is well");
-        assert!(asked.elapsed() >= Duration::from_micros(spec.delay), "{name}");
-        assert!(timeout(SHORT, other.recv_from(&mut room)).await.is_err(), "{name}: no more");
-        let in_order = came.is_sorted();
-        came.sort_unstable();
-        assert_eq!(came, due, "{name}");
+        assert!(received_back.into_iter().eq(0..SENT), "{name}: the other direction has no faults");
+        assert!(start.elapsed() >= Duration::from_micros(spec.delay), "{name}");
+        assert!(
+            timeout(QUIET_TIME, other.recv_from(&mut buffer)).await.is_err(),
+            "{name}: no further datagrams"
+        );
+        let in_order = received.is_sorted();
+        received.sort_unstable();
+        assert_eq!(received, expected_numbers, "{name}");
         assert_eq!(in_order, spec.reorder == 0.0, "{name}");
     }
-    let shares = |spec: LinkSpec| (0..10_000).map(|n| copies(&spec, 1, n).len()).sum::<usize>();
-    assert!((6_800..7_200).contains(&shares(LinkSpec { drop: 0.3, ..NONE })));
-    assert!((12_800..13_200).contains(&shares(LinkSpec { duplicate: 0.3, ..NONE })));
+    let total_copies = |spec: LinkSpec| (0..10_000).map(|n| copies(&spec, 1, n).len()).sum::<usize>();
+    assert!((6_800..7_200).contains(&total_copies(LinkSpec { drop: 0.3, ..NONE })));
+    assert!((12_800..13_200).contains(&total_copies(LinkSpec { duplicate: 0.3, ..NONE })));
 }
--- a/crates/testbed/tests/scale_calls.rs
+++ b/crates/testbed/tests/scale_calls.rs
@@ -1,38 +1,38 @@
-//! The scale test of `calls`: each call passes each hop once and comes back, and nothing is left behind.
+//! The scale test's role `calls`: each call passes each hop once and is answered, and no process is left behind.
 
 use oakport_testbed::cluster::chain::{self, Pace, Trip, SERVERS};
 use oakport_testbed::cluster::Program;
 use std::path::Path;
 
-fn chain_of(hops: usize) {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    let oakport = lab.with_file_name("oakport");
-    assert!(oakport.is_file(), "it is built with the workspace");
+fn check_chain(hops: usize) {
+    let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    let oakport = testbed.with_file_name("oakport");
+    assert!(oakport.is_file(), "oakport is built with the workspace");
     let paces = [Pace { rate: 49.0, length: 2_000_000 }, Pace { rate: 245.0, length: 500_000 }];
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let played = runtime.block_on(chain::play(&Program::oakport(lab, &oakport), hops, &paces, 1));
-    let played = played.expect("it is played");
+    let played = runtime.block_on(chain::play(&Program::oakport(testbed, &oakport), hops, &paces, 1));
+    let played = played.expect("the measurement succeeds");
     assert_eq!(played.outcomes.len(), paces.len());
     for outcome in &played.outcomes {
         let (proxies, direct) = (&outcome.proxies, &outcome.direct);
         assert!(proxies.asked > SERVERS, "{proxies:?}");
-        assert_eq!(proxies.asked, direct.asked, "the same calls both ways");
+        assert_eq!(proxies.asked, direct.asked, "the same calls with and without proxies");
         for Trip { asked, answered, arrivals, once, times } in [proxies, direct] {
-            assert_eq!((*answered, *once, *arrivals), (*asked, asked * hops, asked * hops), "{asked} asked");
+            assert_eq!((*answered, *once, *arrivals), (*asked, asked * hops, asked * hops), "{asked} calls");
             assert_eq!(times.len(), *asked as u64);
         }
     }
     assert_eq!(played.processes.len(), hops);
     let left = played.processes.iter().filter(|pid| Path::new(&format!("/proc/{pid}")).exists()).count();
-    assert_eq!(left, 0, "processes");
+    assert_eq!(left, 0, "processes are left");
 }
 
 #[test]
 fn each_call_passes_one_hop_once() {
-    chain_of(1);
+    check_chain(1);
 }
 
 #[test]
 fn each_call_passes_each_of_four_hops_once() {
-    chain_of(4);
+    check_chain(4);
 }
--- a/crates/testbed/tests/scale_list.rs
+++ b/crates/testbed/tests/scale_list.rs
@@ -16,10 +16,10 @@
 };
 
 fn measure_size(size: usize) -> Figures {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    let oakport = lab.with_file_name("oakport");
+    let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    let oakport = testbed.with_file_name("oakport");
     assert!(oakport.is_file(), "oakport is built with the workspace");
-    let program = Program::oakport(lab, &oakport);
+    let program = Program::oakport(testbed, &oakport);
     let point = Point { size, seed: 1, deadline: Instant::now() + Duration::from_secs(60), program };
     measure(&point, SHORT).expect("the measurement succeeds")
 }
@@ -54,8 +54,8 @@
 
 #[test]
 fn a_measurement_past_its_deadline_is_reported_as_not_run() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    let program = Program::oakport(lab, &lab.with_file_name("oakport"));
+    let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    let program = Program::oakport(testbed, &testbed.with_file_name("oakport"));
     let point = Point { size: 6, seed: 1, deadline: Instant::now(), program };
     let error = measure(&point, SHORT).expect_err("the deadline has passed");
     assert!(matches!(error, oakport_testbed::scale::point::MeasureError::NotRun(_)), "{error:?}");
--- a/crates/testbed/tests/scale_settings.rs
+++ b/crates/testbed/tests/scale_settings.rs
@@ -9,10 +9,10 @@
 const SHORT: Extent = Extent { changes: 1, pause: Duration::ZERO, interval: Duration::from_millis(20) };
 
 fn measure_size(size: usize) -> Result<Figures, MeasureError> {
-    let lab = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    let oakport = lab.with_file_name("oakport");
+    let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    let oakport = testbed.with_file_name("oakport");
     assert!(oakport.is_file(), "oakport is built with the workspace");
-    let program = Program::oakport(lab, &oakport);
+    let program = Program::oakport(testbed, &oakport);
     let deadline = Instant::now() + Duration::from_secs(60);
     measure(&Point { size, seed: 1, deadline, program }, SHORT)
 }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,29 +1,29 @@
-//! The soak: its plans, a few of its plays, and the broken forwarders that it catches.
+//! The soak command: its plans, a few plays with oakport, and detection of faulty forwarders.
 
 use serde_json::Value;
 use std::path::Path;
 use std::process::{Command, Output};
 use std::thread;
 
-/// Seeds that are played, and how many at a time. Among them are plays that a proxy without observation of endpoints fails
-/// (11, 18 and 19), signals in series, restarts, upgrades and crowds.
+/// First seed and number of consecutive seeds of each run; the runs are concurrent. The seeds include plays that a proxy
+/// without observation of endpoints fails (11, 18 and 19), series of signals, restarts, upgrades and crowds.
 const PLAYED: [(u64, u64); 4] = [(1, 3), (9, 3), (17, 3), (34, 3)];
-/// Further seeds for a broken forwarder whose fault did not show at the first.
-const MORE_SEEDS: u64 = 4;
+/// Number of seeds that are tried until the fault of a forwarder is detected.
+const MAX_SEEDS: u64 = 4;
 
 fn soak(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_oakport-testbed"))
         .arg("soak")
         .args(arguments)
         .output()
-        .expect("it starts")
+        .expect("oakport-testbed starts")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The outcomes of plays, by their JSON.
+/// Plays seeds; returns the outcomes from the JSON file, and the output.
 fn outcomes(first: u64, seeds: u64, more: &[&str], folder: &Path) -> (Vec<Value>, Output) {
     let json = folder.join(format!("{first}-{}.json", more.join("")));
     let logs = folder.join(format!("{first}-{}", more.join("")));
@@ -35,14 +35,14 @@
     (serde_json::from_str(&found).expect("JSON"), output)
 }
 
-/// The rules that a play broke.
+/// The rules that a play broke, from the descriptions of its violations.
 fn broken_rules(outcome: &Value) -> Vec<String> {
     let stories = outcome["result"]["broken"].as_array().into_iter().flatten();
     stories.filter_map(|story| Some(story.as_str()?.split(": ").nth(1)?.to_owned())).collect()
 }
 
 #[test]
-fn a_seed_gives_one_plan_and_each_plan_can_be_played() {
+fn a_seed_determines_its_plan_and_each_plan_is_a_valid_scenario() {
     let plans = |first: &str, seeds: &str| {
         let output = soak(&["--print-plan", "--first", first, "--seeds", seeds]);
         assert!(output.status.success(), "{}", text(&output.stderr));
@@ -55,18 +55,21 @@
     assert_eq!(each.len(), 300);
     let with_transfers: Vec<bool> = each.iter().map(|plan| plan.contains("[class.transfer]")).collect();
     assert!(!with_transfers[..100].contains(&true), "large bodies are drawn from seed 101 on");
-    for what in ["restart", "upgrade"] {
-        let meets =
-            |plan: &&String| plan.contains("[class.transfer]") && plan.contains(&format!("\"{what}\""));
-        assert!(each.iter().filter(meets).count() > 20, "few plans have large bodies and {what}");
+    for event in ["restart", "upgrade"] {
+        let has_transfers_and_event =
+            |plan: &&String| plan.contains("[class.transfer]") && plan.contains(&format!("\"{event}\""));
+        assert!(
+            each.iter().filter(has_transfers_and_event).count() > 20,
+            "few plans have large bodies and {event}"
+        );
     }
     for plan in each {
-        let read = oakport_simulator::scenario::Scenario::parse(&plan);
-        assert!(read.is_ok(), "{read:?}: {plan}");
+        let scenario = oakport_simulator::scenario::Scenario::parse(&plan);
+        assert!(scenario.is_ok(), "{scenario:?}: {plan}");
     }
 }
 
-/// A play that was not judged, as the machine was too busy, is printed and is no pass: most must have been judged.
+/// A play that was not judged because the machine was too busy does not count as passed: most plays must be judged.
 #[test]
 fn fixed_seeds_keep_all_rules() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -89,8 +92,8 @@
 }
 
 #[test]
-fn broken_forwarders_are_caught_by_their_rules() {
-    let forms = [
+fn faulty_forwarders_are_detected_by_their_rules() {
+    let cases = [
         ("answers-twice", 1, "one_answer"),
         ("loses", 1, "one_answer"),
         ("repeats", 4, "no_unsafe_repeat"),
@@ -102,28 +105,29 @@
     ];
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path();
-    let is_caught = move |(form, first, rule): (&str, u64, &str)| {
-        (first..first + MORE_SEEDS).any(|seed| {
+    let is_detected = move |(form, first, rule): (&str, u64, &str)| {
+        (first..first + MAX_SEEDS).any(|seed| {
             let broken = ["--forwarder", "--broken", form];
             let (outcomes, output) = outcomes(seed, 1, &broken, path);
-            let caught = broken_rules(&outcomes[0]).iter().any(|found| found == rule);
-            assert!(!caught || output.status.code() == Some(1), "{form}: {:?}", output.status);
-            let again = format!("soak --seeds 1 --first {seed} --forwarder --broken {form}");
-            assert!(!caught || text(&output.stdout).contains(&again), "{}", text(&output.stdout));
-            caught
+            let detected = broken_rules(&outcomes[0]).iter().any(|found| found == rule);
+            assert!(!detected || output.status.code() == Some(1), "{form}: {:?}", output.status);
+            let command = format!("soak --seeds 1 --first {seed} --forwarder --broken {form}");
+            assert!(!detected || text(&output.stdout).contains(&command), "{}", text(&output.stdout));
+            detected
         })
     };
     thread::scope(|scope| {
-        let plays: Vec<_> = forms.iter().map(|form| (form, scope.spawn(move || is_caught(*form)))).collect();
+        let plays: Vec<_> =
+            cases.iter().map(|form| (form, scope.spawn(move || is_detected(*form)))).collect();
         for (form, play) in plays {
             assert!(play.join().expect("a play"), "{form:?}");
         }
     });
 }
 
-/// A play whose proxies never come up is a fault of the play.
+/// Proxies that never start are reported as an unfinished play.
 #[test]
-fn a_play_that_fails_is_no_pass() {
+fn a_play_that_fails_does_not_pass() {
     let folder = tempfile::tempdir().expect("a folder");
     let (outcomes, output) = outcomes(1, 1, &["--oakport", "/bin/false"], folder.path());
     assert!(outcomes[0]["result"]["unfinished"].is_string(), "{outcomes:?}");
--- a/crates/testbed/tests/throng.rs
+++ b/crates/testbed/tests/throng.rs
@@ -1,39 +1,40 @@
-//! Cold servers before thirty processes that know nothing of each other: what all send them together stays within
-//! what they bear, and proxies that do not care are caught. States and counts only: a busy machine changes no verdict.
+//! Thirty processes that do not know of each other call cold servers: their total load stays within the bound of each
+//! cold server, and proxies that ignore warm-up are detected. Only states and counts are checked, so a busy machine
+//! does not change the verdict.
 
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
 
-/// Plays the short day; its verdict.
+/// Plays the short scenario; returns its verdict.
 fn play(arguments: &[&str], folder: &Path) -> Value {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let json = folder.join(format!("{}.json", arguments.len()));
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
-    lab.args(["fleet", "scenarios/fleet/throng-small.toml", "--json"]).arg(&json).args(arguments);
-    let output = lab.current_dir(root).output().expect("it starts");
+    let mut testbed = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
+    testbed.args(["fleet", "scenarios/fleet/throng-small.toml", "--json"]).arg(&json).args(arguments);
+    let output = testbed.current_dir(root).output().expect("oakport-testbed starts");
     let errors = String::from_utf8_lossy(&output.stderr);
     let text = std::fs::read_to_string(&json).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {errors}"));
-    let found: Value = serde_json::from_str(&text).expect("JSON");
-    found["days"][0]["verdict"].clone()
+    let report: Value = serde_json::from_str(&text).expect("JSON");
+    report["days"][0]["verdict"].clone()
 }
 
 #[test]
-fn thirty_processes_push_no_cold_server_over_and_a_random_pick_is_caught() {
+fn thirty_processes_overload_no_cold_server_and_random_choice_is_detected() {
     let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-testbed")).with_file_name("oakport");
-    assert!(oakport.is_file(), "it is built with the workspace");
+    assert!(oakport.is_file(), "oakport is built with the workspace");
     let folder = tempfile::tempdir().expect("a folder");
     let verdict = play(&[], folder.path());
     let figure = |name: &str| verdict["figures"][name].as_f64().expect("a figure");
-    // Two come back cold and two are new; not all need have got something by the end.
+    // Two servers return cold and two are new; not all of them must have received calls by the end.
     assert!(figure("cold.servers") >= 2.0, "{verdict:#}");
-    let most = figure("cold.most_share_of_bound");
-    assert!(most > 0.0 && most <= 1.0, "{most}");
+    let max_share = figure("cold.most_share_of_bound");
+    assert!(max_share > 0.0 && max_share <= 1.0, "{max_share}");
     for rule in ["cold", "no_crash", "no_unsafe_repeat", "answers_of_servers", "listed"] {
         assert_eq!(verdict["rules"][rule], 0, "{rule}: {:#}", verdict["stories"]);
     }
 
     let broken = play(&["--forwarder", "--broken", "ignores-cold"], folder.path());
     assert_ne!(broken["rules"]["cold"], 0, "{broken:#}");
-    assert!(broken["figures"]["cold.most_share_of_bound"].as_f64().is_some_and(|most| most > 1.0));
+    assert!(broken["figures"]["cold.most_share_of_bound"].as_f64().is_some_and(|max_share| max_share > 1.0));
 }
