--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,7 +1,8 @@
-//! `oakport-testbed demo`: plays a small fleet in three zones in which parts fail, prints its progress and writes a report.
+//! `oakport-testbed demo`: plays a small fleet in three zones in which parts fail, prints its progress and
+//! writes a report.
 
 use crate::cluster::{Play, Progress};
-use crate::fleet::{play_with_progress, table, write, Programs, RunError, RunStatus, UNLIMITED};
+use crate::fleet::{play_with_progress, verdict_table, write, Programs, RunError, RunStatus, UNLIMITED};
 use crate::report;
 use clap::Args;
 use oakport_core::Micros;
@@ -75,7 +76,7 @@
             }
         };
         let verdict = play_with_progress(&play, &report_progress, UNLIMITED)?;
-        print!("{}", table(&verdict, false));
+        print!("{}", verdict_table(&verdict, false));
         write(
             &self.out,
             &report::html("oakport demo", &play.day, self.seed, &verdict).map_err(RunError::Failed)?,
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -145,7 +145,7 @@
                 let page = report::html(&name, &play.day, self.seed, &verdict).map_err(RunError::Failed)?;
                 write(&folder.join(format!("{name}.html")), &page)?;
             }
-            print!("{}", table(&verdict, self.seconds));
+            print!("{}", verdict_table(&verdict, self.seconds));
             status = status.max(RunStatus::of(&verdict));
             all.push(json!({"day": name, "seed": self.seed, "verdict": verdict}));
         }
@@ -218,7 +218,7 @@
 }
 
 /// A verdict as text for the terminal, with a line for each second if `seconds`.
-pub fn table(verdict: &Verdict, seconds: bool) -> String {
+pub fn verdict_table(verdict: &Verdict, seconds: bool) -> String {
     let mut text = String::new();
     if seconds {
         text += &second_table(verdict);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,5 @@
-//! Library of `oakport-testbed`: plays scenarios in virtual time, and in a test cluster of real processes on loopback.
+//! Library of `oakport-testbed`: plays scenarios in virtual time, and in a test cluster of real processes on
+//! loopback.
 
 pub mod cluster;
 pub mod compare;
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,5 +1,5 @@
-//! `oakport-testbed overhead`: measures the cost of a hop through oakport, in comparison with direct calls, a relay and
-//! a forwarder that picks endpoints at random.
+//! `oakport-testbed overhead`: measures the cost of a hop through oakport, in comparison with direct calls, a
+//! relay and a forwarder that picks endpoints at random.
 
 use crate::cluster::hops::{self, Cost, Sample, Way};
 use crate::cluster::Program;
@@ -77,9 +77,9 @@
 fn failed_expectations(rounds: &[Vec<Sample>], steady: &[(f64, Cost)]) -> Vec<String> {
     let oakport = Way::Oakport as usize;
     let hops = [("p50", added(rounds, oakport, |s| s.p50)), ("p99", added(rounds, oakport, |s| s.p99))];
-    let hops = hops.into_iter().zip(MAX_ADDED_US).filter(|((_, added), most)| added > most);
-    let hops = hops
-        .map(|((name, added), most)| format!("{added:.0} us added at {name}, expected at most {most:.0}"));
+    let hops = hops.into_iter().zip(MAX_ADDED_US).filter(|((_, added), max)| added > max);
+    let hops =
+        hops.map(|((name, added), max)| format!("{added:.0} us added at {name}, expected at most {max:.0}"));
     let waits = steady.iter().filter(|(_, cost)| cost.waiting() > MAX_WAITING_RATIO);
     let waits = waits.map(|(rate, cost)| {
         let Cost { requests, waits, .. } = cost;
@@ -131,9 +131,9 @@
         let ratio_to = |other: Way, field: fn(&Sample) -> f64| {
             let ratios: Vec<f64> =
                 rounds.iter().map(|r| field(&r[index]) / field(&r[other as usize])).collect();
-            let least = ratios.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = ratios.iter().copied().fold(0.0, f64::max);
-            format!("{:.2} ({least:.2} to {most:.2})", median(ratios))
+            let min = ratios.iter().copied().fold(f64::INFINITY, f64::min);
+            let max = ratios.iter().copied().fold(0.0, f64::max);
+            format!("{:.2} ({min:.2} to {max:.2})", median(ratios))
         };
         let added = |field: fn(&Sample) -> f64| format!("{:+.0}", added(rounds, index, field));
         let cost = |field: fn(&Cost) -> f64| {
--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -1,4 +1,5 @@
-//! Role `calls`: the latency that a chain of proxies adds to a call, compared with the same chain without proxies.
+//! Role `calls`: the latency that a chain of proxies adds to a call, compared with the same chain without
+//! proxies.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::chain::{self, Outcome, Pace, Played};
@@ -10,8 +11,8 @@
 /// Time to start the chain and to warm it up.
 const STARTUP: Duration = Duration::from_secs(2);
 
-/// Largest latency that may be added at p99. The operators leave open whether this applies to each hop (size 1)
-/// or to the whole call (size 17), so both are reported.
+/// Largest latency that may be added at p99. The operators leave open whether this applies to each hop (size
+/// 1) or to the whole call (size 17), so both are reported.
 const MAX_ADDED_P99_US: f64 = 1_800.0;
 
 /// How the role is measured.
@@ -66,7 +67,7 @@
     let mut figures = Figures::from([("memory_bytes".to_owned(), played.memory_bytes)]);
     for ((rate, _), Outcome { proxies, direct, cpu_share, late }) in PACES.iter().zip(&played.outcomes) {
         let mut add = |name: &str, value: f64| figures.insert(format!("{rate}.{name}"), value);
-        let failed = |trip: &chain::Trip| 1.0 - trip.answered as f64 / (trip.asked as f64).max(1.0);
+        let failed_share = |trip: &chain::Trip| 1.0 - trip.answered as f64 / (trip.asked as f64).max(1.0);
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
             let time = |trip: &chain::Trip| trip.times.value_at_quantile(quantile) as f64;
             add(&format!("added_{name}_us"), time(proxies) - time(direct));
@@ -74,8 +75,8 @@
         add("direct_p99_us", direct.times.value_at_quantile(0.99) as f64);
         add("sent_late_p99_us", late.value_at_quantile(0.99) as f64);
         add("cpu_share", *cpu_share);
-        add("failed_share", failed(proxies));
-        add("direct_failed_share", failed(direct));
+        add("failed_share", failed_share(proxies));
+        add("direct_failed_share", failed_share(direct));
     }
     figures
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,13 +1,14 @@
-//! Role `decisions`: the cost of choosing endpoints, by the number of balancers that call one service, in virtual time.
+//! Role `decisions`: the cost of choosing endpoints, by the number of balancers that call one service, in
+//! virtual time.
 //!
-//! The operators plan with 310,000 calls a second in 1,000 services, so one service receives 310 calls a second
-//! regardless of how many services a process calls. Processes that call 1, 6 or 17 services send 49, 8.2 or 2.9
-//! calls a second to each, and a service then has 6, 38 or 107 callers. The sizes here are those of a service
-//! with more callers: with 6,300 balancers, each sends it one call in 20 s. A service of 60 servers receives ten
-//! times as many calls.
+//! The operators plan with 310,000 calls a second in 1,000 services, so one service receives 310 calls a
+//! second regardless of how many services a process calls. Processes that call 1, 6 or 17 services send 49,
+//! 8.2 or 2.9 calls a second to each, and a service then has 6, 38 or 107 callers. The sizes here are those
+//! of a service with more callers: with 6,300 balancers, each sends it one call in 20 s. A service of 60
+//! servers receives ten times as many calls.
 //!
-//! Processor time is that of the thread during each call into the policy, minus the cost of measuring. Memory is
-//! what these calls have allocated and not freed, plus the balancer itself.
+//! Processor time is that of the thread during each call into the policy, minus the cost of measuring. Memory
+//! is what these calls have allocated and not freed, plus the balancer itself.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use nix::time::{clock_gettime, ClockId};
@@ -28,9 +29,9 @@
 /// Length of a window.
 const WINDOW_S: f64 = 5.0;
 
-/// As `scenarios/burst.toml`, with servers so large that half of their capacity is used before the burst. The limit
-/// of connections is never reached here: whether a server's connection table holds so many balancers is a question
-/// for tests with real sockets.
+/// As `scenarios/burst.toml`, with servers so large that half of their capacity is used before the burst. The
+/// limit of connections is never reached here: whether a server's connection table holds so many balancers is
+/// a question for tests with real sockets.
 const BASE_SCENARIO: &str = r#"
 purpose = "many balancers before one service"
 length = "30s"
@@ -103,7 +104,8 @@
 /// What happens after the first two windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// More calls than the servers' capacity for one window; overloaded servers slow down, and clients retry at once.
+    /// More calls than the servers' capacity for one window; overloaded servers slow down, and clients retry
+    /// at once.
     Burst,
     /// A third of the servers are replaced by cold ones within one window.
     Release,
@@ -184,8 +186,8 @@
 /// Runs a function; returns its processor time and by how many bytes the allocated memory has grown.
 fn measured(act: impl FnOnce()) -> (Duration, i64) {
     let begin = thread_cpu_time();
-    let held = allocation_counter::measure(act);
-    (thread_cpu_time() - begin, held.bytes_current)
+    let allocated = allocation_counter::measure(act);
+    (thread_cpu_time() - begin, allocated.bytes_current)
 }
 
 /// A policy whose use of time and memory is measured.
@@ -198,9 +200,9 @@
 impl Metered {
     fn make(seed: u64, settings: &Settings, meter: &Rc<Meter>) -> Box<dyn Policy> {
         let mut policy = None;
-        let (_, held) = measured(|| policy = Some(PolicyKind::Oakport.make(seed, settings)));
+        let (_, allocated_bytes) = measured(|| policy = Some(PolicyKind::Oakport.make(seed, settings)));
         let number = meter.memory.borrow().len();
-        meter.memory.borrow_mut().push(held);
+        meter.memory.borrow_mut().push(allocated_bytes);
         // The closure above always sets it.
         let policy = policy.unwrap_or_else(|| unreachable!("made above"));
         Box::new(Metered { policy, number, meter: Rc::clone(meter) })
@@ -209,7 +211,8 @@
 
 impl Policy for Metered {
     fn handle(&mut self, now: Micros, event: Event, truth: &[ServerState], actions: &mut Vec<Action>) {
-        /// Reserved actions, so that the list, which does not belong to the balancer, does not grow while it is measured.
+        /// Reserved actions, so that the list, which does not belong to the balancer, does not grow while it
+        /// is measured.
         const RESERVED_ACTIONS: usize = 256;
         let meter = &self.meter;
         if meter.late.get() || Instant::now() > meter.deadline {
@@ -222,10 +225,10 @@
             Event::EndpointList { endpoints: entries, .. } => entries.capacity() * size_of::<EndpointInfo>(),
             _ => 0,
         };
-        let (cpu_time, held) = measured(|| self.policy.handle(now, event, truth, actions));
+        let (cpu_time, allocated_bytes) = measured(|| self.policy.handle(now, event, truth, actions));
         meter.events.set(meter.events.get() + 1);
         meter.cpu_time.set(meter.cpu_time.get() + cpu_time.saturating_sub(meter.overhead));
-        meter.memory.borrow_mut()[self.number] += held + freed_bytes as i64;
+        meter.memory.borrow_mut()[self.number] += allocated_bytes + freed_bytes as i64;
     }
 }
 
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,19 +1,19 @@
 //! Role `list`: the cost for one process of holding the endpoint list, by the length of the list.
 //!
-//! A single process without client calls follows a discovery agent on loopback, once with lists pushed by watches
-//! and once with polling. No server of the list exists, and none is called. All figures are taken from outside
-//! the process: processor time from the kernel's accounting, memory from `/proc`, HTTP bytes as written by the
-//! agent (without TCP and IP headers).
+//! A single process without client calls follows a discovery agent on loopback, once with lists pushed by
+//! watches and once with polling. No server of the list exists, and none is called. All figures are taken
+//! from outside the process: processor time from the kernel's accounting, memory from `/proc`, HTTP bytes as
+//! written by the agent (without TCP and IP headers).
 //!
 //! - A change starts when the agent has it, so `ms_in_force` includes the agent's time for writing a list.
 //! - A change is in force when the process reports the new number of servers (`hosts_listed`) at its admin
-//!   endpoint, which is polled without a pause. These runs are used for times only; processor time is taken in
-//!   other runs without polling, up to the process's next call to the agent.
+//!   endpoint, which is polled without a pause. These runs are used for times only; processor time is taken
+//!   in other runs without polling, up to the process's next call to the agent.
 //! - `whole` is a full list sent to a process with an empty list, `again` the same to a process that has it
 //!   already. `one` is a server that leaves and returns; for `zone` (1 of 11) only the leaving counts.
 //! - Each of an ordinary day's 845 events is three changes (draining, removed, ready again), all in this list
-//!   however short it is. The cost of the day is the mean cost of a change, measured in a compressed series, times
-//!   the number of changes, plus the cost of the idle process.
+//!   however short it is. The cost of the day is the mean cost of a change, measured in a compressed series,
+//!   times the number of changes, plus the cost of the idle process.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::discovery::{Agent, Member};
@@ -270,9 +270,9 @@
         Ok(Usage { cpu_s: after.cpu_s - before.cpu_s, bytes: after.bytes - before.bytes })
     }
 
-    /// Removes and re-adds servers repeatedly. Returns the mean processor time and bytes of a removal, the longest
-    /// time until a change is in force in milliseconds, and the number of servers that a removal took from the
-    /// list. For a single server the re-addition counts too, as it also changes one entry.
+    /// Removes and re-adds servers repeatedly. Returns the mean processor time and bytes of a removal, the
+    /// longest time until a change is in force in milliseconds, and the number of servers that a removal took
+    /// from the list. For a single server the re-addition counts too, as it also changes one entry.
     async fn measure_leaving(
         &self,
         size: usize,
@@ -320,7 +320,8 @@
     let mut figures = Figures::new();
     let mut add = |name: &str, figure: f64| _ = figures.insert(name.to_owned(), figure);
 
-    // Full list to an empty process: half of the processes are polled for the time, the others measured undisturbed.
+    // Full list to an empty process: half of the processes are polled for the time, the others measured
+    // undisturbed.
     let (mut usages, mut slowest) = (Vec::new(), 0.0_f64);
     let mut last: Option<Process> = None;
     for start in 0..extent.starts.max(2) {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! `oakport-testbed scale`: measures the cost of each role of a process by the size of the fleet (`docs/CAPACITY.md`).
+//! `oakport-testbed scale`: measures the cost of each role of a process by the size of the fleet
+//! (`docs/CAPACITY.md`).
 
 pub mod calls;
 pub mod decisions;
@@ -14,9 +15,9 @@
 use crate::fleet::{write, Programs, RunError};
 use clap::{Args, ValueEnum};
 use comfy_table::{presets, CellAlignment, Table};
-use page::short;
+use page::format_short;
 use point::{MeasureError, Point, RoleSpec, PLANNED_SIZE};
-use results::{fitted, names, ResultsBySize, SizeResult};
+use results::{figure_names, fit_figure, ResultsBySize, SizeResult};
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -42,7 +43,8 @@
     /// Number of seeds for each size
     #[arg(long, default_value_t = 3, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=100))]
     seeds: u64,
-    /// Time limit for each size with all its seeds, in seconds; unused time is added to the limit of the next size
+    /// Time limit for each size with all its seeds, in seconds; unused time is added to the limit of the next
+    /// size
     #[arg(long, default_value_t = 60, value_name = "S", value_parser = clap::value_parser!(u64).range(1..=3_600))]
     limit: u64,
     /// Give the members of `peers` one scope for each zone instead of one for the whole fleet
@@ -167,8 +169,8 @@
                 MeasureError::Failed(e) => return Err(RunError::Failed(format!("{}: {e}", spec.name))),
                 MeasureError::NotRun(reason) => reason,
                 MeasureError::Partial(figures, reason) => {
-                    // Partial figures of one seed are not mixed with the complete figures of others: a figure with fewer
-                    // values would be taken for a median over all seeds.
+                    // Partial figures of one seed are not mixed with the complete figures of others: a figure
+                    // with fewer values would be taken for a median over all seeds.
                     if results.seeds.is_empty() {
                         results.seeds.push(figures);
                     }
@@ -196,22 +198,22 @@
     let head = [format!("{}, by {}", spec.name, spec.size_unit)].into_iter().chain(sizes);
     let fit = ["exponent", "residual", "at 6300"].map(str::to_owned);
     table.load_preset(presets::NOTHING).set_header(head.chain(fit));
-    for figure in names(results) {
+    for figure in figure_names(results) {
         let mut row = vec![figure.clone()];
         for results in results.values() {
             row.push(match results.spread(figure) {
                 Some([median, min, max]) if min < max => {
-                    format!("{} ({} to {})", short(median), short(min), short(max))
+                    format!("{} ({} to {})", format_short(median), format_short(min), format_short(max))
                 }
-                Some([median, ..]) => short(median),
+                Some([median, ..]) => format_short(median),
                 None if results.not_run.is_some() => "not run".to_owned(),
                 None => "-".to_owned(),
             });
         }
-        row.extend(match fitted(results, figure) {
+        row.extend(match fit_figure(results, figure) {
             Some(fit) => {
                 let note = if fit.exponent > MAX_LINEAR_EXPONENT { " faster than the size" } else { "" };
-                let planned = short(fit.at(PLANNED_SIZE as f64));
+                let planned = format_short(fit.at(PLANNED_SIZE as f64));
                 [format!("{:.2}{note}", fit.exponent), format!("{:.0}%", fit.residual * 100.0), planned]
             }
             None => ["-", "-", "-"].map(str::to_owned),
@@ -239,8 +241,8 @@
                 let (role, figure) = (spec.name, bound.figure);
                 let text = format!(
                     "{role} at {size}: {figure} is {}, {kind} at most {}",
-                    short(max),
-                    short(bound.max)
+                    format_short(max),
+                    format_short(bound.max)
                 );
                 messages.push((text, bound.is_enforced));
             }
@@ -252,7 +254,7 @@
 /// `"6300": {"figure": median, ...}`; a size that was not run, or only partly, has the reason in it.
 fn in_json(results: &ResultsBySize) -> Value {
     let size = |(size, results): (&usize, &SizeResult)| {
-        let names = results.names().into_iter();
+        let names = results.figure_names().into_iter();
         let spreads = names.filter_map(|figure| Some((figure, results.spread(figure)?)));
         let statistics = spreads.flat_map(|(figure, [median, min, max])| {
             let statistic = |suffix: &str, value| (format!("{figure}{suffix}"), json!(value));
--- a/crates/testbed/src/scale/page.rs
+++ b/crates/testbed/src/scale/page.rs
@@ -1,8 +1,11 @@
 //! Regenerates the tables of a Markdown page from files that `scale --json` wrote.
 //!
-//! A line `<!-- scale FILE ROLE FIGURE ... -->` precedes a table of that role's figures, and `<!-- scale FILE order -->`
-//! a table of the bounds in the order in which they are reached; each table ends with `<!-- end -->`. FILE is relative
-//! to the folder of the page. Several files are separated by commas; if two contain the same role, the last one counts.
+//! - `<!-- scale FILE ROLE FIGURE ... -->` is the line before a table of that role's figures.
+//! - `<!-- scale FILE order -->` is the line before a table of the bounds in the order in which they are reached.
+//! - `<!-- end -->` is the line after each table.
+//!
+//! FILE is relative to the folder of the page. Several files are separated by commas; if two contain the same
+//! role, the last one counts.
 
 use super::fit::Fit;
 use super::point::{RoleSpec, PLANNED_SIZE};
@@ -77,7 +80,7 @@
     text.push_str(" |\n");
     for figure in figures {
         let row = sizes.values().map(|result| match result.figures.get(*figure) {
-            Some(value) => short(*value),
+            Some(value) => format_short(*value),
             None if result.not_run_reason.is_some() => "not run".to_owned(),
             None => "-".to_owned(),
         });
@@ -85,13 +88,13 @@
         if !sizes.values().any(|result| result.figures.contains_key(*figure)) {
             return Err(format!("{file} has no figure '{figure}' of {role}"));
         }
-        let fit = fitted(&sizes, figure);
+        let fit = fit_figure(&sizes, figure);
         let measured = sizes.get(&PLANNED_SIZE).and_then(|result| result.figures.get(*figure));
         let planned = match (measured, fit) {
-            (Some(value), _) => short(*value),
+            (Some(value), _) => format_short(*value),
             // A role whose sizes do not count processes has no value at this number of processes.
             (None, Some(fit)) if sizes.keys().last().is_some_and(|largest| *largest > 1_000) => {
-                format!("{} computed", short(fit.at(PLANNED_SIZE as f64)))
+                format!("{} computed", format_short(fit.at(PLANNED_SIZE as f64)))
             }
             _ => "-".to_owned(),
         };
@@ -101,7 +104,7 @@
             "| `{figure}` | {} | {} | {planned} | {} | {} |\n",
             row.join(" | "),
             fit.map_or("-".to_owned(), |fit| format!("{:.2}", fit.exponent)),
-            bound.map_or("-".to_owned(), |bound| short(bound.max)),
+            bound.map_or("-".to_owned(), |bound| format_short(bound.max)),
             reached.map_or("-".to_owned(), |reached| reached.describe()),
         ));
     }
@@ -136,7 +139,7 @@
         match self {
             Reached::Measured(0, over) => format!("{over} or less"),
             Reached::Measured(below, over) => format!("{below} to {over}"),
-            Reached::Computed(size) => format!("{} computed", short(size)),
+            Reached::Computed(size) => format!("{} computed", format_short(size)),
         }
     }
 }
@@ -153,7 +156,7 @@
     }
     /// Extrapolation says little far beyond the measured sizes.
     const MAX_EXTRAPOLATED_SIZE: f64 = 1e6;
-    let size = fitted(sizes, figure)?.reaches(max)?;
+    let size = fit_figure(sizes, figure)?.reaches(max)?;
     (size > below as f64 && size <= MAX_EXTRAPOLATED_SIZE).then_some(Reached::Computed(size))
 }
 
@@ -175,7 +178,7 @@
         text.push_str(&format!(
             "| {reached} {size_unit} | {name} | `{}` | {} |\n",
             bound.figure,
-            short(bound.max)
+            format_short(bound.max)
         ));
     }
     text
@@ -194,13 +197,13 @@
     sizes
 }
 
-fn fitted(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
+fn fit_figure(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
     let points = sizes.iter().filter_map(|(size, result)| Some((*size as f64, *result.figures.get(figure)?)));
     Fit::of(&points.collect::<Vec<_>>())
 }
 
 /// Formats a value with about three significant digits.
-pub fn short(value: f64) -> String {
+pub fn format_short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         100.0.. => format!("{value:.0}"),
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -1,12 +1,12 @@
-//! Role `peers`: the cost of membership, measured on `oakport-membership` with simulated processes in virtual time,
-//! without events and in the situations that the operators plan with.
+//! Role `peers`: the cost of membership, measured on `oakport-membership` with simulated processes in virtual
+//! time, without events and in the situations that the operators plan with.
 //!
-//! Members are spread over 11 zones of 3 regions. The one-way latency is 2 to 5 ms within a zone, 3 to 8 ms between
-//! zones of a region, 14 to 17 ms to the next region and 28 to 31 ms to the one after it; no datagram is lost. Each
-//! member starts with three random seeds and a configured count of 1, so its live count depends only on the members
-//! that it knows. Processor time is that of the thread (`CLOCK_THREAD_CPUTIME_ID`) during each call into `Node`, minus
-//! the cost of measuring; memory is what these calls have allocated and not freed; bytes include the headers of UDP
-//! and IP.
+//! Members are spread over 11 zones of 3 regions. The one-way latency is 2 to 5 ms within a zone, 3 to 8 ms
+//! between zones of a region, 14 to 17 ms to the next region and 28 to 31 ms to the one after it; no datagram
+//! is lost. Each member starts with three random seeds and a configured count of 1, so its live count depends
+//! only on the members that it knows. Processor time is that of the thread (`CLOCK_THREAD_CPUTIME_ID`) during
+//! each call into `Node`, minus the cost of measuring; memory is what these calls have allocated and not
+//! freed; bytes include the headers of UDP and IP.
 
 mod member;
 pub mod net;
@@ -105,7 +105,8 @@
     Partition,
     /// Machines die and restart as on an ordinary day, compressed into an hour.
     OrdinaryDay,
-    /// A new fleet, in which all members start together with the same three seeds; only for the smaller sizes.
+    /// A new fleet, in which all members start together with the same three seeds; only for the smaller
+    /// sizes.
     StartFromThree,
 }
 
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -1,4 +1,5 @@
-//! A simulated process: a membership node and its timers, without sockets and client calls, and its resource usage.
+//! A simulated process: a membership node and its timers, without sockets and client calls, and its resource
+//! usage.
 
 use super::topology;
 use nix::time::{clock_gettime, ClockId};
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Starts a new incarnation with these seeds, in a scope or, if `scope` is empty, in a fleet without scopes.
+    /// Starts a new incarnation with these seeds, in a scope or, if `scope` is empty, in a fleet without
+    /// scopes.
     pub fn start(&mut self, now: Micros, zone: usize, seeds: &[usize], scope: &str) -> Event {
         let own = Identity::new(
             &format!("fare-{}", self.number),
@@ -107,11 +109,11 @@
         let config = NodeConfig { fleet_name: "fares".to_owned(), seeds, configured_count: 1 };
         let seed = self.random.gen();
         let mut node = None;
-        let held = allocation_counter::measure(|| {
+        let allocated = allocation_counter::measure(|| {
             node = Some(Box::new(Node::with_scope(now, seed, own, config, scope)));
         });
         (self.node, self.heap, self.time_handled_until, self.next_timer) =
-            (node, held.bytes_current, now, now);
+            (node, allocated.bytes_current, now, now);
         self.timer_event(now)
     }
 
@@ -188,7 +190,7 @@
     ) {
         let Some(node) = &mut self.node else { return };
         let (mut outbox, mut node_events) = (Vec::new(), Vec::new());
-        let (held, elapsed) = measured(|| {
+        let (allocated_bytes, elapsed) = measured(|| {
             act(node);
             (outbox, node_events) = (node.take_outbox(), node.take_events());
         });
@@ -221,19 +223,20 @@
         }));
         // The outbox and events were allocated in the measured call but do not belong to the state machine.
         let freed = allocation_counter::measure(|| drop((outbox, node_events)));
-        self.heap += held + freed.bytes_current;
+        self.heap += allocated_bytes + freed.bytes_current;
     }
 }
 
-/// Runs a function; returns by how many bytes the allocated memory has grown, and its processor time in nanoseconds.
+/// Runs a function; returns by how many bytes the allocated memory has grown, and its processor time in
+/// nanoseconds.
 fn measured(act: impl FnOnce()) -> (i64, u64) {
     let mut elapsed = Duration::ZERO;
-    let held = allocation_counter::measure(|| {
+    let allocated = allocation_counter::measure(|| {
         let begin = thread_cpu_time();
         act();
         elapsed = thread_cpu_time().saturating_sub(begin);
     });
-    (held.bytes_current, elapsed.as_nanos() as u64)
+    (allocated.bytes_current, elapsed.as_nanos() as u64)
 }
 
 /// Processor time of this thread.
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -1,6 +1,6 @@
-//! Simulated members in virtual time. The latency of a datagram is at least one window, so the members can run each
-//! window in parallel. Each member has its own random generator and handles events in the order of time and sender,
-//! so the result does not depend on the threads.
+//! Simulated members in virtual time. The latency of a datagram is at least one window, so the members can
+//! run each window in parallel. Each member has its own random generator and handles events in the order of
+//! time and sender, so the result does not depend on the threads.
 
 use super::member::{self, Event, Member, NetworkConditions, Usage, WindowResult};
 use super::topology;
@@ -238,8 +238,8 @@
         Ok(())
     }
 
-    /// Runs until all running members know of a change, or for `span` at most. `progress` returns how much a node knows,
-    /// given its last result; at `goal` the node knows of the change.
+    /// Runs until all running members know of a change, or for `span` at most. `progress` returns how much a
+    /// node knows, given its last result; at `goal` the node knows of the change.
     ///
     /// # Errors
     /// As `run_for`.
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,15 +1,16 @@
 //! The report of the scale test as one HTML file with, for each role, a plot of each figure that has a bound.
 
 use super::fit::Fit;
-use super::page::short;
+use super::page::format_short;
 use super::point::RoleSpec;
-use super::results::{fitted, names, ResultsBySize, SizeResult};
+use super::results::{figure_names, fit_figure, ResultsBySize, SizeResult};
 use askama::Template;
 use plotters::prelude::*;
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (860, 300);
-/// Colours of the measured values, their slope and the budget that colour-blind readers can tell apart (Okabe and Ito).
+/// Colours of the measured values, their slope and the budget that colour-blind readers can tell apart (Okabe
+/// and Ito).
 const MEASURED: RGBColor = RGBColor(0, 114, 178);
 const SLOPE: RGBColor = RGBColor(86, 180, 233);
 const BUDGET: RGBColor = RGBColor(213, 94, 0);
@@ -30,8 +31,8 @@
 svg { max-width: 100% } pre { font-size: 12px; overflow-x: auto }
 .key { display: inline-block; width: 18px; height: 4px; margin: 0 4px 4px 12px }
 </style></head><body>
-<h1>What each role costs by the size of the fleet</h1>
-<p><span class="key" style="background: rgb(0, 114, 178)"></span>median of the seeds, with the least and the most
+<h1>Cost of each role by the size of the fleet</h1>
+<p><span class="key" style="background: rgb(0, 114, 178)"></span>median of the seeds, with minimum and maximum
 <span class="key" style="background: rgb(86, 180, 233)"></span>fitted slope
 <span class="key" style="background: rgb(213, 94, 0)"></span>budget</p>
 {% for role in roles %}<h2>{{ role.name }}, by {{ role.size_unit }}</h2>
@@ -69,7 +70,7 @@
 }
 
 fn role((spec, sizes, table): &(RoleSpec, ResultsBySize, String)) -> Result<Role, String> {
-    let all = names(sizes);
+    let all = figure_names(sizes);
     let bounds = spec.bounds.iter().map(|bound| (bound.figure.to_owned(), Some(bound.max)));
     let unbounded = all
         .iter()
@@ -87,7 +88,7 @@
 }
 
 fn plot(sizes: &ResultsBySize, figure: String, bound: Option<f64>) -> Result<Plot, String> {
-    let fit = fitted(sizes, &figure);
+    let fit = fit_figure(sizes, &figure);
     let slope = fit.map(|fit| {
         let reaches =
             bound.and_then(|bound| fit.reaches(bound)).filter(|size| *size <= MAX_EXTRAPOLATED_SIZE);
@@ -98,7 +99,7 @@
             fit.residual * 100.0
         )
     });
-    let budget = bound.map(|bound| format!("Budget {}.", short(bound)));
+    let budget = bound.map(|bound| format!("Budget {}.", format_short(bound)));
     let caption = [slope, budget].into_iter().flatten().collect::<Vec<_>>().join(" ");
     let svg = draw(sizes, &figure, fit, bound)?;
     Ok(Plot { figure, caption, svg })
@@ -136,7 +137,7 @@
             .configure_mesh()
             .light_line_style(TRANSPARENT)
             .x_label_formatter(&|size| format!("{size:.0}"))
-            .y_label_formatter(&|value| short(*value))
+            .y_label_formatter(&|value| format_short(*value))
             .draw()
             .map_err(|e| failed(&e))?;
         if let Some(bound) = bound.filter(|bound| *bound > 0.0) {
--- a/crates/testbed/src/scale/results.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -26,18 +26,18 @@
     }
 
     /// The names of all figures.
-    pub fn names(&self) -> BTreeSet<&String> {
+    pub fn figure_names(&self) -> BTreeSet<&String> {
         self.seeds.iter().flat_map(|figures| figures.keys()).collect()
     }
 }
 
 /// The names of the figures of all sizes.
-pub fn names(sizes: &ResultsBySize) -> BTreeSet<&String> {
-    sizes.values().flat_map(SizeResult::names).collect()
+pub fn figure_names(sizes: &ResultsBySize) -> BTreeSet<&String> {
+    sizes.values().flat_map(SizeResult::figure_names).collect()
 }
 
 /// The power law fitted to a figure's medians.
-pub fn fitted(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
+pub fn fit_figure(sizes: &ResultsBySize, figure: &str) -> Option<Fit> {
     let point = |(size, result): (&usize, &SizeResult)| Some((*size as f64, result.spread(figure)?[0]));
     Fit::of(&sizes.iter().filter_map(point).collect::<Vec<_>>())
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,21 +1,23 @@
-//! Role `settings`: how soon changed settings are in force in each of many processes, and what operators can see of it.
+//! Role `settings`: how soon changed settings are in force in each of many processes, and what operators can
+//! see of it.
 //!
-//! Each process serves an application that sends ten calls a second throughout, and calls four servers that answer at
-//! once. A change replaces the settings file of each process, as `docs/operations.md` describes, and sends SIGHUP;
-//! the time of a process starts when its own file is written.
+//! Each process serves an application that sends ten calls a second throughout, and calls four servers that
+//! answer at once. A change replaces the settings file of each process, as `docs/operations.md` describes,
+//! and sends SIGHUP; the time of a process starts when its own file is written.
 //!
-//! - No process reports which settings are in force: `DUMP` counts accepted and rejected files (`reconfig_ok`,
-//!   `reconfig_failed`), and the log line `reloaded` names classes and attempts. So each version here has a class of
-//!   its own, and is in force once a call of that class is served instead of answered with 404. Such calls are
-//!   repeated every `pause_ms`, so times may be too long by that much.
-//! - `version_told` compares `DUMP`, without its counters, before and after a change of one value: 1 if they differ, 0
-//!   if operators cannot see which of the two settings is in force.
-//! - `ten`: ten changes within a second; the time is that of the last one. `taken_least` is the lowest number of the
-//!   ten that any process read: a signal that arrives while another is pending is merged with it.
-//! - `known_6300`: the file also contains a list of this many servers, as the platform's may, which is only used at a
-//!   start. Measured on one process: its processor time until the change is in force, and the longest call meanwhile.
-//! - `wrong`: a file in which one deadline is 0; `wrong_100`: a file with a hundred of them. The log output about it is
-//!   counted in lines and bytes, the maximum over all processes.
+//! - No process reports which settings are in force: `DUMP` counts accepted and rejected files
+//!   (`reconfig_ok`, `reconfig_failed`), and the log line `reloaded` names classes and attempts. So each
+//!   version here has a class of its own, and is in force once a call of that class is served instead of
+//!   answered with 404. Such calls are repeated every `pause_ms`, so times may be too long by that much.
+//! - `version_told` compares `DUMP`, without its counters, before and after a change of one value: 1 if they
+//!   differ, 0 if operators cannot see which of the two settings is in force.
+//! - `ten`: ten changes within a second; the time is that of the last one. `taken_least` is the lowest number
+//!   of the ten that any process read: a signal that arrives while another is pending is merged with it.
+//! - `known_6300`: the file also contains a list of this many servers, as the platform's may, which is only
+//!   used at a start. Measured on one process: its processor time until the change is in force, and the
+//!   longest call meanwhile.
+//! - `wrong`: a file in which one deadline is 0; `wrong_100`: a file with a hundred of them. The log output
+//!   about it is counted in lines and bytes, the maximum over all processes.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
 use crate::cluster::http::{self, Side};
@@ -309,7 +311,8 @@
     }
 }
 
-/// Repeats calls until one of this class is served; returns the milliseconds since `since`, or `None` after `MAX_WAIT`.
+/// Repeats calls until one of this class is served; returns the milliseconds since `since`, or `None` after
+/// `MAX_WAIT`.
 async fn time_until_served(
     mut client: Client,
     class: String,
@@ -413,7 +416,8 @@
         self.proxies.iter().map(|proxy| proxy.change(settings).map_err(failed)).collect()
     }
 
-    /// Waits until these settings are in force in all processes, and adds the time of each since its own change.
+    /// Waits until these settings are in force in all processes, and adds the time of each since its own
+    /// change.
     async fn wait_until_in_force(&self, settings: Settings, since: &[Instant], times: &mut Times) {
         let mut probes = JoinSet::new();
         for (proxy, since) in self.proxies.iter().zip(since) {
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -56,7 +56,8 @@
         self.verdicts.iter().find(|v| v.policy == kind.name()).map_or(f64::NAN, |v| v.goal_value)
     }
 
-    /// The score of a verdict: 0 as with random choice, 1 as with the ceiling; `None` if these two are too close to compare.
+    /// The score of a verdict: 0 as with random choice, 1 as with the ceiling; `None` if these two are too
+    /// close to compare.
     fn score(&self, verdict: &Verdict) -> Option<f64> {
         const MIN_DIFFERENCE: f64 = 0.02;
         let (floor, top) = (self.goal_value(PolicyKind::Random), self.goal_value(PolicyKind::Ceiling));
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,5 +1,5 @@
-//! `oakport-testbed soak`: plays many short scenarios with real processes, each with a fleet and faults drawn from a
-//! seed.
+//! `oakport-testbed soak`: plays many short scenarios with real processes, each with a fleet and faults drawn
+//! from a seed.
 
 mod plan;
 
@@ -133,7 +133,7 @@
 
     fn report(&self, folder: &Path, verdict: &Verdict) -> Result<(), RunError> {
         if self.seconds {
-            print!("{}", crate::fleet::table(verdict, true));
+            print!("{}", crate::fleet::verdict_table(verdict, true));
         }
         let text = serde_json::to_string_pretty(verdict).map_err(|e| RunError::Failed(e.to_string()))?;
         write(&folder.join("verdict.json"), &text)
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -16,14 +16,15 @@
 const UTILISATION: RangeInclusive<f64> = 0.1..=0.4;
 const REQUESTS_PER_SECOND: RangeInclusive<f64> = 30.0..=300.0;
 const CORES_PER_ENDPOINT: f64 = 2.0;
-/// Duration of the request load. Events that end a process start early enough for its kill to happen within it.
+/// Duration of the request load. Events that end a process start early enough that it is killed before the end
+/// of the load.
 const LENGTH_MS: u64 = 9_000;
 const PROCESS_EVENT_AT_MS: RangeInclusive<u64> = 800..=3_500;
 const TEMPORARY_EVENT_AT_MS: RangeInclusive<u64> = 500..=6_000;
 const TEMPORARY_EVENT_LENGTH_MS: RangeInclusive<u64> = 300..=2_500;
 const MAX_TEMPORARY_EVENTS: usize = 4;
-/// Delay of extra responses. oakport first reuses a connection only after it has been silent for longer than this after
-/// a response, so that an endpoint that always sends extra responses this late is recognised.
+/// Delay of extra responses. oakport first reuses a connection only after it has been silent for longer than
+/// this after a response, so that an endpoint that always sends extra responses this late is recognised.
 const EXTRA_RESPONSE_AFTER_MS: RangeInclusive<u64> = 1..=30;
 const CLOSES_IDLE_AFTER_MS: RangeInclusive<u64> = 5..=300;
 const CROWD_CONNECTIONS: RangeInclusive<usize> = 20..=150;
@@ -171,8 +172,8 @@
         self.write_line(format_args!("part = {part:.2}"));
     }
 
-    /// Adds the event that ends or signals client proxies. With large bodies it is a planned end of the process, so that
-    /// transfers are in progress at that time.
+    /// Adds the event that ends or signals client proxies. In plans with large bodies, it is always the event that
+    /// the transfers were planned with, so that transfers are in progress when the processes end.
     fn process_event(&mut self, transfers: Option<&Transfers>) {
         let at_ms = self.random.gen_range(PROCESS_EVENT_AT_MS);
         if let Some(transfers) = transfers {
--- a/crates/testbed/src/soak/plan/transfers.rs
+++ b/crates/testbed/src/soak/plan/transfers.rs
@@ -1,12 +1,13 @@
-//! Draws the large bodies of a plan: slow readers of large responses, slow uploads, and the planned end of their
-//! proxies.
+//! Draws the large bodies of a plan: slow readers of large responses, slow uploads, and the planned end of
+//! their proxies.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::ops::RangeInclusive;
 
-/// Plans of lower seeds have no large bodies, so that their plans still match the results in existing reports.
+/// Plans of lower seeds have no large bodies, so that their plans still match the results in existing
+/// reports.
 const FIRST_SEED: u64 = 101;
 /// From `FIRST_SEED` on, one plan in this many has large bodies.
 const ONE_PLAN_IN: u32 = 2;
--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -36,7 +36,8 @@
     parts.next()?.parse().ok().filter(|_| state != "Z")
 }
 
-/// Starts the small scenario with its temporary files in `folder`; waits until its three proxies run, and returns them.
+/// Starts the small scenario with its temporary files in `folder`; waits until its three proxies run, and
+/// returns them.
 fn start_play(folder: &Path) -> (Child, Vec<u32>) {
     let (logs, own) = (folder.join("logs"), folder.join("own"));
     std::fs::create_dir_all(&own).expect("a folder");
--- a/crates/testbed/tests/lists.rs
+++ b/crates/testbed/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Polling of one discovery service by all proxies: the calls are counted during an outage, and all are answered after
-//! it.
+//! Polling of one discovery service by all proxies: the calls are counted during an outage, and all are
+//! answered after it.
 
 use serde_json::Value;
 use std::path::Path;
--- a/crates/testbed/tests/scale_calls.rs
+++ b/crates/testbed/tests/scale_calls.rs
@@ -1,4 +1,5 @@
-//! The scale test's role `calls`: each call passes each hop once and is answered, and no process is left behind.
+//! The scale test's role `calls`: each call passes each hop once and is answered, and no process is left
+//! behind.
 
 use oakport_testbed::cluster::chain::{self, Pace, Trip, SERVERS};
 use oakport_testbed::cluster::Program;
--- a/crates/testbed/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -1,5 +1,5 @@
-//! The scale test's role `decisions`: all rules are kept, no cold server is overloaded, and service recovers after a
-//! burst.
+//! The scale test's role `decisions`: all rules are kept, no cold server is overloaded, and service recovers
+//! after a burst.
 
 use oakport_testbed::scale::decisions::{simulate_service, Disturbance, Simulated};
 use oakport_testbed::scale::point::MeasureError;
--- a/crates/testbed/tests/scale_list.rs
+++ b/crates/testbed/tests/scale_list.rs
@@ -1,4 +1,5 @@
-//! The scale test's role `list`: a process lists every server that it receives, and a change affects only its servers.
+//! The scale test's role `list`: a process lists every server that it receives, and a change affects only its
+//! servers.
 
 use oakport_testbed::cluster::Program;
 use oakport_testbed::scale::list::{measure, Extent, ROLE};
--- a/crates/testbed/tests/scale_peers.rs
+++ b/crates/testbed/tests/scale_peers.rs
@@ -1,5 +1,5 @@
-//! The scale test's role `peers` at its two smallest sizes: what members know and count, regardless of the speed of
-//! the machine.
+//! The scale test's role `peers` at its two smallest sizes: what members know and count, regardless of the
+//! speed of the machine.
 
 use oakport_testbed::cluster::Program;
 use oakport_testbed::scale::peers::net::Scopes;
@@ -56,7 +56,8 @@
         let figure = |name: &str| figures[&format!("{phase}.{name}")];
         assert_eq!(figure("held_dead_wrongly"), 0.0, "{phase}");
         assert_eq!(figure("scopes_silent_wrongly"), 0.0, "{phase}");
-        // The worst second cannot be below the mean, and no datagram is shorter than its headers and envelope (44 bytes).
+        // The worst second cannot be below the mean, and no datagram is shorter than its headers and envelope
+        // (44 bytes).
         assert!(figure("bytes_in_worst_second") >= figure("bytes_per_s_mean"), "{phase}");
         assert!(figure("bytes_per_s_mean") >= 44.0 * figure("datagrams_per_s_mean"), "{phase}");
         assert!(figure("datagrams_per_s_mean") >= 2.0, "{phase}: each member is probed, and answers");
--- a/crates/testbed/tests/scale_settings.rs
+++ b/crates/testbed/tests/scale_settings.rs
@@ -1,4 +1,5 @@
-//! The scale test's role `settings`: the last of many changes is in force everywhere, and an invalid one nowhere.
+//! The scale test's role `settings`: the last of many changes is in force everywhere, and an invalid one
+//! nowhere.
 
 use oakport_testbed::cluster::Program;
 use oakport_testbed::scale::point::{Figures, MeasureError, Point};
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -5,8 +5,9 @@
 use std::process::{Command, Output};
 use std::thread;
 
-/// First seed and number of consecutive seeds of each run; the runs are concurrent. The seeds include plays that a proxy
-/// without observation of endpoints fails (11, 18 and 19), series of signals, restarts, upgrades and crowds.
+/// First seed and number of consecutive seeds of each run; the runs are concurrent. The seeds include plays
+/// that a proxy without observation of endpoints fails (11, 18 and 19), series of signals, restarts, upgrades
+/// and crowds.
 const PLAYED: [(u64, u64); 4] = [(1, 3), (9, 3), (17, 3), (34, 3)];
 /// Number of seeds that are tried until the fault of a forwarder is detected.
 const MAX_SEEDS: u64 = 4;
@@ -69,7 +70,8 @@
     }
 }
 
-/// A play that was not judged because the machine was too busy does not count as passed: most plays must be judged.
+/// A play that was not judged because the machine was too busy does not count as passed: most plays must be
+/// judged.
 #[test]
 fn fixed_seeds_keep_all_rules() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/testbed/tests/throng.rs
+++ b/crates/testbed/tests/throng.rs
@@ -1,6 +1,6 @@
-//! Thirty processes that do not know of each other call cold servers: their total load stays within the bound of each
-//! cold server, and proxies that ignore warm-up are detected. Only states and counts are checked, so a busy machine
-//! does not change the verdict.
+//! Thirty processes that do not know of each other call cold servers: their total load stays within the bound
+//! of each cold server, and proxies that ignore warm-up are detected. Only states and counts are checked, so
+//! a busy machine does not change the verdict.
 
 use serde_json::Value;
 use std::path::Path;
