--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,4 +1,5 @@
-//! `oakport-testbed compare`: plays two programs in the same scenario by turns and compares their figures.
+//! `oakport-testbed compare`: plays the same scenario with two programs alternately and
+//! compares their figures.
 
 use crate::cluster::{Play, Program, Verdict};
 use crate::fleet::{play_with_progress_bar, read, RunError, RunStatus, UNLIMITED};
@@ -8,7 +9,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-/// Plays two programs in the same scenario by turns.
+/// Plays the same scenario with two programs alternately.
 #[derive(Debug, Args)]
 #[command(
     after_help = "Each pair of plays has its own seed; a and b play first alternately. The difference is b minus a, \
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -35,7 +35,7 @@
     Demo(Demo),
     /// Play scenarios with real processes on loopback
     Fleet(Fleet),
-    /// Play a scenario with two programs by turns
+    /// Play a scenario with two programs alternately
     Compare(Compare),
     /// Measure the cost of a hop through oakport
     Overhead(Overhead),
--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -33,7 +33,10 @@
     /// Most hops that the ids of requests can distinguish.
     const MAX_HOPS: usize = 200;
     if point.size > MAX_HOPS {
-        return Err(MeasureError::NotRun(format!("each hop is a process; at most {MAX_HOPS}")));
+        return Err(MeasureError::NotRun(format!(
+            "{} hops, at most {MAX_HOPS}: each hop is a process",
+            point.size
+        )));
     }
     let paces = PACES.map(|(_, pace)| pace);
     let duration = paces.iter().map(Pace::lasts).sum::<Duration>() + STARTUP;
--- a/crates/testbed/src/scale/page.rs
+++ b/crates/testbed/src/scale/page.rs
@@ -1,7 +1,8 @@
 //! Regenerates the tables of a Markdown page from files that `scale --json` wrote.
 //!
 //! - `<!-- scale FILE ROLE FIGURE ... -->` is the line before a table of that role's figures.
-//! - `<!-- scale FILE order -->` is the line before a table of the bounds in the order in which they are reached.
+//! - `<!-- scale FILE order -->` is the line before a table of the bounds, in the order in which they are
+//!   reached.
 //! - `<!-- end -->` is the line after each table.
 //!
 //! FILE is relative to the folder of the page. Several files are separated by commas; if two contain the same
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -344,7 +344,7 @@
                 (proc_kb("/proc/self/status", "VmRSS:"), proc_kb("/proc/meminfo", "MemTotal:") / 2);
             if own > half {
                 return Err(MeasureError::NotRun(format!(
-                    "more than half of the machine's memory was in use {}",
+                    "this program used more than half of the machine's memory {}",
                     at()
                 )));
             }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -172,8 +172,8 @@
         self.write_line(format_args!("part = {part:.2}"));
     }
 
-    /// Adds the event that ends or signals client proxies. In plans with large bodies, it is always the event that
-    /// the transfers were planned with, so that transfers are in progress when the processes end.
+    /// Adds the event that ends or signals client proxies. In plans with large bodies, it is always the event
+    /// that the transfers were planned with, so that transfers are in progress when the processes end.
     fn process_event(&mut self, transfers: Option<&Transfers>) {
         let at_ms = self.random.gen_range(PROCESS_EVENT_AT_MS);
         if let Some(transfers) = transfers {
