--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,9 +1,10 @@
-//! `oakport-testbed soak`: many short plays with real processes, each of a world and faults drawn from its seed.
+//! `oakport-testbed soak`: plays many short scenarios with real processes, each with a fleet and faults drawn
+//! from a seed.
 
 mod plan;
 
 use crate::cluster::{Program, RunConfig, Verdict};
-use crate::fleet::{played, write, Ended, Programs, Stop};
+use crate::fleet::{play_with_progress_bar, write, Programs, RunError, RunStatus};
 use clap::Args;
 use comfy_table::{presets, Table};
 use oakport_core::Micros;
@@ -12,20 +13,20 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A play that takes so much longer than its day has not ended.
+/// A play that exceeds the duration of its scenario by more than this counts as unfinished.
 const MAX_OVERTIME: Duration = Duration::from_secs(60);
 
-/// Many short plays with real processes, each of a world and faults drawn from its seed.
+/// Plays many short scenarios with real processes, each with a fleet and faults drawn from a seed.
 #[derive(Debug, Args)]
 #[command(
-    after_help = "Exit status: 0 rules kept in all plays, 1 not, 2 a program cannot be played, 3 the test cluster was too \
-                  late to judge a play."
+    after_help = "Exit status: 0 rules kept in all plays, 1 a rule was broken or a play failed, 2 a program cannot be \
+                  played, 3 the test cluster was too late to judge a play."
 )]
 pub struct Soak {
-    /// How many seeds to play
+    /// Number of seeds to play
     #[arg(long, default_value_t = 10, value_name = "N")]
     seeds: u64,
-    /// The first of them
+    /// First seed
     #[arg(long, default_value_t = 1, value_name = "S")]
     first: u64,
     #[command(flatten)]
@@ -36,19 +37,19 @@
     /// Print a line for each second of a play
     #[arg(long)]
     seconds: bool,
-    /// Write the outcome of all plays there, as JSON
+    /// Write the outcome of all plays to this file, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keep plan, logs and verdict of plays that are not well in this folder
+    /// Folder in which the plan, logs and verdict of plays that did not keep all rules are kept
     #[arg(long, value_name = "DIR", default_value = "logs/soak")]
     logs: PathBuf,
 }
 
-/// What became of one play.
+/// The outcome of one play.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
-    /// What went wrong in the world, by plan.
+    /// The planned events.
     events: String,
     requests: u64,
     seconds: f64,
@@ -61,26 +62,26 @@
 enum PlayResult {
     /// All rules were kept.
     Kept,
-    /// Rules were broken: the first cases, in words.
+    /// Rules were broken: descriptions of the first violations.
     Broken(Vec<String>),
     /// The test cluster itself was too late to judge.
     Late,
-    /// The play itself failed, or had not ended in its time.
+    /// The play itself failed, or did not end in its time.
     Unfinished(String),
 }
 
 impl Soak {
-    /// Plays all seeds, one after the other.
+    /// Plays all seeds in order.
     ///
     /// # Errors
-    /// A program or a folder cannot be used, or Ctrl-C.
-    pub fn run(&self) -> Result<Ended, Stop> {
+    /// A program or a folder cannot be used, or Ctrl-C was pressed.
+    pub fn run(&self) -> Result<RunStatus, RunError> {
         let seeds = self.first..self.first.saturating_add(self.seeds);
         if self.print_plan {
             seeds.for_each(|seed| println!("{}", plan::plan(seed)));
-            return Ok(Ended::Well);
+            return Ok(RunStatus::Passed);
         }
-        let [program, second] = self.programs.found()?;
+        let [program, second] = self.programs.resolve()?;
         let mut outcomes = Vec::new();
         for seed in seeds {
             let outcome = self.play(seed, &program, &second)?;
@@ -92,46 +93,49 @@
         }
         print!("{}", summary(&outcomes));
         if let Some(path) = &self.json {
-            let text = serde_json::to_string_pretty(&outcomes).map_err(|e| Stop::Bad(e.to_string()))?;
+            let text =
+                serde_json::to_string_pretty(&outcomes).map_err(|e| RunError::Failed(e.to_string()))?;
             write(path, &text)?;
         }
-        Ok(outcomes.iter().map(Outcome::ended).max().unwrap_or(Ended::Well))
+        Ok(outcomes.iter().map(Outcome::status).max().unwrap_or(RunStatus::Passed))
     }
 
-    fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, Stop> {
+    fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, RunError> {
         let text = plan::plan(seed);
-        let day = Scenario::parse(&text).map_err(|odd| Stop::Bad(format!("plan of seed {seed}: {odd}")))?;
+        let scenario =
+            Scenario::parse(&text).map_err(|e| RunError::Failed(format!("plan of seed {seed}: {e}")))?;
         let folder = self.logs.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(|e| Stop::Bad(format!("{}: {e}", folder.display())))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(|e| RunError::Failed(format!("{}: {e}", folder.display())))?;
         write(&folder.join("plan.toml"), &text)?;
-        let events: Vec<String> = day.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
-        let most = duration(day.duration) + MAX_OVERTIME;
+        let events: Vec<String> =
+            scenario.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
+        let max_duration = duration(scenario.duration) + MAX_OVERTIME;
         let (program, second) = (program.clone(), second.clone());
-        let play =
-            RunConfig { scenario: day, seed, program, replacement: second, logs: Some(folder.clone()) };
-        let began = Instant::now();
-        let verdict = played(&play, most);
-        let seconds = began.elapsed().as_secs_f64();
+        let play = RunConfig { scenario, seed, program, replacement: second, logs: Some(folder.clone()) };
+        let start = Instant::now();
+        let verdict = play_with_progress_bar(&play, max_duration);
+        let seconds = start.elapsed().as_secs_f64();
         let (result, requests) = match verdict {
             Ok(verdict) => {
                 self.report(&folder, &verdict)?;
                 (PlayResult::of(&verdict), verdict.seconds.iter().map(|second| second.requests).sum())
             }
-            Err(Stop::Interrupted) => return Err(Stop::Interrupted),
-            Err(Stop::Bad(reason)) => (PlayResult::Unfinished(reason), 0),
+            Err(RunError::Interrupted) => return Err(RunError::Interrupted),
+            Err(RunError::Failed(reason)) => (PlayResult::Unfinished(reason), 0),
         };
         if matches!(result, PlayResult::Kept) {
-            // What is left of it harms nothing.
+            // A folder that cannot be removed does no harm.
             let _ = std::fs::remove_dir_all(&folder);
         }
         Ok(Outcome { seed, events: events.join(" "), requests, seconds, result })
     }
 
-    fn report(&self, folder: &Path, verdict: &Verdict) -> Result<(), Stop> {
+    fn report(&self, folder: &Path, verdict: &Verdict) -> Result<(), RunError> {
         if self.seconds {
-            print!("{}", crate::fleet::table(verdict, true));
+            print!("{}", crate::fleet::verdict_table(verdict, true));
         }
-        let text = serde_json::to_string_pretty(verdict).map_err(|e| Stop::Bad(e.to_string()))?;
+        let text = serde_json::to_string_pretty(verdict).map_err(|e| RunError::Failed(e.to_string()))?;
         write(&folder.join("verdict.json"), &text)
     }
 
@@ -147,20 +151,20 @@
 
 impl PlayResult {
     fn of(verdict: &Verdict) -> Self {
-        match Ended::of(verdict) {
-            Ended::Well => PlayResult::Kept,
-            Ended::Broken => PlayResult::Broken(verdict.violations.clone()),
-            Ended::Late => PlayResult::Late,
+        match RunStatus::of(verdict) {
+            RunStatus::Passed => PlayResult::Kept,
+            RunStatus::Failed => PlayResult::Broken(verdict.violations.clone()),
+            RunStatus::NotJudged => PlayResult::Late,
         }
     }
 }
 
 impl Outcome {
-    fn ended(&self) -> Ended {
+    fn status(&self) -> RunStatus {
         match self.result {
-            PlayResult::Kept => Ended::Well,
-            PlayResult::Broken(_) | PlayResult::Unfinished(_) => Ended::Broken,
-            PlayResult::Late => Ended::Late,
+            PlayResult::Kept => RunStatus::Passed,
+            PlayResult::Broken(_) | PlayResult::Unfinished(_) => RunStatus::Failed,
+            PlayResult::Late => RunStatus::NotJudged,
         }
     }
 }
@@ -169,7 +173,7 @@
     Duration::from_micros(length)
 }
 
-/// The outcome of a play, as a line, and a line for each broken rule.
+/// The outcome of a play as a line, followed by a line for each violation.
 fn line(outcome: &Outcome) -> String {
     let Outcome { seed, events, requests, seconds, result } = outcome;
     let head = format!("seed {seed}: {events}; {requests} requests, {seconds:.1} s");
@@ -182,10 +186,11 @@
 }
 
 fn summary(outcomes: &[Outcome]) -> String {
-    let count = |ended: Ended| outcomes.iter().filter(|outcome| outcome.ended() == ended).count();
+    let count = |ended: RunStatus| outcomes.iter().filter(|outcome| outcome.status() == ended).count();
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["plays", "rules kept", "broken or failed", "not judged"]);
-    let counts = [Ended::Well, Ended::Broken, Ended::Late].map(|ended| count(ended).to_string());
+    let counts =
+        [RunStatus::Passed, RunStatus::Failed, RunStatus::NotJudged].map(|ended| count(ended).to_string());
     table.add_row([vec![outcomes.len().to_string()], counts.to_vec()].concat());
     format!("{table}\n")
 }
