--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -95,7 +95,7 @@
         .expect("the small scenario");
     let program = Program::forwarder(testbed, None);
     let scenario = Scenario::parse(&scenario).expect("a valid scenario");
-    let play = RunConfig { scenario: scenario, seed: 1, replacement: program.clone(), program, logs: None };
+    let play = RunConfig { scenario, seed: 1, replacement: program.clone(), program, logs: None };
     let before = count_descriptors();
     let mut open_descriptors = Vec::new();
     for round in 0..2 {
