--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -29,13 +29,13 @@
     /// Servers, discovery agents and relays.
     pub site: Site,
     /// The proxy processes.
-    pub seats: Vec<Mutex<ProxySupervisor>>,
+    pub supervisors: Vec<Mutex<ProxySupervisor>>,
     /// The application that uses each proxy.
     pub apps: Vec<Arc<App>>,
     /// Relays the datagrams between the proxies; `None` if they reach each other directly.
     pub datagrams: Option<DatagramRelay>,
-    /// The options of this play.
-    pub play: RunConfig,
+    /// The configuration of this run.
+    pub config: RunConfig,
 }
 
 impl Fleet {
@@ -213,10 +213,10 @@
     }
 
     /// Starts a new process; a failure to start shows in the verdict.
-    pub(super) async fn start_process(&self, seat: &mut ProxySupervisor) {
-        if seat.start(&self.play.program).is_ok() {
+    pub(super) async fn start_process(&self, supervisor: &mut ProxySupervisor) {
+        if supervisor.start(&self.config.program).is_ok() {
             // If the process does not become ready in time, its clients notice.
-            let _ = seat.ready().await;
+            let _ = supervisor.ready().await;
         }
     }
 
@@ -226,9 +226,9 @@
             sleep(MONITOR_INTERVAL).await;
             let open = self.site.machines().iter().map(|server| server.connections()).sum();
             self.site.shared.record(Observation::OpenConnections { at: self.site.shared.now(), open });
-            for seat in &self.seats {
-                if let Ok(mut seat) = seat.try_lock() {
-                    seat.check_exit();
+            for supervisor in &self.supervisors {
+                if let Ok(mut supervisor) = supervisor.try_lock() {
+                    supervisor.check_exit();
                 }
             }
         }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -100,7 +100,7 @@
     }
     let apps = proxies.iter().map(|proxy| App::new(&shared, proxy.number, proxy.address)).collect();
     let proxies = proxies.into_iter().map(Mutex::new).collect();
-    let fleet = Arc::new(Fleet { site, seats: proxies, apps, datagrams, play: config });
+    let fleet = Arc::new(Fleet { site, supervisors: proxies, apps, datagrams, config });
     shared.mark_start();
     on_progress(Progress::Started);
     let mut tasks = JoinSet::new();
@@ -129,8 +129,8 @@
         app.close();
     }
     let verdict = judge::judge(&shared, &fleet.site.zones_and_releases());
-    for proxy in &fleet.seats {
-        proxy.lock().await.end(Duration::ZERO).await;
+    for supervisor in &fleet.supervisors {
+        supervisor.lock().await.end(Duration::ZERO).await;
     }
     Ok(verdict)
 }
--- a/crates/testbed/src/cluster/peers.rs
+++ b/crates/testbed/src/cluster/peers.rs
@@ -14,20 +14,20 @@
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Polls a proxy at its admin endpoint and records its views. Never returns.
-pub async fn watch(shared: Arc<Shared>, proxy: usize, operator: SocketAddr) {
+pub async fn watch(shared: Arc<Shared>, proxy: usize, admin: SocketAddr) {
     let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         // A proxy that has exited or is stopped does not answer; such polls are skipped.
-        if let Ok(Some(view)) = timeout(POLL_TIMEOUT, request_view(operator)).await {
+        if let Ok(Some(view)) = timeout(POLL_TIMEOUT, request_view(admin)).await {
             shared.record(Observation::PeerView { proxy, at: shared.now(), view });
         }
     }
 }
 
-async fn request_view(operator: SocketAddr) -> Option<PeerView> {
-    let report = process_stats::admin_report(operator).await.ok()?;
+async fn request_view(admin: SocketAddr) -> Option<PeerView> {
+    let report = process_stats::admin_report(admin).await.ok()?;
     let peers = report.get("peers")?;
     let member = |m: &Value| {
         let number = m["name"].as_str()?.strip_prefix('n')?.parse().ok()?;
--- a/crates/testbed/src/cluster/process_faults.rs
+++ b/crates/testbed/src/cluster/process_faults.rs
@@ -31,10 +31,10 @@
         for (index, proxy) in affected.into_iter().enumerate() {
             let fleet = Arc::clone(self);
             all.spawn(async move {
-                let mut seat = fleet.seats[proxy].lock().await;
-                seat.kill().await;
+                let mut supervisor = fleet.supervisors[proxy].lock().await;
+                supervisor.kill().await;
                 fleet.site.shared.sleep_until(begin + step * (index as Micros + 1)).await;
-                fleet.start_process(&mut seat).await;
+                fleet.start_process(&mut supervisor).await;
             });
         }
         while all.join_next().await.is_some() {}
@@ -44,14 +44,14 @@
     pub(super) async fn apply_process_fault(self: Arc<Self>, proxy: usize, event: FaultSpec, end: Micros) {
         match event.kind {
             FaultKind::Stall => {
-                self.seats[proxy].lock().await.stall(true);
+                self.supervisors[proxy].lock().await.stall(true);
                 self.site.shared.sleep_until(end).await;
-                self.seats[proxy].lock().await.stall(false);
+                self.supervisors[proxy].lock().await.stall(false);
             }
             FaultKind::Herd => {
-                let mut seat = self.seats[proxy].lock().await;
-                seat.kill().await;
-                self.start_process(&mut seat).await;
+                let mut supervisor = self.supervisors[proxy].lock().await;
+                supervisor.kill().await;
+                self.start_process(&mut supervisor).await;
             }
             FaultKind::Restart => {
                 let pause = Duration::ZERO;
@@ -62,11 +62,11 @@
                 self.send_signals(proxy, &event.signals, pause, event.clients_keep_connections).await;
             }
             _ => {
-                let mut seat = self.seats[proxy].lock().await;
-                let old = seat.start(&self.play.replacement);
-                if seat.ready().await.is_ok() {
+                let mut supervisor = self.supervisors[proxy].lock().await;
+                let old = supervisor.start(&self.config.replacement);
+                if supervisor.ready().await.is_ok() {
                     if let Ok(Some(old)) = old {
-                        seat.retire(old, self.time_to_kill()).await;
+                        supervisor.retire(old, self.time_to_kill()).await;
                     }
                 }
             }
@@ -75,18 +75,18 @@
 
     /// Sends signals to a process. After a SIGTERM, waits until the process has exited and starts a new one.
     async fn send_signals(&self, proxy: usize, signals: &[SignalSpec], pause: Duration, clients_stay: bool) {
-        let mut seat = self.seats[proxy].lock().await;
+        let mut supervisor = self.supervisors[proxy].lock().await;
         let mut term_sent_at = None;
         for signal in signals {
             match signal {
-                SignalSpec::Hup => seat.reload(),
+                SignalSpec::Hup => supervisor.reload(),
                 SignalSpec::HupInvalid => {
                     // If the file cannot be read or written, the process keeps its settings, which is what
                     // this signal tests.
-                    let _ = seat.reload_invalid(pause / 2).await;
+                    let _ = supervisor.reload_invalid(pause / 2).await;
                 }
                 SignalSpec::Term => {
-                    seat.terminate();
+                    supervisor.terminate();
                     term_sent_at = term_sent_at.or(Some(Instant::now()));
                 }
             }
@@ -100,8 +100,8 @@
         } else {
             app.set_paused(true);
         }
-        seat.end((term_sent_at + self.time_to_kill()).saturating_duration_since(Instant::now())).await;
-        self.start_process(&mut seat).await;
+        supervisor.end((term_sent_at + self.time_to_kill()).saturating_duration_since(Instant::now())).await;
+        self.start_process(&mut supervisor).await;
         app.disable_connects(false);
         app.set_paused(false);
     }
--- a/crates/testbed/src/cluster/process_stats.rs
+++ b/crates/testbed/src/cluster/process_stats.rs
@@ -51,8 +51,8 @@
 ///
 /// # Errors
 /// Fails if the process does not answer, or if the answer is not a complete JSON report.
-pub async fn admin_report(operator: SocketAddr) -> Result<Value> {
-    let mut stream = TcpStream::connect(operator).await?;
+pub async fn admin_report(admin: SocketAddr) -> Result<Value> {
+    let mut stream = TcpStream::connect(admin).await?;
     stream.write_all(b"DUMP\n").await?;
     let mut text = String::new();
     stream.read_to_string(&mut text).await?;
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -38,7 +38,7 @@
     /// # Errors
     /// The demo cannot be played, or the report cannot be written.
     pub fn run(&self) -> Result<RunStatus, RunError> {
-        let [program, second] = self.programs.resolve()?;
+        let [program, replacement] = self.programs.resolve()?;
         let mut scenario =
             Scenario::parse(SCENARIO).map_err(|e| RunError::Failed(format!("demo scenario: {e}")))?;
         if self.quick {
@@ -58,7 +58,7 @@
             scenario.rate,
             scenario.purpose
         );
-        let play = RunConfig { scenario, seed: self.seed, program, replacement: second, logs: None };
+        let config = RunConfig { scenario, seed: self.seed, program, replacement, logs: None };
         let last_printed = Mutex::new((0, [0, 0]));
         let report_progress = |progress: Progress<'_>| match progress {
             Progress::Started => println!("all proxies are ready"),
@@ -75,11 +75,11 @@
                 }
             }
         };
-        let verdict = play_with_progress(&play, &report_progress, UNLIMITED)?;
+        let verdict = play_with_progress(&config, &report_progress, UNLIMITED)?;
         print!("{}", verdict_table(&verdict, false));
         write(
             &self.out,
-            &report::html("oakport demo", &play.scenario, self.seed, &verdict).map_err(RunError::Failed)?,
+            &report::html("oakport demo", &config.scenario, self.seed, &verdict).map_err(RunError::Failed)?,
         )?;
         println!("report with plots: {}", self.out.display());
         Ok(RunStatus::of(&verdict))
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -129,7 +129,7 @@
 impl Fleet {
     /// Plays all scenarios in order.
     pub fn run(&self) -> Result<RunStatus, RunError> {
-        let [program, second] = self.programs.resolve()?;
+        let [program, replacement] = self.programs.resolve()?;
         let scenarios = self.scenarios.iter().map(|path| read(path)).collect::<Result<Vec<_>, _>>()?;
         for folder in [&self.logs, &self.report].into_iter().flatten() {
             std::fs::create_dir_all(folder)
@@ -138,18 +138,13 @@
         let (mut status, mut all) = (RunStatus::Passed, Vec::new());
         for (name, scenario) in scenarios {
             println!("{name} (seed {}): {}", self.seed, scenario.purpose);
-            let (program, second) = (program.clone(), second.clone());
-            let play = RunConfig {
-                scenario,
-                seed: self.seed,
-                program,
-                replacement: second,
-                logs: self.logs.clone(),
-            };
-            let verdict = play_with_progress_bar(&play, UNLIMITED)?;
+            let (program, replacement) = (program.clone(), replacement.clone());
+            let config =
+                RunConfig { scenario, seed: self.seed, program, replacement, logs: self.logs.clone() };
+            let verdict = play_with_progress_bar(&config, UNLIMITED)?;
             if let Some(folder) = &self.report {
                 let page =
-                    report::html(&name, &play.scenario, self.seed, &verdict).map_err(RunError::Failed)?;
+                    report::html(&name, &config.scenario, self.seed, &verdict).map_err(RunError::Failed)?;
                 write(&folder.join(format!("{name}.html")), &page)?;
             }
             print!("{}", verdict_table(&verdict, self.seconds));
@@ -182,10 +177,10 @@
 ///
 /// # Errors
 /// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
-pub fn play_with_progress_bar(play: &RunConfig, max_duration: Duration) -> Result<Verdict, RunError> {
+pub fn play_with_progress_bar(config: &RunConfig, max_duration: Duration) -> Result<Verdict, RunError> {
     let is_terminal = std::io::stderr().is_terminal();
     let progress_bar = if is_terminal {
-        indicatif::ProgressBar::new(play.scenario.duration)
+        indicatif::ProgressBar::new(config.scenario.duration)
     } else {
         indicatif::ProgressBar::hidden()
     };
@@ -197,7 +192,7 @@
         Progress::Event(at, text) => progress_bar.set_message(format!("{} s: {text}", at / 1_000_000)),
         Progress::At(at, _) => progress_bar.set_position(at),
     };
-    let verdict = play_with_progress(play, &report_progress, max_duration);
+    let verdict = play_with_progress(config, &report_progress, max_duration);
     progress_bar.finish_and_clear();
     verdict
 }
@@ -207,7 +202,7 @@
 /// # Errors
 /// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
 pub fn play_with_progress(
-    play: &RunConfig,
+    config: &RunConfig,
     report_progress: &ProgressCallback<'_>,
     max_duration: Duration,
 ) -> Result<Verdict, RunError> {
@@ -215,7 +210,7 @@
     let runtime = runtime.map_err(|e| RunError::Failed(format!("runtime: {e}")))?;
     runtime.block_on(async {
         tokio::select! {
-            verdict = cluster::run(play, report_progress) => verdict.map_err(RunError::Failed),
+            verdict = cluster::run(config, report_progress) => verdict.map_err(RunError::Failed),
             _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
             () = tokio::time::sleep(max_duration) => {
                 Err(RunError::Failed(format!("play did not end within {max_duration:?}")))
@@ -241,7 +236,7 @@
         verdict.rules.iter().filter(|(_, n)| **n > 0).map(|(rule, n)| format!("{rule} {n} times")).collect();
     let rules = if broken.is_empty() { "kept".to_owned() } else { format!("broken: {}", broken.join(", ")) };
     text += &format!("rules {rules}\n");
-    text.extend(verdict.violations.iter().map(|story| format!("  {story}\n")));
+    text.extend(verdict.violations.iter().map(|violation| format!("  {violation}\n")));
     for (expectation, held) in &verdict.expect {
         text += &format!("{} {expectation}\n", if *held { "held" } else { "NOT HELD" });
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -31,7 +31,7 @@
 <h1>{{ name }}</h1>
 <p>{{ purpose }}. Seed {{ seed }}.</p>
 <p class="{% if well %}well{% else %}bad{% endif %}">{{ verdict }}</p>
-{% for story in stories %}<p class="bad">{{ story }}</p>{% endfor %}
+{% for violation in violations %}<p class="bad">{{ violation }}</p>{% endfor %}
 {% if !events.is_empty() %}<p>Shaded: {% for event in events %}{{ event }}{% if !loop.last %}; {% endif %}{% endfor %}.</p>{% endif %}
 {% for plot in plots %}<h2>{{ plot.title }}</h2>
 <p>{% for (line, colour) in plot.legend %}<span class="key" style="background: {{ colour }}"></span> {{ line }} {% endfor %}</p>
@@ -49,7 +49,7 @@
     seed: u64,
     well: bool,
     verdict: String,
-    stories: &'a [String],
+    violations: &'a [String],
     events: Vec<String>,
     plots: Vec<Plot>,
     figures: Vec<(&'a String, String)>,
@@ -131,7 +131,7 @@
         seed,
         well: verdict.passed() && !verdict.timers_too_late(),
         verdict: verdict_text,
-        stories: &verdict.violations,
+        violations: &verdict.violations,
         events: faults
             .iter()
             .map(|(from, to, description)| format!("{description}, {from:.0} s to {to:.0} s"))
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -178,9 +178,9 @@
 struct Process {
     shared: Arc<Shared>,
     agent: Arc<Agent>,
-    seat: ProxySupervisor,
+    supervisor: ProxySupervisor,
     pid: u32,
-    operator: SocketAddr,
+    admin: SocketAddr,
 }
 
 /// Processor time and bytes used so far, or by a change.
@@ -196,14 +196,14 @@
         let scenario = Scenario::parse(SCENARIO).map_err(failed)?;
         let shared = Arc::new(Shared::new(scenario, point.seed));
         let agent = Agent::start(&shared, 0).await.map_err(failed)?;
-        let mut seat =
+        let mut supervisor =
             ProxySupervisor::new(&shared, &agent, 0, agent.address, false, None).map_err(failed)?;
-        let operator = seat.enable_admin().map_err(failed)?;
-        seat.set_config_override(mode.file_change());
-        seat.start(&point.program).map_err(failed)?;
-        seat.ready().await.map_err(failed)?;
-        let pid = seat.pid().ok_or_else(|| failed("the process ended after it became ready"))?;
-        let process = Process { shared, agent, seat, pid, operator };
+        let admin = supervisor.enable_admin().map_err(failed)?;
+        supervisor.set_config_override(mode.file_change());
+        supervisor.start(&point.program).map_err(failed)?;
+        supervisor.ready().await.map_err(failed)?;
+        let pid = supervisor.pid().ok_or_else(|| failed("the process ended after it became ready"))?;
+        let process = Process { shared, agent, supervisor, pid, admin };
         process.agent.wait_for_acknowledgement(0).await;
         process.wait_until_in_force(0, Instant::now()).await?;
         Ok(process)
@@ -249,7 +249,7 @@
     async fn wait_until_in_force(&self, servers: usize, since: Instant) -> Result<f64, MeasureError> {
         loop {
             let listed =
-                process_stats::admin_report(self.operator).await.map_err(failed)?["hosts_listed"].as_u64();
+                process_stats::admin_report(self.admin).await.map_err(failed)?["hosts_listed"].as_u64();
             if listed == Some(servers as u64) {
                 return Ok(since.elapsed().as_secs_f64() * 1e3);
             }
@@ -262,7 +262,7 @@
 
     /// Number of servers that the process reports.
     async fn listed(&self) -> Result<f64, MeasureError> {
-        let report = process_stats::admin_report(self.operator).await.map_err(failed)?;
+        let report = process_stats::admin_report(self.admin).await.map_err(failed)?;
         report["hosts_listed"].as_f64().ok_or_else(|| failed("no hosts_listed in the report of the process"))
     }
 
@@ -331,7 +331,7 @@
     let mut last: Option<Process> = None;
     for start in 0..extent.starts.max(2) {
         if let Some(mut before) = last.take() {
-            before.seat.end(Duration::ZERO).await;
+            before.supervisor.end(Duration::ZERO).await;
         }
         let process = Process::start(point, mode).await?;
         let all = process.list_entries(0..size, EndpointState::Ready);
@@ -393,6 +393,6 @@
     add("day.bytes_per_s", quiet[1] + bytes);
     add("day.listed", process.listed().await?);
     add("memory_bytes", process_stats::memory(process.pid).map_err(failed)?.peak as f64);
-    process.seat.end(Duration::ZERO).await;
+    process.supervisor.end(Duration::ZERO).await;
     Ok(figures)
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -156,8 +156,8 @@
 
 /// A client proxy under test, with its files.
 struct Proxy {
-    seat: ProxySupervisor,
-    operator: SocketAddr,
+    supervisor: ProxySupervisor,
+    admin: SocketAddr,
     /// Content of its settings file at the start.
     file: Value,
     log: PathBuf,
@@ -217,15 +217,16 @@
     /// Replaces the settings file and sends SIGHUP; returns the time before that.
     fn change(&self, settings: Settings) -> io::Result<Instant> {
         let begin = Instant::now();
-        let (file, new) = (self.seat.config_path(), self.seat.config_path().with_extension("new"));
+        let (file, new) =
+            (self.supervisor.config_path(), self.supervisor.config_path().with_extension("new"));
         std::fs::write(&new, settings.file(&self.file).to_string())?;
         std::fs::rename(&new, &file)?;
-        self.seat.reload();
+        self.supervisor.reload();
         Ok(begin)
     }
 
     async fn report(&self) -> Result<Value, MeasureError> {
-        process_stats::admin_report(self.operator).await.map_err(failed)
+        process_stats::admin_report(self.admin).await.map_err(failed)
     }
 
     async fn count(&self, figure: &str) -> Result<u64, MeasureError> {
@@ -393,16 +394,17 @@
             let mut batch = Vec::new();
             for number in proxies.len()..(proxies.len() + START_BATCH).min(point.size) {
                 let (agent, logs) = (&site.agents[number], logs.path());
-                let mut seat = ProxySupervisor::new(&shared, agent, number, agent.address, false, Some(logs))
-                    .map_err(failed)?;
-                let operator = seat.enable_admin().map_err(failed)?;
-                seat.start(&point.program).map_err(failed)?;
-                let text = std::fs::read_to_string(seat.config_path()).map_err(failed)?;
+                let mut supervisor =
+                    ProxySupervisor::new(&shared, agent, number, agent.address, false, Some(logs))
+                        .map_err(failed)?;
+                let admin = supervisor.enable_admin().map_err(failed)?;
+                supervisor.start(&point.program).map_err(failed)?;
+                let text = std::fs::read_to_string(supervisor.config_path()).map_err(failed)?;
                 let file = serde_json::from_str(&text).map_err(failed)?;
-                batch.push(Proxy { seat, operator, file, log: logs.join(format!("n{number}-1.log")) });
+                batch.push(Proxy { supervisor, admin, file, log: logs.join(format!("n{number}-1.log")) });
             }
             for proxy in &mut batch {
-                proxy.seat.ready().await.map_err(failed)?;
+                proxy.supervisor.ready().await.map_err(failed)?;
             }
             proxies.append(&mut batch);
         }
@@ -421,7 +423,7 @@
     async fn wait_until_in_force(&self, settings: Settings, since: &[Instant], times: &mut Times) {
         let mut probes = JoinSet::new();
         for (proxy, since) in self.proxies.iter().zip(since) {
-            let client = Client::new(proxy.seat.address, &self.ids);
+            let client = Client::new(proxy.supervisor.address, &self.ids);
             probes.spawn(time_until_served(client, settings.class(), *since, self.pause));
         }
         while let Some(probed) = probes.join_next().await {
@@ -434,8 +436,8 @@
 
     /// Processor time of a change in one process in seconds, and the longest call meanwhile in milliseconds.
     async fn cost(&self, proxy: &Proxy, settings: Settings) -> Result<[f64; 2], MeasureError> {
-        let cpu_s = || process_stats::cpu_s(proxy.seat.pid().unwrap_or(0)).map_err(failed);
-        let mut client = Client::new(proxy.seat.address, &self.ids);
+        let cpu_s = || process_stats::cpu_s(proxy.supervisor.pid().unwrap_or(0)).map_err(failed);
+        let mut client = Client::new(proxy.supervisor.address, &self.ids);
         client.call(CLASS).await.map_err(failed)?;
         sleep(PROBE_PAUSE).await;
         let before = cpu_s()?;
@@ -470,7 +472,7 @@
     async fn serving(&self, settings: Settings) -> usize {
         let mut probes = JoinSet::new();
         for proxy in &self.proxies {
-            let mut client = Client::new(proxy.seat.address, &self.ids);
+            let mut client = Client::new(proxy.supervisor.address, &self.ids);
             probes.spawn(async move { timeout(CALL_TIMEOUT, client.call(&settings.class())).await });
         }
         probes.join_all().await.iter().filter(|probed| matches!(probed, Ok(Ok(200)))).count()
@@ -518,7 +520,7 @@
     let (size, mut figures) = (fleet.proxies.len(), Figures::new());
     let (mut applications, calls) = (JoinSet::new(), Arc::<Calls>::default());
     for (number, proxy) in fleet.proxies.iter().enumerate() {
-        let client = Client::new(proxy.seat.address, &fleet.ids);
+        let client = Client::new(proxy.supervisor.address, &fleet.ids);
         applications.spawn(application(client, number, size, Arc::clone(&calls)));
     }
 
@@ -602,13 +604,13 @@
     }
 
     applications.shutdown().await;
-    let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.seat.pid()?).ok());
+    let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.supervisor.pid()?).ok());
     figures.insert("memory_bytes".to_owned(), memory.map(|memory| memory.peak).max().unwrap_or(0) as f64);
     figures.insert("calls.asked".to_owned(), calls.asked.load(Ordering::Relaxed) as f64);
     figures.insert("calls.failed".to_owned(), calls.failed.load(Ordering::Relaxed) as f64);
     figures.insert("pause_ms".to_owned(), fleet.pause.as_secs_f64() * 1e3);
     for proxy in &mut fleet.proxies {
-        proxy.seat.end(Duration::ZERO).await;
+        proxy.supervisor.end(Duration::ZERO).await;
     }
     Ok(figures)
 }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -81,10 +81,10 @@
             seeds.for_each(|seed| println!("{}", plan::plan(seed)));
             return Ok(RunStatus::Passed);
         }
-        let [program, second] = self.programs.resolve()?;
+        let [program, replacement] = self.programs.resolve()?;
         let mut outcomes = Vec::new();
         for seed in seeds {
-            let outcome = self.play(seed, &program, &second)?;
+            let outcome = self.play(seed, &program, &replacement)?;
             println!("{}", line(&outcome));
             if !matches!(outcome.result, PlayResult::Kept) {
                 println!("  again: {}", self.command(seed));
@@ -100,7 +100,7 @@
         Ok(outcomes.iter().map(Outcome::status).max().unwrap_or(RunStatus::Passed))
     }
 
-    fn play(&self, seed: u64, program: &Program, second: &Program) -> Result<Outcome, RunError> {
+    fn play(&self, seed: u64, program: &Program, replacement: &Program) -> Result<Outcome, RunError> {
         let text = plan::plan(seed);
         let scenario =
             Scenario::parse(&text).map_err(|e| RunError::Failed(format!("plan of seed {seed}: {e}")))?;
@@ -111,10 +111,10 @@
         let events: Vec<String> =
             scenario.events.iter().map(|e| format!("{:?}", e.kind).to_lowercase()).collect();
         let max_duration = duration(scenario.duration) + MAX_OVERTIME;
-        let (program, second) = (program.clone(), second.clone());
-        let play = RunConfig { scenario, seed, program, replacement: second, logs: Some(folder.clone()) };
+        let (program, replacement) = (program.clone(), replacement.clone());
+        let config = RunConfig { scenario, seed, program, replacement, logs: Some(folder.clone()) };
         let start = Instant::now();
-        let verdict = play_with_progress_bar(&play, max_duration);
+        let verdict = play_with_progress_bar(&config, max_duration);
         let seconds = start.elapsed().as_secs_f64();
         let (result, requests) = match verdict {
             Ok(verdict) => {
@@ -181,7 +181,7 @@
         PlayResult::Kept => format!("{head}: rules kept"),
         PlayResult::Late => format!("{head}: NOT JUDGED, the test cluster was too late"),
         PlayResult::Unfinished(reason) => format!("{head}: PLAY FAILED: {reason}"),
-        PlayResult::Broken(stories) => format!("{head}: BROKEN\n  {}", stories.join("\n  ")),
+        PlayResult::Broken(violations) => format!("{head}: BROKEN\n  {}", violations.join("\n  ")),
     }
 }
 
--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -95,7 +95,7 @@
         .expect("the small scenario");
     let program = Program::forwarder(testbed, None);
     let scenario = Scenario::parse(&scenario).expect("a valid scenario");
-    let play = RunConfig { scenario, seed: 1, replacement: program.clone(), program, logs: None };
+    let config = RunConfig { scenario, seed: 1, replacement: program.clone(), program, logs: None };
     let before = count_descriptors();
     let mut open_descriptors = Vec::new();
     for round in 0..2 {
@@ -108,7 +108,7 @@
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
             // The panic drops everything that the play has started.
-            let _ = runtime.block_on(cluster::run(&play, &panics));
+            let _ = runtime.block_on(cluster::run(&config, &panics));
         }));
         assert!(played.is_err(), "round {round}");
         open_descriptors.push(count_descriptors());
