--- a/crates/testbed/src/cluster/cold.rs
+++ b/crates/testbed/src/cluster/cold.rs
@@ -1,20 +1,23 @@
 //! The load that a cold server withstands: N requests of mean work within the overload window, where N is
-//! what the settings allow at its warmth, plus an allowance for random variation of 2 √N + 2
+//! what the settings allow at its warm-up ratio, plus an allowance for random variation of 2 √N + 2
 //! (`docs/test-cluster.md`).
 
 use oakport_core::Micros;
 use oakport_simulator::scenario::Scenario;
 use std::collections::VecDeque;
 
-/// Requests of mean work that a server of this warmth withstands within the overload window.
-pub fn bound(scenario: &Scenario, warmth: f64) -> f64 {
+/// Requests of mean work that a server with this warm-up ratio withstands within the overload window.
+pub fn bound(scenario: &Scenario, warm_up_ratio: f64) -> f64 {
     let (share, work) = scenario.classes.iter().fold((0.0, 0.0), |(share, work), class| {
         (share + class.share, work + class.share * class.work as f64)
     });
     let server = &scenario.server;
-    let allowed =
-        server.cold_overload_factor * server.cores * warmth * server.cold_overload_window as f64 * share
-            / work;
+    let allowed = server.cold_overload_factor
+        * server.cores
+        * warm_up_ratio
+        * server.cold_overload_window as f64
+        * share
+        / work;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -201,7 +201,7 @@
             list_state.notified_at =
                 Some((self.shared.now() + SILENCE_DEADLINE_US).max(list_state.last_wait_end + WAIT_GRACE_US));
         }
-        self.silencings.send_modify(|times| *times += 1);
+        self.silencings.send_modify(|count| *count += 1);
     }
 
     /// Records pending changes as notified while the agent is available: now, or by the notification deadline
@@ -247,7 +247,7 @@
         if since.is_none() {
             // A snapshot also notifies the proxy of removals, by omission.
             let all = list_state.members.iter().map(|(&server, (member, _))| member.entry(server));
-            notified.extend(all.filter(|word| word.state == EndpointState::Removed));
+            notified.extend(all.filter(|entry| entry.state == EndpointState::Removed));
         }
         (json!({"index": list_state.index, "snapshot": since.is_none(), "endpoints": endpoints}), notified)
     }
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -198,7 +198,7 @@
                 server.stop();
                 fleet.site.announce(&server, EndpointState::Removed);
                 let started = fleet.site.shared.now();
-                let mut servers = fleet.site.machines();
+                let mut servers = fleet.site.servers();
                 // If no socket can be opened, the fleet has one server fewer.
                 let next =
                     TestServer::start(&fleet.site.shared, servers.len(), server.zone, "second", started).ok();
@@ -224,7 +224,7 @@
     pub async fn monitor(self: Arc<Self>) {
         loop {
             sleep(MONITOR_INTERVAL).await;
-            let open = self.site.machines().iter().map(|server| server.connections()).sum();
+            let open = self.site.servers().iter().map(|server| server.connections()).sum();
             self.site.shared.record(Observation::OpenConnections { at: self.site.shared.now(), open });
             for supervisor in &self.supervisors {
                 if let Ok(mut supervisor) = supervisor.try_lock() {
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -135,7 +135,7 @@
 
 /// Admin endpoint of a build of oakport.
 struct AdminEndpoint {
-    operator: SocketAddr,
+    address: SocketAddr,
     _holder: Socket,
 }
 
@@ -143,15 +143,15 @@
     /// The program configured with an admin endpoint, and that endpoint.
     fn configure(program: &Program, number: usize) -> std::io::Result<(Program, AdminEndpoint)> {
         let holder = reserve(address(Role::Proxy, number))?;
-        let operator = bound_address(&holder)?;
+        let address = bound_address(&holder)?;
         let mut program = program.clone();
-        program.environment.push(("RELAY_OPERATOR".to_owned(), operator.to_string()));
-        Ok((program, AdminEndpoint { operator, _holder: holder }))
+        program.environment.push(("RELAY_OPERATOR".to_owned(), address.to_string()));
+        Ok((program, AdminEndpoint { address, _holder: holder }))
     }
 
     /// Connections opened and attempts that waited so far; `None` if the build does not count them.
     async fn counts(&self) -> Option<(u64, u64)> {
-        let report = process_stats::admin_report(self.operator).await.ok()?;
+        let report = process_stats::admin_report(self.address).await.ok()?;
         let count = |name: &str| report["connections"][name].as_u64();
         Some((count("opened")?, count("waits")?))
     }
@@ -177,7 +177,7 @@
     let scenario = Scenario::parse(SCENARIO).map_err(|e| e.to_string())?;
     let shared = Arc::new(Shared::new(scenario, 1));
     let site = Site::start(&shared).await.map_err(setup_error)?;
-    let server = site.machines()[0].address;
+    let server = site.servers()[0].address;
     let relay = Relay::start(server).map_err(setup_error)?;
     let mut routes = vec![(server, None, None), (relay.address(), None, None)];
     let mut proxies = Vec::new();
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -66,7 +66,7 @@
     pub release: String,
     /// Address of its listener.
     pub address: SocketAddr,
-    gate: SwitchableListener,
+    listener: SwitchableListener,
     inner: Mutex<Inner>,
     /// Wakes `run_work` when the earliest end of work may have changed.
     changed: Notify,
@@ -85,7 +85,7 @@
         release: &str,
         started: Micros,
     ) -> std::io::Result<Arc<Self>> {
-        let gate = SwitchableListener::new(address(Role::Server, number))?;
+        let listener = SwitchableListener::new(address(Role::Server, number))?;
         let inner = Inner {
             server: Server::new(&shared.scenario.server, zone, started),
             faults: ConnectionFaults::default(),
@@ -98,18 +98,18 @@
             number,
             zone,
             release: release.to_owned(),
-            address: gate.address,
-            gate,
+            address: listener.address,
+            listener,
             inner: Mutex::new(inner),
             changed: Notify::new(),
             shared: Arc::clone(shared),
         });
         let accepting = Arc::clone(&server);
         tokio::spawn(async move {
-            let on_accept = |stream, incarnation| {
-                tokio::spawn(Arc::clone(&accepting).connection(stream, incarnation));
+            let on_connection = |stream, generation| {
+                tokio::spawn(Arc::clone(&accepting).connection(stream, generation));
             };
-            accepting.gate.serve(on_accept).await;
+            accepting.listener.serve(on_connection).await;
         });
         tokio::spawn(Arc::clone(&server).run_work());
         Ok(server)
@@ -148,7 +148,7 @@
         change(&mut inner.server.health);
         let silent = inner.server.health.unreachable;
         drop(inner);
-        self.gate.silence(silent);
+        self.listener.silence(silent);
         self.changed.notify_one();
     }
 
@@ -190,7 +190,7 @@
         inner.server.stop(self.shared.now());
         inner.waiting.clear();
         drop(inner);
-        self.gate.close();
+        self.listener.close();
         self.changed.notify_one();
     }
 
@@ -200,7 +200,7 @@
         inner.server.restart(self.shared.now());
         inner.cold_arrivals.clear();
         drop(inner);
-        self.gate.open();
+        self.listener.open();
     }
 
     /// Notifies the connection of each attempt whose work is done.
@@ -225,7 +225,7 @@
     }
 
     /// Serves one connection until it ends.
-    async fn connection(self: Arc<Self>, mut stream: TcpStream, incarnation: u32) {
+    async fn connection(self: Arc<Self>, mut stream: TcpStream, generation: u32) {
         let counted = CountedConnection::new(&self);
         if counted.total > self.shared.scenario.server.max_connections {
             return http::reset(stream);
@@ -233,13 +233,13 @@
         self.inner().server.add_handshake_work();
         // Without the option the exchange is only slower.
         let _ = stream.set_nodelay(true);
-        let mut phase = self.gate.watch();
+        let mut state = self.listener.watch();
         let mut buffer = BytesMut::new();
         let mut last_attempt = None;
         loop {
             let began = tokio::select! {
                 began = timeout(self.idle_timeout(), http::wait_for_bytes(&mut stream, &mut buffer)) => began,
-                () = wait_for_reset(&mut phase, incarnation) => {
+                () = wait_for_reset(&mut state, generation) => {
                     last_attempt.into_iter().for_each(|attempt| self.record_reset(attempt));
                     return http::reset(stream);
                 }
@@ -250,7 +250,7 @@
             let first = self.shared.now();
             let message = tokio::select! {
                 message = http::read(&mut stream, &mut buffer, MessageKind::Request) => message,
-                () = wait_for_reset(&mut phase, incarnation) => return http::reset(stream),
+                () = wait_for_reset(&mut state, generation) => return http::reset(stream),
             };
             let Ok(message) = message else { return };
             let id = message.header("x-request-id").and_then(|id| self.shared.parse_id(id));
@@ -274,7 +274,7 @@
             let work = self.shared.arrivals[request].work;
             let (outcome, wasted) = tokio::select! {
                 done = self.serve(&mut stream, attempt, request) => done,
-                () = wait_for_reset(&mut phase, incarnation) => (Outcome::Reset, work),
+                () = wait_for_reset(&mut state, generation) => (Outcome::Reset, work),
             };
             self.shared.record(Observation::AttemptEnded { attempt, outcome, wasted });
             let text = match outcome {
@@ -284,12 +284,12 @@
                 _ => return http::reset(stream),
             };
             tokio::select! {
-                () = wait_until_not_silent(self.gate.watch()) => {}
-                () = wait_for_reset(&mut phase, incarnation) => return http::reset(stream),
+                () = wait_until_not_silent(self.listener.watch()) => {}
+                () = wait_for_reset(&mut state, generation) => return http::reset(stream),
             }
             let written = tokio::select! {
                 written = write_response(&mut stream, text.as_bytes(), self.write_rate(request)) => written,
-                () = wait_for_reset(&mut phase, incarnation) => {
+                () = wait_for_reset(&mut state, generation) => {
                     self.record_reset(attempt);
                     return http::reset(stream);
                 }
@@ -330,7 +330,7 @@
     /// Executes an attempt; returns its outcome and the work done for a response that nobody receives.
     async fn serve(&self, stream: &mut TcpStream, attempt: u64, request: usize) -> (Outcome, f64) {
         let (work, proxy) = (self.shared.arrivals[request].work, self.shared.arrivals[request].proxy);
-        wait_until_not_silent(self.gate.watch()).await;
+        wait_until_not_silent(self.listener.watch()).await;
         let network = &self.shared.scenario.network;
         let delay = if self.shared.zone(proxy) == self.zone {
             network.delay_within_zone
@@ -373,12 +373,12 @@
     /// Counts an attempt that arrives at a cold server, whatever its outcome. Returns whether it overloads
     /// the server.
     fn overloads_cold_server(&self, inner: &mut Inner, now: Micros, attempt: usize) -> bool {
-        let warmth = inner.server.warm_up_ratio(now);
-        if warmth >= 1.0 {
+        let warm_up_ratio = inner.server.warm_up_ratio(now);
+        if warm_up_ratio >= 1.0 {
             return false;
         }
         let scenario = &self.shared.scenario;
-        let bound = cold::bound(scenario, warmth);
+        let bound = cold::bound(scenario, warm_up_ratio);
         let arrived = inner.cold_arrivals.push(now, (), scenario.server.cold_overload_window).len();
         let (server, started) = (self.number, inner.server.started);
         self.shared.record(Observation::ColdArrival {
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -20,7 +20,7 @@
 
 /// The servers, discovery agents and relays of a test cluster.
 pub struct Site {
-    machines: Mutex<Vec<Arc<TestServer>>>,
+    servers: Mutex<Vec<Arc<TestServer>>>,
     /// Relays of the links that a fault of the scenario affects; other links are direct.
     pub relays: BTreeMap<Link, Arc<Relay>>,
     /// Discovery agent of each proxy.
@@ -81,23 +81,23 @@
     /// Starts all parties and lists all servers with the agents.
     pub async fn start(shared: &Arc<Shared>) -> std::io::Result<Self> {
         let scenario = &shared.scenario;
-        let (mut machines, mut agents, mut relays) = (Vec::new(), Vec::new(), BTreeMap::new());
+        let (mut servers, mut agents, mut relays) = (Vec::new(), Vec::new(), BTreeMap::new());
         for number in 0..scenario.servers {
-            machines.push(TestServer::start(shared, number, shared.zone(number), "first", 0)?);
+            servers.push(TestServer::start(shared, number, shared.zone(number), "first", 0)?);
         }
         for proxy in 0..scenario.balancers {
             agents.push(Agent::start(shared, proxy).await?);
         }
         for link in relayed_links(scenario) {
             let target = match link {
-                (_, Some(server)) => machines[server].address,
+                (_, Some(server)) => servers[server].address,
                 (proxy, None) => agents[proxy].address,
             };
             relays.insert(link, Relay::start(target)?);
         }
         let fault_random = Mutex::new(random::stream(shared.seed, StreamId::Faults));
         let site = Site {
-            machines: Mutex::new(machines),
+            servers: Mutex::new(servers),
             relays,
             agents,
             random: fault_random,
@@ -110,17 +110,17 @@
                 agent.set_remote();
             }
         }
-        for machine in site.machines().iter() {
+        for server in site.servers().iter() {
             for (proxy, agent) in site.agents.iter().enumerate() {
-                agent.update(machine.number, site.member(proxy, machine, EndpointState::Ready));
+                agent.update(server.number, site.member(proxy, server, EndpointState::Ready));
             }
         }
         Ok(site)
     }
 
     /// All servers, including those that were removed.
-    pub fn machines(&self) -> MutexGuard<'_, Vec<Arc<TestServer>>> {
-        self.machines.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn servers(&self) -> MutexGuard<'_, Vec<Arc<TestServer>>> {
+        self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn random(&self) -> MutexGuard<'_, Pcg64> {
@@ -129,7 +129,7 @@
 
     /// Zone index and release label of each server.
     pub fn zones_and_releases(&self) -> Vec<(usize, String)> {
-        self.machines().iter().map(|m| (m.zone, m.release.clone())).collect()
+        self.servers().iter().map(|server| (server.zone, server.release.clone())).collect()
     }
 
     /// Address at which a proxy reaches its discovery agent.
@@ -138,24 +138,24 @@
     }
 
     /// The list entry of a server for one proxy.
-    fn member(&self, proxy: usize, machine: &TestServer, state: EndpointState) -> Member {
-        let relay = self.relays.get(&(proxy, Some(machine.number)));
+    fn member(&self, proxy: usize, server: &TestServer, state: EndpointState) -> Member {
+        let relay = self.relays.get(&(proxy, Some(server.number)));
         Member {
             state,
-            address: relay.map_or(machine.address, |relay| relay.address()),
-            zone: self.shared.scenario.zones[machine.zone].clone(),
-            release: machine.release.clone(),
-            started: machine.started(),
+            address: relay.map_or(server.address, |relay| relay.address()),
+            zone: self.shared.scenario.zones[server.zone].clone(),
+            release: server.release.clone(),
+            started: server.started(),
         }
     }
 
     /// Sends an update of a server to all agents, to each after its own random delay.
-    pub fn announce(&self, machine: &TestServer, state: EndpointState) {
+    pub fn announce(&self, server: &TestServer, state: EndpointState) {
         let delay = self.shared.scenario.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = random::jitter(delay, 0.5, &mut *self.random());
-            let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, machine, state));
-            let number = machine.number;
+            let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, server, state));
+            let number = server.number;
             tokio::spawn(async move {
                 sleep(Duration::from_micros(after)).await;
                 agent.update(number, member);
@@ -167,11 +167,11 @@
     pub fn affected_servers(&self, event: &FaultSpec) -> Vec<Arc<TestServer>> {
         let zones = &self.shared.scenario.zones;
         let zone = event.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
-        let machines = self.machines();
-        let mut affected: Vec<_> = machines.iter().filter(|m| m.is_ready()).cloned().collect();
-        drop(machines);
+        let servers = self.servers();
+        let mut affected: Vec<_> = servers.iter().filter(|server| server.is_ready()).cloned().collect();
+        drop(servers);
         match zone {
-            Some(zone) => affected.retain(|machine| machine.zone == zone),
+            Some(zone) => affected.retain(|server| server.zone == zone),
             None => self.keep_random_share(&mut affected, event.share),
         }
         affected
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -122,10 +122,10 @@
 /// Measures one size with a process that receives pushed lists and one that polls, concurrently.
 ///
 /// # Errors
-/// See `Stopped`.
+/// See `MeasureError`.
 pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(failed)?;
-    let played = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let both = async {
             tokio::try_join!(
                 measure_mode(point, ListMode::Pushed, extent),
@@ -134,10 +134,10 @@
         };
         timeout_at(point.deadline.into(), both).await
     });
-    let (pushed, asked) =
-        played.map_err(|_| MeasureError::NotRun("the time limit was reached".to_owned()))??;
+    let (pushed, polled) =
+        result.map_err(|_| MeasureError::NotRun("the time limit was reached".to_owned()))??;
     let mut figures = Figures::new();
-    for (mode, of_mode) in [("pushed", pushed), ("asked", asked)] {
+    for (mode, of_mode) in [("pushed", pushed), ("asked", polled)] {
         for (name, figure) in of_mode {
             if ["memory_bytes", "day.cpu_share", "day.bytes_per_s"].contains(&name.as_str()) {
                 let most = figures.entry(name.clone()).or_insert(figure);
@@ -239,8 +239,8 @@
 
     /// Waits until the process has received the agent's current version, shown by its next call.
     async fn wait_until_received(&self) -> Result<(), MeasureError> {
-        let taken = timeout(MAX_WAIT, self.agent.wait_for_acknowledgement(self.agent.version())).await;
-        taken.map_err(|_| {
+        let result = timeout(MAX_WAIT, self.agent.wait_for_acknowledgement(self.agent.version())).await;
+        result.map_err(|_| {
             MeasureError::NotRun(format!("the process did not receive a list within {MAX_WAIT:?}"))
         })
     }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -118,13 +118,13 @@
 /// Measures one number of processes.
 ///
 /// # Errors
-/// See `Stopped`.
+/// See `MeasureError`.
 pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     check_resources(point.size as u64)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(failed)?;
-    let played =
+    let result =
         runtime.block_on(async { timeout_at(point.deadline.into(), measure_fleet(point, extent)).await });
-    played.unwrap_or_else(|_| Err(MeasureError::NotRun("the time limit was reached".to_owned())))
+    result.unwrap_or_else(|_| Err(MeasureError::NotRun("the time limit was reached".to_owned())))
 }
 
 fn failed(error: impl std::fmt::Display) -> MeasureError {
@@ -294,7 +294,7 @@
 /// Counts of the calls of all applications, and of those that were not served.
 #[derive(Default)]
 struct Calls {
-    asked: AtomicU64,
+    sent: AtomicU64,
     failed: AtomicU64,
 }
 
@@ -307,7 +307,7 @@
     loop {
         ticker.tick().await;
         let served = matches!(timeout(CALL_TIMEOUT, client.call(CLASS)).await, Ok(Ok(200)));
-        calls.asked.fetch_add(1, Ordering::Relaxed);
+        calls.sent.fetch_add(1, Ordering::Relaxed);
         calls.failed.fetch_add(u64::from(!served), Ordering::Relaxed);
     }
 }
@@ -443,9 +443,9 @@
         let before = cpu_s()?;
         let (begin, mut longest) = (proxy.change(settings).map_err(failed)?, Duration::ZERO);
         while begin.elapsed() < MAX_WAIT {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             client.call(CLASS).await.map_err(failed)?;
-            longest = longest.max(asked.elapsed());
+            longest = longest.max(sent_at.elapsed());
             if client.call(&settings.class()).await.map_err(failed)? == 200 {
                 return Ok([cpu_s()? - before, longest.as_secs_f64() * 1e3]);
             }
@@ -606,7 +606,7 @@
     applications.shutdown().await;
     let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.supervisor.pid()?).ok());
     figures.insert("memory_bytes".to_owned(), memory.map(|memory| memory.peak).max().unwrap_or(0) as f64);
-    figures.insert("calls.asked".to_owned(), calls.asked.load(Ordering::Relaxed) as f64);
+    figures.insert("calls.asked".to_owned(), calls.sent.load(Ordering::Relaxed) as f64);
     figures.insert("calls.failed".to_owned(), calls.failed.load(Ordering::Relaxed) as f64);
     figures.insert("pause_ms".to_owned(), fleet.pause.as_secs_f64() * 1e3);
     for proxy in &mut fleet.proxies {
