--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -1,7 +1,7 @@
 //! A chain of services: each hop is a proxy in front of a service, whose servers call the next hop before
 //! they answer. Each call is repeated without the proxies, straight to the same servers, for comparison.
 
-use super::discovery::{Agent, Member};
+use super::discovery::{Agent, ListedServer};
 use super::hops::cpu;
 use super::http::{self, Message, MessageKind};
 use super::listener::{address, Role};
@@ -345,14 +345,14 @@
             let listener = TcpListener::bind(address(Role::Server, number)).await.map_err(setup_error)?;
             let address = listener.local_addr().map_err(setup_error)?;
             let zone = shared.scenario.zones[0].clone();
-            let member = Member {
+            let listed_server = ListedServer {
                 state: EndpointState::Ready,
                 address,
                 zone,
                 release: "first".to_owned(),
                 started: 0,
             };
-            agent.update(number, member);
+            agent.update(number, listed_server);
             servers.push(HttpClient::new(address));
             listeners.push((listener, hop, number % SERVERS));
         }
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -39,7 +39,7 @@
 
 /// A server as listed by an agent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ListedServer {
     /// Ready, draining or removed.
     pub state: EndpointState,
     /// Address at which this agent's proxy reaches the server.
@@ -52,7 +52,7 @@
     pub started: Micros,
 }
 
-impl Member {
+impl ListedServer {
     /// The entry recorded for this server when a proxy is notified.
     fn entry(&self, server: usize) -> ListEntry {
         ListEntry { server, state: self.state, started: self.started }
@@ -62,11 +62,11 @@
 #[derive(Default)]
 struct ListState {
     /// Current version of the list.
-    index: u64,
+    version: u64,
     /// A proxy with an older version than this receives a full snapshot.
     snapshot_before: u64,
-    /// Members by server number, each with the version at which it last changed.
-    members: BTreeMap<usize, (Member, u64)>,
+    /// Servers by number, each with the version at which it last changed.
+    servers: BTreeMap<usize, (ListedServer, u64)>,
     /// The version up to which all changes are recorded as notified.
     notified_version: u64,
     /// Number of open watches.
@@ -123,32 +123,32 @@
 
     /// Applies an update of one server. An update of a server process that was since restarted or removed is
     /// ignored.
-    pub fn update(&self, server: usize, member: Member) {
+    pub fn update(&self, server: usize, listed: ListedServer) {
         let mut list_state = self.list_state();
-        if list_state.members.get(&server).is_some_and(|(old, _)| {
-            old.started > member.started
-                || old.started == member.started && old.state == EndpointState::Removed
+        if list_state.servers.get(&server).is_some_and(|(old, _)| {
+            old.started > listed.started
+                || old.started == listed.started && old.state == EndpointState::Removed
         }) {
             return;
         }
-        self.set(&mut list_state, [(server, member)]);
+        self.set(&mut list_state, [(server, listed)]);
     }
 
     /// Applies an update of several servers as one new version, without the check for outdated updates.
-    pub fn update_all(&self, members: impl IntoIterator<Item = (usize, Member)>) {
-        self.set(&mut self.list_state(), members);
+    pub fn update_all(&self, servers: impl IntoIterator<Item = (usize, ListedServer)>) {
+        self.set(&mut self.list_state(), servers);
     }
 
     /// Like `update_all`, and the proxy receives a full snapshot next, whichever version it has.
-    pub fn update_all_as_snapshot(&self, members: impl IntoIterator<Item = (usize, Member)>) {
+    pub fn update_all_as_snapshot(&self, servers: impl IntoIterator<Item = (usize, ListedServer)>) {
         let mut list_state = self.list_state();
-        list_state.snapshot_before = list_state.index + 1;
-        self.set(&mut list_state, members);
+        list_state.snapshot_before = list_state.version + 1;
+        self.set(&mut list_state, servers);
     }
 
     /// Current version of the list.
     pub fn version(&self) -> u64 {
-        self.list_state().index
+        self.list_state().version
     }
 
     /// Waits until a watch of the proxy confirms that it has this version.
@@ -169,16 +169,16 @@
     /// Lists a server in another state than its actual one, or in its actual state again.
     pub fn override_state(&self, server: usize, state: EndpointState) {
         let mut list_state = self.list_state();
-        if let Some((member, _)) = list_state.members.get(&server).cloned() {
-            self.set(&mut list_state, [(server, Member { state, ..member })]);
+        if let Some((listed, _)) = list_state.servers.get(&server).cloned() {
+            self.set(&mut list_state, [(server, ListedServer { state, ..listed })]);
         }
     }
 
-    fn set(&self, list_state: &mut ListState, members: impl IntoIterator<Item = (usize, Member)>) {
-        list_state.index += 1;
-        let index = list_state.index;
-        list_state.members.extend(members.into_iter().map(|(server, member)| (server, (member, index))));
-        self.version.send_replace(index);
+    fn set(&self, list_state: &mut ListState, servers: impl IntoIterator<Item = (usize, ListedServer)>) {
+        list_state.version += 1;
+        let version = list_state.version;
+        list_state.servers.extend(servers.into_iter().map(|(server, listed)| (server, (listed, version))));
+        self.version.send_replace(version);
         self.record_pending(list_state);
     }
 
@@ -210,9 +210,10 @@
         if *self.mode.borrow() != Mode::Available || !self.is_local.load(Ordering::Relaxed) {
             return;
         }
-        let new = list_state.members.iter().filter(|(_, (_, index))| *index > list_state.notified_version);
-        let entries: Vec<ListEntry> = new.map(|(&server, (member, _))| member.entry(server)).collect();
-        list_state.notified_version = list_state.index;
+        let new =
+            list_state.servers.iter().filter(|(_, (_, version))| *version > list_state.notified_version);
+        let entries: Vec<ListEntry> = new.map(|(&server, (listed, _))| listed.entry(server)).collect();
+        list_state.notified_version = list_state.version;
         if !entries.is_empty() {
             let now = self.shared.now();
             let at = list_state.notified_at.map_or(now, |at| at.max(now));
@@ -225,31 +226,31 @@
     fn list(&self, since: Option<u64>) -> (Value, Vec<ListEntry>) {
         let list_state = self.list_state();
         let since = since.filter(|since| *since >= list_state.snapshot_before);
-        let is_included = |(member, index): &&(Member, u64)| match since {
-            Some(since) => *index > since,
-            None => member.state != EndpointState::Removed,
+        let is_included = |(listed, version): &&(ListedServer, u64)| match since {
+            Some(since) => *version > since,
+            None => listed.state != EndpointState::Removed,
         };
         let (mut endpoints, mut notified) = (Vec::new(), Vec::new());
-        for (&server, entry) in list_state.members.iter().filter(|(_, entry)| is_included(entry)) {
-            let member = &entry.0;
-            let status = match member.state {
+        for (&server, entry) in list_state.servers.iter().filter(|(_, entry)| is_included(entry)) {
+            let listed = &entry.0;
+            let status = match listed.state {
                 EndpointState::Ready => "up",
                 EndpointState::Draining => "draining",
                 EndpointState::Removed => "removed",
             };
-            notified.push(member.entry(server));
+            notified.push(listed.entry(server));
             endpoints.push(json!({
-                "name": name(server), "address": member.address, "zone": member.zone, "type": member.release,
+                "name": name(server), "address": listed.address, "zone": listed.zone, "type": listed.release,
                 "group": 0, "status": status, "weight": 1.0,
-                "since_ms": self.shared.unix_ms(member.started),
+                "since_ms": self.shared.unix_ms(listed.started),
             }));
         }
         if since.is_none() {
             // A snapshot also notifies the proxy of removals, by omission.
-            let all = list_state.members.iter().map(|(&server, (member, _))| member.entry(server));
+            let all = list_state.servers.iter().map(|(&server, (listed, _))| listed.entry(server));
             notified.extend(all.filter(|entry| entry.state == EndpointState::Removed));
         }
-        (json!({"index": list_state.index, "snapshot": since.is_none(), "endpoints": endpoints}), notified)
+        (json!({"index": list_state.version, "snapshot": since.is_none(), "endpoints": endpoints}), notified)
     }
 
     fn record_notified(&self, entries: Vec<ListEntry>) {
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -25,7 +25,7 @@
 const DRAIN_US: Micros = 2_000_000;
 
 /// All parts of a running test cluster.
-pub struct Fleet {
+pub struct TestCluster {
     /// Servers, discovery agents and relays.
     pub site: Site,
     /// The proxy processes.
@@ -38,7 +38,7 @@
     pub config: RunConfig,
 }
 
-impl Fleet {
+impl TestCluster {
     /// Plays one event from its start to its end.
     pub async fn play_event(self: Arc<Self>, number: usize) {
         let event = self.site.shared.scenario.events[number].clone();
@@ -188,24 +188,25 @@
         let step = event.duration / affected.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (index, server) in affected.into_iter().enumerate() {
-            let fleet = Arc::clone(self);
+            let cluster = Arc::clone(self);
             all.spawn(async move {
                 let at = begin + step * index as Micros;
-                fleet.site.shared.sleep_until(at).await;
+                cluster.site.shared.sleep_until(at).await;
                 server.drain();
-                fleet.site.announce(&server, EndpointState::Draining);
-                fleet.site.shared.sleep_until(at + DRAIN_US).await;
+                cluster.site.announce(&server, EndpointState::Draining);
+                cluster.site.shared.sleep_until(at + DRAIN_US).await;
                 server.stop();
-                fleet.site.announce(&server, EndpointState::Removed);
-                let started = fleet.site.shared.now();
-                let mut servers = fleet.site.servers();
-                // If no socket can be opened, the fleet has one server fewer.
+                cluster.site.announce(&server, EndpointState::Removed);
+                let started = cluster.site.shared.now();
+                let mut servers = cluster.site.servers();
+                // If no socket can be opened, the cluster has one server fewer.
                 let next =
-                    TestServer::start(&fleet.site.shared, servers.len(), server.zone, "second", started).ok();
+                    TestServer::start(&cluster.site.shared, servers.len(), server.zone, "second", started)
+                        .ok();
                 servers.extend(next.clone());
                 drop(servers);
                 if let Some(next) = next {
-                    fleet.site.announce(&next, EndpointState::Ready);
+                    cluster.site.announce(&next, EndpointState::Ready);
                 }
             });
         }
--- a/crates/testbed/src/cluster/membership.rs
+++ b/crates/testbed/src/cluster/membership.rs
@@ -13,10 +13,15 @@
 /// Views reported by the proxies, as time, proxy and view, ordered by time.
 pub type Views = Vec<(Micros, usize, PeerView)>;
 /// Starts, signals and ends of each proxy's processes, with their times.
-pub type Signals = HashMap<usize, Vec<(Micros, ProcessEvent)>>;
+pub type ProcessEvents = HashMap<usize, Vec<(Micros, ProcessEvent)>>;
 
 /// Membership figures of the report; empty if no views were recorded.
-pub fn figures(shared: &Shared, views: &Views, signals: &Signals, end: Micros) -> BTreeMap<String, f64> {
+pub fn figures(
+    shared: &Shared,
+    views: &Views,
+    process_events: &ProcessEvents,
+    end: Micros,
+) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
     if views.is_empty() {
         return figures;
@@ -24,13 +29,13 @@
     let mut put = |name: &str, value: f64| {
         figures.insert(format!("membership.{name}"), value);
     };
-    for (name, signal) in [("detect", ProcessEvent::Killed), ("leave", ProcessEvent::TermSent)] {
+    for (name, end_event) in [("detect", ProcessEvent::Killed), ("leave", ProcessEvent::TermSent)] {
         let mut times = histogram();
-        for (&ended, all) in signals {
+        for (&ended, all) in process_events {
             for &(at, _) in
-                all.iter().filter(|(at, what)| *what == signal && at + MAX_DETECTION_TIME_US <= end)
+                all.iter().filter(|(at, event)| *event == end_event && at + MAX_DETECTION_TIME_US <= end)
             {
-                for detection_time in detection_times(shared, views, signals, ended, at) {
+                for detection_time in detection_times(shared, views, process_events, ended, at) {
                     times.saturating_record(detection_time.max(1));
                 }
             }
@@ -40,10 +45,10 @@
             put(&format!("{name}_p50_ms"), times.value_at_quantile(0.5) as f64 / 1e3);
         }
     }
-    put("false_dead", false_dead(shared, views, signals) as f64);
+    put("false_dead", false_dead(shared, views, process_events) as f64);
     let partitions = shared.scenario.events.iter().filter(|e| e.kind == FaultKind::Cut);
     if let Some(agreement_time) =
-        partitions.map(|e| agreement_time(views, signals, shared.at(e.at + e.duration), end)).max()
+        partitions.map(|e| agreement_time(views, process_events, shared.at(e.at + e.duration), end)).max()
     {
         put("agree_ms", agreement_time as f64 / 1e3);
     }
@@ -57,8 +62,8 @@
 }
 
 /// Whether the proxy received a signal or was started in this interval.
-fn was_disturbed(signals: &Signals, proxy: usize, from: Micros, to: Micros) -> bool {
-    let all = signals.get(&proxy).into_iter().flatten();
+fn was_disturbed(process_events: &ProcessEvents, proxy: usize, from: Micros, to: Micros) -> bool {
+    let all = process_events.get(&proxy).into_iter().flatten();
     all.into_iter().any(|(at, _)| (from..=to).contains(at))
 }
 
@@ -75,7 +80,7 @@
 fn detection_times(
     shared: &Shared,
     views: &Views,
-    signals: &Signals,
+    process_events: &ProcessEvents,
     ended: usize,
     at: Micros,
 ) -> Vec<Micros> {
@@ -83,7 +88,7 @@
     let is_observer = |proxy: &usize| {
         *proxy != ended
             && !was_disturbed(
-                signals,
+                process_events,
                 *proxy,
                 at.saturating_sub(CONVERGENCE_TIME_US),
                 at + MAX_DETECTION_TIME_US,
@@ -93,15 +98,14 @@
     if is_partitioned(shared, at, at + MAX_DETECTION_TIME_US) {
         return Vec::new();
     }
-    let unix = shared.unix_ms(at);
+    let ended_unix_ms = shared.unix_ms(at);
     for (seen, proxy, view) in
         views.iter().filter(|(seen, proxy, _)| *seen >= at && observers.contains(proxy))
     {
         // A later incarnation does not count as the ended process.
-        let still_listed = view
-            .members
-            .iter()
-            .any(|(n, incarnation, s)| *n == ended && *s == MemberState::Present && *incarnation < unix);
+        let still_listed = view.members.iter().any(|(n, incarnation, s)| {
+            *n == ended && *s == MemberState::Present && *incarnation < ended_unix_ms
+        });
         if !still_listed {
             first.entry(*proxy).or_insert(seen - at);
         }
@@ -114,18 +118,18 @@
 
 /// Number of pairs in which one proxy considered the other dead although it was running, undisturbed and
 /// reachable.
-fn false_dead(shared: &Shared, views: &Views, signals: &Signals) -> usize {
+fn false_dead(shared: &Shared, views: &Views, process_events: &ProcessEvents) -> usize {
     let mut pairs = BTreeSet::new();
     for (at, proxy, view) in views {
         let from = at.saturating_sub(CONVERGENCE_TIME_US);
-        let undisturbed = |n: usize| !was_disturbed(signals, n, from, *at);
+        let undisturbed = |n: usize| !was_disturbed(process_events, n, from, *at);
         if !undisturbed(*proxy) || is_partitioned(shared, from, *at) {
             continue;
         }
         for (n, _, _) in view.members.iter().filter(|(_, _, s)| *s == MemberState::Dead) {
-            let last = signals.get(n).into_iter().flatten().rev().find(|(when, _)| when <= at);
-            let is_running =
-                last.is_some_and(|(_, what)| matches!(what, ProcessEvent::Started | ProcessEvent::Continued));
+            let last = process_events.get(n).into_iter().flatten().rev().find(|(when, _)| when <= at);
+            let is_running = last
+                .is_some_and(|(_, event)| matches!(event, ProcessEvent::Started | ProcessEvent::Continued));
             if is_running && undisturbed(*n) {
                 pairs.insert((*proxy, *n));
             }
@@ -135,19 +139,19 @@
 }
 
 /// Time after `from` until the views of all running proxies had the same digest.
-fn agreement_time(views: &Views, signals: &Signals, from: Micros, end: Micros) -> Micros {
+fn agreement_time(views: &Views, process_events: &ProcessEvents, from: Micros, end: Micros) -> Micros {
     let mut last: BTreeMap<usize, u64> = BTreeMap::new();
-    let is_end = |what: &ProcessEvent| {
+    let is_end = |event: &ProcessEvent| {
         matches!(
-            what,
+            event,
             ProcessEvent::Killed | ProcessEvent::TermSent | ProcessEvent::Crashed | ProcessEvent::Stopped
         )
     };
     let is_running = |proxy: &usize| {
-        let last = signals.get(proxy).into_iter().flatten().rev().find(|(at, _)| *at <= from);
-        last.is_some_and(|(_, what)| !is_end(what))
+        let last = process_events.get(proxy).into_iter().flatten().rev().find(|(at, _)| *at <= from);
+        last.is_some_and(|(_, event)| !is_end(event))
     };
-    let running = signals.keys().filter(|proxy| is_running(proxy)).count();
+    let running = process_events.keys().filter(|proxy| is_running(proxy)).count();
     for (at, proxy, view) in views.iter().filter(|(at, _, _)| *at >= from) {
         last.insert(*proxy, view.digest);
         let digests: BTreeSet<u64> = last.values().copied().collect();
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -32,7 +32,7 @@
 pub use run_config::{Progress, ProgressCallback, RunConfig};
 
 use clients::App;
-use events::Fleet;
+use events::TestCluster;
 use links::DatagramRelay;
 use oakport_core::Micros;
 use oakport_simulator::scenario::FaultKind;
@@ -83,32 +83,32 @@
     let admin_endpoints: Vec<_> = peers.iter().map(|peer| peer.admin).collect();
     let mut peers = peers.into_iter();
     let inherits_listener = scenario.events.iter().any(|event| event.kind == FaultKind::Upgrade);
-    let mut proxies = Vec::new();
+    let mut supervisors = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = config.logs.as_deref();
-        let mut proxy =
+        let mut supervisor =
             ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits_listener, logs)
                 .map_err(setup_error)?;
         if let Some(peer) = peers.next() {
-            proxy.set_peer(peer);
+            supervisor.set_peer(peer);
         }
-        proxy.start(&config.program)?;
-        proxies.push(proxy);
+        supervisor.start(&config.program)?;
+        supervisors.push(supervisor);
     }
-    for proxy in &mut proxies {
-        proxy.ready().await?;
+    for supervisor in &mut supervisors {
+        supervisor.ready().await?;
     }
-    let apps = proxies.iter().map(|proxy| App::new(&shared, proxy.number, proxy.address)).collect();
-    let proxies = proxies.into_iter().map(Mutex::new).collect();
-    let fleet = Arc::new(Fleet { site, supervisors: proxies, apps, datagrams, config });
+    let apps = supervisors.iter().map(|proxy| App::new(&shared, proxy.number, proxy.address)).collect();
+    let supervisors = supervisors.into_iter().map(Mutex::new).collect();
+    let cluster = Arc::new(TestCluster { site, supervisors, apps, datagrams, config });
     shared.mark_start();
     on_progress(Progress::Started);
     let mut tasks = JoinSet::new();
     let mut requests = JoinSet::new();
     for number in 0..scenario.events.len() {
-        tasks.spawn(Arc::clone(&fleet).play_event(number));
+        tasks.spawn(Arc::clone(&cluster).play_event(number));
     }
-    tasks.spawn(Arc::clone(&fleet).monitor());
+    tasks.spawn(Arc::clone(&cluster).monitor());
     for (proxy, admin) in admin_endpoints.into_iter().enumerate() {
         tasks.spawn(peers::watch(Arc::clone(&shared), proxy, admin));
     }
@@ -116,7 +116,7 @@
     let calls = async {
         for (request, arrival) in shared.arrivals.iter().enumerate() {
             shared.sleep_until(shared.at(arrival.at)).await;
-            requests.spawn(Arc::clone(&fleet.apps[arrival.proxy]).send_request(request));
+            requests.spawn(Arc::clone(&cluster.apps[arrival.proxy]).send_request(request));
         }
         while requests.join_next().await.is_some() {}
     };
@@ -125,11 +125,11 @@
         () = progress => {}
     }
     tasks.shutdown().await;
-    for app in &fleet.apps {
+    for app in &cluster.apps {
         app.close();
     }
-    let verdict = judge::judge(&shared, &fleet.site.zones_and_releases());
-    for supervisor in &fleet.supervisors {
+    let verdict = judge::judge(&shared, &cluster.site.zones_and_releases());
+    for supervisor in &cluster.supervisors {
         supervisor.lock().await.end(Duration::ZERO).await;
     }
     Ok(verdict)
--- a/crates/testbed/src/cluster/process_faults.rs
+++ b/crates/testbed/src/cluster/process_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the proxy processes: signal series, planned restarts, hot restarts, stalls, and kills.
 
-use super::events::Fleet;
+use super::events::TestCluster;
 use oakport_core::Micros;
 use oakport_simulator::scenario::{FaultKind, FaultSpec, SignalSpec};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 /// A longer client timeout does not delay the kill further (PROTOCOL, "Figures").
 const MAX_CLIENT_TIMEOUT_US: Micros = 3_000_000;
 
-impl Fleet {
+impl TestCluster {
     /// Shortest time between SIGTERM and SIGKILL.
     fn time_to_kill(&self) -> Duration {
         let longest = self.site.shared.scenario.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
@@ -29,12 +29,12 @@
         let step = event.duration / affected.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (index, proxy) in affected.into_iter().enumerate() {
-            let fleet = Arc::clone(self);
+            let cluster = Arc::clone(self);
             all.spawn(async move {
-                let mut supervisor = fleet.supervisors[proxy].lock().await;
+                let mut supervisor = cluster.supervisors[proxy].lock().await;
                 supervisor.kill().await;
-                fleet.site.shared.sleep_until(begin + step * (index as Micros + 1)).await;
-                fleet.start_process(&mut supervisor).await;
+                cluster.site.shared.sleep_until(begin + step * (index as Micros + 1)).await;
+                cluster.start_process(&mut supervisor).await;
             });
         }
         while all.join_next().await.is_some() {}
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -1,6 +1,6 @@
 //! Everything around the proxies: servers, discovery agents and relays, and the updates the agents receive.
 
-use super::discovery::{Agent, Member};
+use super::discovery::{Agent, ListedServer};
 use super::links::Relay;
 use super::record::Shared;
 use super::servers::TestServer;
@@ -112,7 +112,7 @@
         }
         for server in site.servers().iter() {
             for (proxy, agent) in site.agents.iter().enumerate() {
-                agent.update(server.number, site.member(proxy, server, EndpointState::Ready));
+                agent.update(server.number, site.listed_server(proxy, server, EndpointState::Ready));
             }
         }
         Ok(site)
@@ -138,9 +138,9 @@
     }
 
     /// The list entry of a server for one proxy.
-    fn member(&self, proxy: usize, server: &TestServer, state: EndpointState) -> Member {
+    fn listed_server(&self, proxy: usize, server: &TestServer, state: EndpointState) -> ListedServer {
         let relay = self.relays.get(&(proxy, Some(server.number)));
-        Member {
+        ListedServer {
             state,
             address: relay.map_or(server.address, |relay| relay.address()),
             zone: self.shared.scenario.zones[server.zone].clone(),
@@ -154,11 +154,12 @@
         let delay = self.shared.scenario.discovery.delay;
         for proxy in 0..self.agents.len() {
             let after = random::jitter(delay, 0.5, &mut *self.random());
-            let (agent, member) = (Arc::clone(&self.agents[proxy]), self.member(proxy, server, state));
+            let (agent, listed_server) =
+                (Arc::clone(&self.agents[proxy]), self.listed_server(proxy, server, state));
             let number = server.number;
             tokio::spawn(async move {
                 sleep(Duration::from_micros(after)).await;
-                agent.update(number, member);
+                agent.update(number, listed_server);
             });
         }
     }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -28,7 +28,7 @@
     /// Another build of the program, measured in turn with the first
     #[arg(long, value_name = "PATH")]
     other: Option<PathBuf>,
-    /// Number of rounds; each measures every way once
+    /// Number of rounds; each measures every route once
     #[arg(long, default_value_t = 5, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=50))]
     rounds: u64,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Median over the rounds of the difference between a way and direct calls.
+/// Median over the rounds of the difference between a route and direct calls.
 fn added(rounds: &[Vec<Sample>], index: usize, field: fn(&Sample) -> f64) -> f64 {
     median(rounds.iter().map(|r| field(&r[index]) - field(&r[0])).collect())
 }
@@ -119,14 +119,14 @@
     all.get(all.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// A row for each way: medians, and the ratio to direct calls with its spread over the rounds.
+/// A row for each route: medians, and the ratio to direct calls with its spread over the rounds.
 fn table(rounds: &[Vec<Sample>]) -> String {
     let mut table = Table::new();
     let head = ["way", "requests/s", "of direct", "per core", "of forwarder", "p50 us", "added", "p99 us"];
     let more = ["added", "waits/request", "connections/request"];
     table.load_preset(presets::NOTHING).set_header(head.into_iter().chain(more));
-    let ways = rounds.first().map_or(0, Vec::len);
-    for (index, way) in Route::ALL.into_iter().enumerate().take(ways) {
+    let route_count = rounds.first().map_or(0, Vec::len);
+    for (index, route) in Route::ALL.into_iter().enumerate().take(route_count) {
         let median_of = |field: fn(&Sample) -> f64| median(rounds.iter().map(|r| field(&r[index])).collect());
         let ratio_to = |other: Route, field: fn(&Sample) -> f64| {
             let ratios: Vec<f64> =
@@ -144,9 +144,9 @@
                 format!("{:.4}", median(values))
             }
         };
-        let has_cpu_figure = matches!(way, Route::Forwarder | Route::Oakport | Route::Other);
+        let has_cpu_figure = matches!(route, Route::Forwarder | Route::Oakport | Route::Other);
         table.add_row([
-            way.name().to_owned(),
+            route.name().to_owned(),
             format!("{:.0}", median_of(|s| s.rate)),
             ratio_to(Route::Direct, |s| s.rate),
             if has_cpu_figure { format!("{:.0}", median_of(|s| s.per_core)) } else { "-".to_owned() },
--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Calls a second of a process: 310,000 over 6,300 processes, and five times that rate.
-const PACES: [(&str, LoadStep); 2] = [
+const LOAD_STEPS: [(&str, LoadStep); 2] = [
     ("at_49", LoadStep { rate: 49.0, duration: 9_000_000 }),
     ("at_245", LoadStep { rate: 245.0, duration: 6_000_000 }),
 ];
@@ -28,10 +28,10 @@
         Bound { figure: "at_49.failed_share", max: 0.0, min_size: 1, is_enforced: true },
         Bound { figure: "at_245.failed_share", max: 0.0, min_size: 1, is_enforced: true },
     ],
-    measure: play,
+    measure,
 };
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure(point: &Point) -> Result<Figures, MeasureError> {
     /// Most hops that the ids of requests can distinguish.
     const MAX_HOPS: usize = 200;
     if point.size > MAX_HOPS {
@@ -40,8 +40,8 @@
             point.size
         )));
     }
-    let paces = PACES.map(|(_, pace)| pace);
-    let duration = paces.iter().map(LoadStep::total_duration).sum::<Duration>() + STARTUP;
+    let steps = LOAD_STEPS.map(|(_, step)| step);
+    let duration = steps.iter().map(LoadStep::total_duration).sum::<Duration>() + STARTUP;
     if Instant::now() + duration > point.deadline {
         return Err(MeasureError::NotRun(format!(
             "the measurement takes {} s, and less time is left",
@@ -50,32 +50,34 @@
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|e| MeasureError::Failed(format!("runtime: {e}")))?;
-    let played = runtime.block_on(async {
-        let played = chain::run(&point.program, point.size, &paces, point.seed);
+    let result = runtime.block_on(async {
+        let run = chain::run(&point.program, point.size, &steps, point.seed);
         tokio::select! {
-            played = played => played.map_err(MeasureError::Failed),
+            result = run => result.map_err(MeasureError::Failed),
             () = tokio::time::sleep_until(point.deadline.into()) => {
                 Err(MeasureError::NotRun("the measurement did not end in its time".to_owned()))
             }
             _ = tokio::signal::ctrl_c() => Err(MeasureError::Failed("interrupted".to_owned())),
         }
     })?;
-    if played.outcomes.iter().any(StepResult::is_load_generator_late) {
-        let why =
+    if result.outcomes.iter().any(StepResult::is_load_generator_late) {
+        let reason =
             "the test cluster itself was too late to judge: more than 20 ms at p99; run it on idle cores";
-        return Err(MeasureError::NotRun(why.to_owned()));
+        return Err(MeasureError::NotRun(reason.to_owned()));
     }
-    Ok(figures(&played))
+    Ok(figures(&result))
 }
 
-fn figures(played: &ChainResult) -> Figures {
-    let mut figures = Figures::from([("memory_bytes".to_owned(), played.memory_bytes)]);
-    for ((rate, _), StepResult { proxies, direct, cpu_share, late }) in PACES.iter().zip(&played.outcomes) {
+fn figures(result: &ChainResult) -> Figures {
+    let mut figures = Figures::from([("memory_bytes".to_owned(), result.memory_bytes)]);
+    for ((rate, _), StepResult { proxies, direct, cpu_share, late }) in
+        LOAD_STEPS.iter().zip(&result.outcomes)
+    {
         let mut add = |name: &str, value: f64| figures.insert(format!("{rate}.{name}"), value);
         let failed_share =
-            |trip: &chain::PathResult| 1.0 - trip.answered as f64 / (trip.sent as f64).max(1.0);
+            |path: &chain::PathResult| 1.0 - path.answered as f64 / (path.sent as f64).max(1.0);
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-            let time = |trip: &chain::PathResult| trip.latencies.value_at_quantile(quantile) as f64;
+            let time = |path: &chain::PathResult| path.latencies.value_at_quantile(quantile) as f64;
             add(&format!("added_{name}_us"), time(proxies) - time(direct));
         }
         add("direct_p99_us", direct.latencies.value_at_quantile(0.99) as f64);
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -98,7 +98,7 @@
         Bound { figure: "of_6.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
         Bound { figure: "of_60.rules_broken", max: 0.0, min_size: 1, is_enforced: true },
     ],
-    measure: play,
+    measure,
 };
 
 /// What happens after the first two windows.
@@ -154,7 +154,7 @@
     deadline: Instant,
     /// Processor time of an empty measurement.
     overhead: Duration,
-    late: Cell<bool>,
+    is_late: Cell<bool>,
     events: Cell<u64>,
     cpu_time: Cell<Duration>,
     memory: RefCell<Vec<i64>>,
@@ -170,7 +170,7 @@
         Meter {
             deadline,
             overhead: (thread_cpu_time() - begin) / TRIES,
-            late: Cell::new(false),
+            is_late: Cell::new(false),
             events: Cell::new(0),
             cpu_time: Cell::new(Duration::ZERO),
             memory: RefCell::default(),
@@ -184,9 +184,9 @@
 }
 
 /// Runs a function; returns its processor time and by how many bytes the allocated memory has grown.
-fn measured(act: impl FnOnce()) -> (Duration, i64) {
+fn measured(function: impl FnOnce()) -> (Duration, i64) {
     let begin = thread_cpu_time();
-    let allocated = allocation_counter::measure(act);
+    let allocated = allocation_counter::measure(function);
     (thread_cpu_time() - begin, allocated.bytes_current)
 }
 
@@ -215,9 +215,9 @@
         /// is measured.
         const RESERVED_ACTIONS: usize = 256;
         let meter = &self.meter;
-        if meter.late.get() || Instant::now() > meter.deadline {
+        if meter.is_late.get() || Instant::now() > meter.deadline {
             // The simulation cannot be stopped, but without decisions it ends soon.
-            return meter.late.set(true);
+            return meter.is_late.set(true);
         }
         actions.reserve(RESERVED_ACTIONS);
         // The memory of an event was allocated outside the measurement but is freed within it.
@@ -247,9 +247,9 @@
     let make = |seed: u64, settings: &Settings| Metered::make(seed, settings, &meter);
     let scenario = disturbance.scenario(balancers, servers)?;
     let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.visibility(), &make, seed);
-    if meter.late.get() {
-        let why = format!("{disturbance:?} with {servers} servers did not end in its time");
-        return Err(MeasureError::NotRun(why));
+    if meter.is_late.get() {
+        let reason = format!("{disturbance:?} with {servers} servers did not end in its time");
+        return Err(MeasureError::NotRun(reason));
     }
     Ok(Simulated {
         verdict,
@@ -264,12 +264,12 @@
 fn served(windows: &[Window]) -> f64 {
     let sum = |part: fn(&Window) -> f64| windows.iter().map(part).sum::<f64>();
     match sum(|w| w.requested_weight) {
-        worth if worth > 0.0 => sum(|w| w.served_weight) / worth,
+        requested if requested > 0.0 => sum(|w| w.served_weight) / requested,
         _ => 1.0,
     }
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure(point: &Point) -> Result<Figures, MeasureError> {
     let mut figures = Figures::new();
     for servers in SERVICE_SIZES {
         let simulate =
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -16,7 +16,7 @@
 //!   times the number of changes, plus the cost of the idle process.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
-use crate::cluster::discovery::{Agent, Member};
+use crate::cluster::discovery::{Agent, ListedServer};
 use crate::cluster::process_stats;
 use crate::cluster::processes::ProxySupervisor;
 use crate::cluster::record::Shared;
@@ -47,7 +47,7 @@
         budget("pushed.whole.bytes", BYTES_PER_S),
         budget("pushed.zone.bytes", BYTES_PER_S),
     ],
-    measure: play,
+    measure: measure_fully,
 };
 
 /// The operators' budgets.
@@ -115,7 +115,7 @@
     };
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_fully(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::FULL)
 }
 
@@ -217,10 +217,10 @@
     }
 
     /// The list entry of a server.
-    fn list_entry(&self, server: usize, state: EndpointState) -> Member {
+    fn list_entry(&self, server: usize, state: EndpointState) -> ListedServer {
         // Nothing listens at this address, and nothing is sent there.
         let [_, _, high, low] = (server as u32).to_be_bytes();
-        Member {
+        ListedServer {
             state,
             address: SocketAddr::from((Ipv4Addr::new(127, 9, high, low), 1)),
             zone: format!("zone-{:02}", server % ZONES),
@@ -233,7 +233,7 @@
         &self,
         servers: impl Iterator<Item = usize>,
         state: EndpointState,
-    ) -> Vec<(usize, Member)> {
+    ) -> Vec<(usize, ListedServer)> {
         servers.map(|server| (server, self.list_entry(server, state))).collect()
     }
 
@@ -370,19 +370,19 @@
     let before = process.usage()?;
     sleep(extent.quiet).await;
     let after = process.usage()?;
-    let second = extent.quiet.as_secs_f64();
-    let quiet = [(after.cpu_s - before.cpu_s) / second, (after.bytes - before.bytes) as f64 / second];
+    let seconds = extent.quiet.as_secs_f64();
+    let quiet = [(after.cpu_s - before.cpu_s) / seconds, (after.bytes - before.bytes) as f64 / seconds];
     add("quiet.cpu_share", quiet[0]);
     add("quiet.bytes_per_s", quiet[1]);
 
-    let mut beat = interval(extent.pause);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticker = interval(extent.pause);
+    ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut usages = Vec::new();
     for restart in 0..extent.restarts {
         // Far apart in the list, as machines that fail on one day are.
         let server = restart * size / extent.restarts;
         for state in STATES_PER_EVENT {
-            beat.tick().await;
+            ticker.tick().await;
             let change = || process.agent.update_all([(server, process.list_entry(server, state))]);
             usages.push(process.cost(change).await?);
         }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -189,7 +189,7 @@
     let specs: Vec<RoleSpec> = Role::value_variants().iter().map(|role| role.spec(false)).collect();
     let text = std::fs::read_to_string(page).map_err(|e| e.to_string())?;
     let folder = page.parent().unwrap_or_else(|| Path::new("."));
-    std::fs::write(page, page::draw(&text, folder, &specs)?).map_err(|e| e.to_string())
+    std::fs::write(page, page::regenerate(&text, folder, &specs)?).map_err(|e| e.to_string())
 }
 
 fn table(spec: RoleSpec, results: &ResultsBySize) -> String {
--- a/crates/testbed/src/scale/page.rs
+++ b/crates/testbed/src/scale/page.rs
@@ -33,25 +33,25 @@
 ///
 /// # Errors
 /// A file, a role or a figure is missing, or a table has no end line.
-pub fn draw(page: &str, folder: &Path, specs: &[RoleSpec]) -> Result<String, String> {
-    let mut drawn = String::new();
+pub fn regenerate(page: &str, folder: &Path, specs: &[RoleSpec]) -> Result<String, String> {
+    let mut regenerated = String::new();
     let mut lines = page.lines().enumerate();
     while let Some((number, line)) = lines.next() {
-        drawn.push_str(line);
-        drawn.push('\n');
+        regenerated.push_str(line);
+        regenerated.push('\n');
         let Some(request) = line.strip_prefix(BEGIN).and_then(|rest| rest.strip_suffix(" -->")) else {
             continue;
         };
         let with_line = |e| format!("line {}: {e}", number + 1);
-        drawn.push('\n');
-        drawn.push_str(&table(request, folder, specs).map_err(with_line)?);
-        drawn.push('\n');
+        regenerated.push('\n');
+        regenerated.push_str(&table(request, folder, specs).map_err(with_line)?);
+        regenerated.push('\n');
         let end = lines.find(|(_, line)| *line == END);
         end.ok_or_else(|| with_line(format!("the table has no end: no line '{END}' follows")))?;
-        drawn.push_str(END);
-        drawn.push('\n');
+        regenerated.push_str(END);
+        regenerated.push('\n');
     }
-    Ok(drawn)
+    Ok(regenerated)
 }
 
 fn table(request: &str, folder: &Path, specs: &[RoleSpec]) -> Result<String, String> {
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -24,12 +24,12 @@
     size_unit: "members",
     sizes: &[60, 300, 1_000, 3_000, 6_300],
     bounds: &BOUNDS,
-    measure: play,
+    measure: measure_in_one_scope,
 };
 
 /// The same with one scope for each zone.
 pub const ROLE_WITH_SCOPES: RoleSpec =
-    RoleSpec { size_unit: "members in scopes", measure: play_in_scopes, ..ROLE };
+    RoleSpec { size_unit: "members in scopes", measure: measure_in_zone_scopes, ..ROLE };
 
 /// Budget of a process for membership traffic.
 const MAX_BYTES_PER_S: f64 = 22_000.0;
@@ -69,14 +69,14 @@
     budget("healed.s_until_agreed", 15.0),
 ];
 
-/// Members of a rack, if the fleet has at least `SMALL_SITE_RACKS` times as many.
+/// Members of a rack, if the fleet has at least `SMALL_FLEET_RACKS` times as many.
 const MAX_RACK_MEMBERS: usize = 40;
 /// Number of racks of a smaller fleet.
-const SMALL_SITE_RACKS: usize = 15;
+const SMALL_FLEET_RACKS: usize = 15;
 /// Deaths and restarts on an ordinary day.
 const DAILY_DEATHS_AND_RESTARTS: [usize; 2] = [35, 810];
-/// Time into which the events of an ordinary day are compressed.
-const DAY_LENGTH_US: Micros = 3_600 * SECOND_US;
+/// Duration into which the events of an ordinary day are compressed.
+const COMPRESSED_DAY_US: Micros = 3_600 * SECOND_US;
 /// Time between the leaving of a member and its restart.
 const RESTART_US: Micros = 2 * SECOND_US;
 /// Time within which all members start.
@@ -124,11 +124,11 @@
     ];
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_in_one_scope(point: &Point) -> Result<Figures, MeasureError> {
     run_phases(point, Scopes::One, &Phase::ALL)
 }
 
-fn play_in_scopes(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_in_zone_scopes(point: &Point) -> Result<Figures, MeasureError> {
     run_phases(point, Scopes::Zones, &Phase::ALL)
 }
 
@@ -147,7 +147,7 @@
         Err(MeasureError::NotRun(reason)) if !figures.is_empty() => {
             Err(MeasureError::Partial(figures, reason))
         }
-        Err(stopped) => Err(stopped),
+        Err(error) => Err(error),
     }
 }
 
@@ -209,12 +209,12 @@
     }
 }
 
-/// Whether a member knows that another is gone. Of other scopes it knows only the number of members.
-fn knows_gone(node: &Node, gone: usize, size: usize, running: &[usize; ZONES]) -> bool {
-    let zone = topology::zone(gone, size);
+/// Whether a member knows that another has stopped. Of other scopes it knows only the number of members.
+fn knows_stopped(node: &Node, stopped: usize, size: usize, running: &[usize; ZONES]) -> bool {
+    let zone = topology::zone(stopped, size);
     match topology::zone_index(node.scope()) {
         Some(own) if own != zone => count_in_zone(node, zone) <= running[zone],
-        _ => !node.members().get(topology::address(gone)).is_some_and(|seen| seen.status.is_live()),
+        _ => !node.members().get(topology::address(stopped)).is_some_and(|seen| seen.status.is_live()),
     }
 }
 
@@ -224,15 +224,19 @@
     network.run_until_known(timeout, 1, |node, _| usize::from(knows_all(node, &running)))
 }
 
-/// Runs until all members know that these are gone.
-fn run_until_gone_known(
+/// Runs until all running members know that these have stopped.
+fn run_until_stop_known(
     network: &mut Network,
     timeout: Micros,
-    gone: &[usize],
+    stopped: &[usize],
 ) -> Result<Propagation, MeasureError> {
     let (size, running) = (network.size(), network.running());
-    network.run_until_known(timeout, gone.len(), |node, known| {
-        known + gone[known..].iter().take_while(|gone| knows_gone(node, **gone, size, &running)).count()
+    network.run_until_known(timeout, stopped.len(), |node, known| {
+        known
+            + stopped[known..]
+                .iter()
+                .take_while(|stopped| knows_stopped(node, **stopped, size, &running))
+                .count()
     })
 }
 
@@ -317,7 +321,7 @@
 }
 
 /// Runs until the byte rate has settled; returns the seconds that it took.
-fn settle(network: &mut Network) -> Result<f64, MeasureError> {
+fn run_until_settled(network: &mut Network) -> Result<f64, MeasureError> {
     const MAX_SECONDS: f64 = 120.0;
     let span = phase_seconds(network, 5.0, 2.0);
     let (mut before, mut settled) = (f64::INFINITY, 0.0);
@@ -337,12 +341,12 @@
 
 /// Measures a settled fleet without events.
 fn quiet(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
-    let settled = settle(network)?;
+    let settling_s = run_until_settled(network)?;
     network.start_tally();
     run_to(network, phase_seconds(network, 30.0, 10.0))?;
     let tally = network.tally().clone();
     add(figures, "quiet", &tally);
-    figures.insert("quiet.s_until_settled".to_owned(), settled);
+    figures.insert("quiet.s_until_settled".to_owned(), settling_s);
     let memory: Vec<usize> = network.memory().collect();
     let mean = memory.iter().sum::<usize>() as f64 / memory.len().max(1) as f64;
     figures.insert("memory_bytes".to_owned(), mean);
@@ -356,7 +360,7 @@
     network.start_tally();
     let dead = network.size() / 2;
     network.crash(dead);
-    let propagation = run_until_gone_known(network, 20 * SECOND_US, &[dead])?;
+    let propagation = run_until_stop_known(network, 20 * SECOND_US, &[dead])?;
     run_to(network, phase_seconds(network, 10.0, 5.0))?;
     add(figures, "death", &network.tally().clone());
     add_propagation(figures, "death", propagation);
@@ -371,11 +375,11 @@
 
 /// A rack loses power and restarts.
 fn rack(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
-    settle(network)?;
+    run_until_settled(network)?;
     network.start_tally();
-    let rack: Vec<usize> = (0..MAX_RACK_MEMBERS.min(network.size() / SMALL_SITE_RACKS)).collect();
+    let rack: Vec<usize> = (0..MAX_RACK_MEMBERS.min(network.size() / SMALL_FLEET_RACKS)).collect();
     rack.iter().for_each(|member| network.crash(*member));
-    let propagation = run_until_gone_known(network, 30 * SECOND_US, &rack)?;
+    let propagation = run_until_stop_known(network, 30 * SECOND_US, &rack)?;
     run_to(network, phase_seconds(network, 15.0, 8.0))?;
     add(figures, "rack", &network.tally().clone());
     add_propagation(figures, "rack", propagation);
@@ -386,12 +390,12 @@
 
 /// A zone loses power and restarts half a minute later.
 fn zone(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
-    settle(network)?;
+    run_until_settled(network)?;
     network.start_tally();
     let size = network.size();
     let zone: Vec<usize> = (0..size).filter(|member| topology::zone(*member, size) == 1).collect();
     zone.iter().for_each(|member| network.crash(*member));
-    let propagation = run_until_gone_known(network, 30 * SECOND_US, &zone)?;
+    let propagation = run_until_stop_known(network, 30 * SECOND_US, &zone)?;
     run_to(network, phase_seconds(network, 30.0, 15.0))?;
     let tally = network.tally().clone();
     add(figures, "zone", &tally);
@@ -408,7 +412,7 @@
 
 /// A region is partitioned from the others for three minutes.
 fn partition(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
-    settle(network)?;
+    run_until_settled(network)?;
     network.start_tally();
     network.set_partition(Some(1));
     network.run_for(180 * SECOND_US)?;
@@ -433,12 +437,12 @@
 
 /// Some minutes of an ordinary day whose events are compressed into an hour.
 fn ordinary_day(network: &mut Network, figures: &mut Figures) -> Result<(), MeasureError> {
-    settle(network)?;
+    run_until_settled(network)?;
     network.start_tally();
     let size = network.size();
     let length = phase_seconds(network, 180.0, 30.0) as u64 * SECOND_US;
     let [deaths, restarts] = DAILY_DEATHS_AND_RESTARTS;
-    let interval = DAY_LENGTH_US / (deaths + restarts) as Micros;
+    let interval = COMPRESSED_DAY_US / (deaths + restarts) as Micros;
     let mut down: Option<usize> = None;
     for event in 0..(length / interval) as usize {
         let begin = network.elapsed_s();
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -202,9 +202,10 @@
             let Some(to) = topology::member_at(*to).filter(|to| *to < conditions.size) else { continue };
             let region = |member| topology::region(member, conditions.size);
             let crosses = region(self.number) != region(to);
-            let cut = |parted| crosses && (region(self.number) == parted || region(to) == parted);
+            let is_cut =
+                |partitioned| crosses && (region(self.number) == partitioned || region(to) == partitioned);
             let lost = conditions.loss_share > 0.0 && self.random.gen_bool(conditions.loss_share);
-            if conditions.partitioned_region.is_some_and(cut) || lost {
+            if conditions.partitioned_region.is_some_and(is_cut) || lost {
                 continue;
             }
             let at = now + topology::latency(self.number, to, conditions.size, &mut self.random);
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -67,9 +67,9 @@
     pub max_cpu_ns: u64,
     /// Lowest live count of any member.
     pub min_live_count: usize,
-    /// How often a member was declared dead that ran and could be reached.
+    /// How often a running, reachable member was declared dead.
     pub false_dead: u64,
-    /// How often a scope was declared silent of which members ran and could be reached.
+    /// How often a scope with running, reachable members was declared silent.
     pub false_silent: u64,
     cpu_ns_by_member: Vec<u64>,
 }
@@ -295,21 +295,21 @@
             work.push((member, events));
         }
         let conditions = &self.conditions;
-        let play = |(member, events): (&mut Member, &mut [Event])| {
+        let run_member = |(member, events): (&mut Member, &mut [Event])| {
             let result = member.run_window(events, end, conditions);
-            let wake = result.due.map(|due| member.timer_at(due));
-            (result, wake)
+            let timer = result.due.map(|due| member.timer_at(due));
+            (result, timer)
         };
         let results: Vec<(WindowResult, Option<Event>)> = if work.len() < MIN_PARALLEL_MEMBERS {
-            work.into_iter().map(play).collect()
+            work.into_iter().map(run_member).collect()
         } else {
-            work.into_par_iter().with_min_len(MIN_PARALLEL_MEMBERS / 2).map(play).collect()
+            work.into_par_iter().with_min_len(MIN_PARALLEL_MEMBERS / 2).map(run_member).collect()
         };
         self.now = end;
-        for (result, wake) in results {
+        for (result, timer) in results {
             result.dead.iter().for_each(|dead| self.count_false_dead(*dead));
             result.silent.iter().for_each(|scope| self.count_false_silent(scope));
-            result.sent.into_iter().chain(wake).for_each(|event| self.schedule(event));
+            result.sent.into_iter().chain(timer).for_each(|event| self.schedule(event));
         }
         if self.now >= self.tally.second_start + SECOND_US {
             self.close_second();
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -59,7 +59,7 @@
         expected_zero("wrong_100.old_lost"),
         expected_zero("calls.failed"),
     ],
-    measure: play,
+    measure: measure_fully,
 };
 
 /// The operators' budget for a change of settings.
@@ -111,7 +111,7 @@
         Extent { changes: 5, pause: Duration::from_millis(400), interval: Duration::from_millis(100) };
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_fully(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::FULL)
 }
 
@@ -298,7 +298,7 @@
     failed: AtomicU64,
 }
 
-/// Runs an application, without end.
+/// Runs an application. Never returns.
 async fn application(mut client: Client, number: usize, count: usize, calls: Arc<Calls>) {
     // Spreads the calls of the applications over the interval.
     sleep(CALL_INTERVAL * number as u32 / count.max(1) as u32).await;
@@ -538,14 +538,14 @@
     // Keeps the class, so that only one value differs.
     let before = fleet.reports_without_counters().await?;
     let settings = Settings::Objective(version);
-    let mut taken = Vec::new();
+    let mut accepted_files = Vec::new();
     for proxy in &fleet.proxies {
-        taken.push(proxy.count("reconfig_ok").await? + 1);
+        accepted_files.push(proxy.count("reconfig_ok").await? + 1);
     }
     fleet.change(settings)?;
-    for (proxy, taken) in fleet.proxies.iter().zip(&taken) {
+    for (proxy, accepted) in fleet.proxies.iter().zip(&accepted_files) {
         let begin = Instant::now();
-        while proxy.count("reconfig_ok").await? < *taken && begin.elapsed() < MAX_WAIT {
+        while proxy.count("reconfig_ok").await? < *accepted && begin.elapsed() < MAX_WAIT {
             sleep(fleet.pause).await;
         }
     }
@@ -565,8 +565,8 @@
     fleet.wait_until_in_force(settings, &since, &mut times).await;
     times.add_to("ten", &mut figures);
     let mut least = RAPID_CHANGES;
-    for (proxy, taken) in fleet.proxies.iter().zip(&taken) {
-        least = least.min(proxy.count("reconfig_ok").await?.saturating_sub(*taken));
+    for (proxy, accepted) in fleet.proxies.iter().zip(&accepted_files) {
+        least = least.min(proxy.count("reconfig_ok").await?.saturating_sub(*accepted));
     }
     figures.insert("ten.taken_least".to_owned(), least as f64);
 
@@ -581,7 +581,7 @@
         figures.insert(format!("known_{servers}.cpu_s"), cpu_s);
         figures.insert(format!("known_{servers}.longest_call_ms"), longest);
     }
-    // Gives all processes the same settings again.
+    // Restores the same settings in all processes.
     version += 1;
     settings = Settings::Version(version);
     since = fleet.change(settings)?;
@@ -591,13 +591,13 @@
 
     for ((name, faults), files) in INVALID_FILES.into_iter().zip(1..) {
         version += 1;
-        let wrong = Settings::Invalid(version, faults);
+        let invalid = Settings::Invalid(version, faults);
         let before = fleet.log_lengths()?;
-        fleet.change(wrong)?;
-        let not_told = fleet.wait_until_rejected(files).await?;
-        let (in_force, old_lost) = (fleet.serving(wrong).await, size - fleet.serving(settings).await);
+        fleet.change(invalid)?;
+        let not_rejected = fleet.wait_until_rejected(files).await?;
+        let (in_force, old_lost) = (fleet.serving(invalid).await, size - fleet.serving(settings).await);
         let [lines, bytes] = fleet.log_output_since(&before)?;
-        let counted = [("not_told", not_told), ("in_force", in_force), ("old_lost", old_lost)];
+        let counted = [("not_told", not_rejected), ("in_force", in_force), ("old_lost", old_lost)];
         let logged = [("log_lines", lines), ("log_bytes", bytes)];
         let all = counted.into_iter().chain(logged);
         figures.extend(all.map(|(figure, n)| (format!("{name}.{figure}"), n as f64)));
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -46,23 +46,23 @@
     std::fs::write(folder.path().join("a.json"), JSON).expect("written");
     let page = "# Page\n<!-- scale a.json peers quiet.cpu_share memory_bytes -->\nold\n<!-- end -->\nText.\n\
                 <!-- scale a.json order -->\n<!-- end -->\n";
-    let drawn = page::draw(page, folder.path(), SPECS).expect("drawn");
-    assert!(!drawn.contains("old") && drawn.contains("Text."), "{drawn}");
+    let regenerated = page::regenerate(page, folder.path(), SPECS).expect("regenerated");
+    assert!(!regenerated.contains("old") && regenerated.contains("Text."), "{regenerated}");
     let row = "| `quiet.cpu_share` | 1.00e-3 | 0.0100 | not run | 1.00 | 0.1050 computed | 0.0180 | 1080 computed |";
-    assert!(drawn.contains(row), "{drawn}");
-    assert!(drawn.contains("Not run at 6300: no time."), "{drawn}");
-    assert!(drawn.contains("| 5000 | 60 to 600 |"), "{drawn}");
-    let order: Vec<&str> = drawn.lines().filter(|line| line.contains(" members | peers | ")).collect();
+    assert!(regenerated.contains(row), "{regenerated}");
+    assert!(regenerated.contains("Not run at 6300: no time."), "{regenerated}");
+    assert!(regenerated.contains("| 5000 | 60 to 600 |"), "{regenerated}");
+    let order: Vec<&str> = regenerated.lines().filter(|line| line.contains(" members | peers | ")).collect();
     let figures = ["start.bytes", "memory_bytes", "quiet.cpu_share"];
-    assert_eq!(order.len(), figures.len(), "{drawn}");
+    assert_eq!(order.len(), figures.len(), "{regenerated}");
     assert!(order.iter().zip(figures).all(|(line, figure)| line.contains(figure)), "{order:#?}");
-    assert_eq!(page::draw(&drawn, folder.path(), SPECS).expect("drawn again"), drawn);
+    assert_eq!(page::regenerate(&regenerated, folder.path(), SPECS).expect("regenerated again"), regenerated);
     // If two files contain the same role, the last one counts.
     let later = JSON.replace("0.001", "0.002");
     std::fs::write(folder.path().join("b.json"), later).expect("written");
     let both = page.replace("a.json peers", "a.json,b.json peers");
-    let drawn = page::draw(&both, folder.path(), SPECS).expect("drawn from both");
-    assert!(drawn.contains("| `quiet.cpu_share` | 2.00e-3 |"), "{drawn}");
+    let regenerated = page::regenerate(&both, folder.path(), SPECS).expect("regenerated from both");
+    assert!(regenerated.contains("| `quiet.cpu_share` | 2.00e-3 |"), "{regenerated}");
 }
 
 #[test]
@@ -71,13 +71,13 @@
     std::fs::write(folder.path().join("a.json"), JSON).expect("written");
     let draw = |request: &str| {
         let page = format!("# Page\n<!-- scale {request} -->\n<!-- end -->\n");
-        page::draw(&page, folder.path(), SPECS).expect_err("nothing to generate from")
+        page::regenerate(&page, folder.path(), SPECS).expect_err("nothing to generate from")
     };
     assert!(draw("b.json peers x").contains("line 2: b.json: "));
     assert_eq!(draw("a.json"), "line 2: expected a file, a role and figures");
     assert_eq!(draw("a.json calls x"), "line 2: unknown role 'calls'");
     assert_eq!(draw("a.json peers x"), "line 2: a.json has no figure 'x' of peers");
     let page = "<!-- scale a.json peers memory_bytes -->\n";
-    let error = page::draw(page, folder.path(), SPECS).expect_err("the end line is missing");
+    let error = page::regenerate(page, folder.path(), SPECS).expect_err("the end line is missing");
     assert!(error.starts_with("line 1: the table has no end"), "{error}");
 }
