--- a/crates/testbed/src/cluster/chain.rs
+++ b/crates/testbed/src/cluster/chain.rs
@@ -30,7 +30,8 @@
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Extra time beyond its deadline for which a caller still waits for a response.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
-/// Delay of a direct call after the same call through the proxies, so that the servers it went to are known.
+/// Delay of a direct call after the same call through the proxies, so that the servers that received it are
+/// known.
 const DIRECT_DELAY_US: Micros = 500_000;
 /// Delay before the first call of a load step, so that the timer thread is running by then.
 const START_DELAY: Duration = Duration::from_millis(5);
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Calls the next hop on behalf of a server; at the last hop there is nothing to call.
+    /// Calls the next hop on behalf of a server; succeeds at once at the last hop.
     async fn call_next_hop(&self, id: Id, time_left: Duration) -> bool {
         usize::from(id.hop) + 1 == self.hops.len() || self.call(Id { hop: id.hop + 1, ..id }, time_left).await
     }
--- a/crates/testbed/src/cluster/clients.rs
+++ b/crates/testbed/src/cluster/clients.rs
@@ -193,7 +193,7 @@
         }
         let end = match timeout_at(shared.instant(deadline), TcpStream::connect(self.address)).await {
             Ok(Ok(stream)) => {
-                // Without the option the exchange is only slower.
+                // Best effort: TCP_NODELAY only reduces latency.
                 let _ = stream.set_nodelay(true);
                 match timeout_at(give_up, self.exchange((stream, BytesMut::new()), &this_try)).await {
                     Ok(Some(end)) => end,
--- a/crates/testbed/src/cluster/discovery.rs
+++ b/crates/testbed/src/cluster/discovery.rs
@@ -273,12 +273,12 @@
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(Arc::clone(&self).connection(stream));
+                tokio::spawn(Arc::clone(&self).serve_connection(stream));
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
         while let Ok(message) = http::read(&mut stream, &mut buffer, MessageKind::Request).await {
             self.shared.record(Observation::ListRequested { proxy: self.proxy, at: self.shared.now() });
--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -1,4 +1,4 @@
-//! Plays the events of a scenario: applies each fault to the affected servers and proxies, and removes it at
+//! Runs the events of a scenario: applies each fault to the affected servers and proxies, and removes it at
 //! its end.
 
 use super::clients::App;
@@ -39,8 +39,8 @@
 }
 
 impl TestCluster {
-    /// Plays one event from its start to its end.
-    pub async fn play_event(self: Arc<Self>, number: usize) {
+    /// Runs one event from its start to its end.
+    pub async fn run_event(self: Arc<Self>, number: usize) {
         let event = self.site.shared.scenario.events[number].clone();
         let (begin, end) = (self.site.shared.at(event.at), self.site.shared.at(event.at + event.duration));
         self.site.shared.sleep_until(begin).await;
--- a/crates/testbed/src/cluster/forwarder.rs
+++ b/crates/testbed/src/cluster/forwarder.rs
@@ -1,4 +1,4 @@
-//! The testbed's forwarder forwarder, which sends each request to a random server. It is the baseline for the
+//! The testbed's forwarder, which sends each request to a random server. It is the baseline for the
 //! cost of a hop and, with `--broken`, violates one rule so that the judge can be tested.
 
 use super::http::{self, Message, MessageKind};
--- a/crates/testbed/src/cluster/hops.rs
+++ b/crates/testbed/src/cluster/hops.rs
@@ -202,7 +202,7 @@
                 sample.cost = admin.since(before, requests).await;
             }
             samples.push(sample);
-            // No judge evaluates this run, so the recorded events are dropped.
+            // No judge evaluates this run, so the observations are discarded.
             shared.take_observations();
         }
         if round > 0 {
--- a/crates/testbed/src/cluster/judge.rs
+++ b/crates/testbed/src/cluster/judge.rs
@@ -1,4 +1,4 @@
-//! Evaluates the observations of a play: rule violations, figures, and the expectations of the scenario.
+//! Evaluates the observations of a run: rule violations, figures, and the expectations of the scenario.
 
 use super::calls::ListCalls;
 use super::clients::LATE_TOLERANCE_US;
@@ -67,7 +67,7 @@
     pub connections: usize,
 }
 
-/// The result of a play.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// Figures by their dotted names.
@@ -130,7 +130,7 @@
     }
 }
 
-/// The observations of a play, sorted by kind, and the violations found so far.
+/// The observations of a run, sorted by kind, and the violations found so far.
 struct Evidence<'a> {
     shared: &'a Shared,
     zones: Vec<usize>,
@@ -161,7 +161,7 @@
     unjudged: u64,
 }
 
-/// Evaluates a play. `servers` lists the zone and the release of each server.
+/// Evaluates a run. `servers` lists the zone and the release of each server.
 pub fn judge(shared: &Shared, servers: &[(usize, String)]) -> Verdict {
     let (observations, lateness) = shared.take_observations();
     let mut evidence = Evidence {
@@ -468,11 +468,11 @@
     fn check_endpoints(&mut self) {
         let grace = self.shared.scenario.discovery.drain_grace + LATE_TOLERANCE_US;
         let mut found = Vec::new();
-        let left = self
+        let not_ready = self
             .notified_states
             .iter()
             .filter(|(_, states)| states.iter().any(|(_, state)| *state != EndpointState::Ready));
-        self.last_attempt_after_notice = left.map(|(pair, _)| (*pair, 0)).collect();
+        self.last_attempt_after_notice = not_ready.map(|(pair, _)| (*pair, 0)).collect();
         for attempt in self.attempts.values() {
             let proxy = self.shared.arrivals[attempt.request].proxy;
             let states = self.notified_states.get(&(proxy, attempt.server)).map_or(&[][..], Vec::as_slice);
--- a/crates/testbed/src/cluster/links.rs
+++ b/crates/testbed/src/cluster/links.rs
@@ -60,7 +60,7 @@
         let accepting = Arc::clone(&relay);
         tokio::spawn(async move {
             let on_connection = |stream, generation| {
-                tokio::spawn(Arc::clone(&accepting).connection(stream, target, generation));
+                tokio::spawn(Arc::clone(&accepting).serve_connection(stream, target, generation));
             };
             accepting.listener.serve(on_connection).await;
         });
@@ -84,7 +84,7 @@
         self.faults.send_replace(faults);
     }
 
-    async fn connection(self: Arc<Self>, near: TcpStream, target: SocketAddr, generation: u32) {
+    async fn serve_connection(self: Arc<Self>, near: TcpStream, target: SocketAddr, generation: u32) {
         let mut state = self.listener.watch();
         let far = tokio::select! {
             // An established connection is reset below, on both sides.
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -86,9 +86,15 @@
     let mut supervisors = Vec::new();
     for (number, agent) in site.agents.iter().enumerate() {
         let logs = config.logs.as_deref();
-        let mut supervisor =
-            ProxySupervisor::new(&shared, agent, number, site.discovery_of(number), inherits_listener, logs)
-                .map_err(setup_error)?;
+        let mut supervisor = ProxySupervisor::new(
+            &shared,
+            agent,
+            number,
+            site.discovery_address(number),
+            inherits_listener,
+            logs,
+        )
+        .map_err(setup_error)?;
         if let Some(peer) = peers.next() {
             supervisor.set_peer(peer);
         }
@@ -106,7 +112,7 @@
     let mut tasks = JoinSet::new();
     let mut requests = JoinSet::new();
     for number in 0..scenario.events.len() {
-        tasks.spawn(Arc::clone(&cluster).play_event(number));
+        tasks.spawn(Arc::clone(&cluster).run_event(number));
     }
     tasks.spawn(Arc::clone(&cluster).monitor());
     for (proxy, admin) in admin_endpoints.into_iter().enumerate() {
--- a/crates/testbed/src/cluster/process_faults.rs
+++ b/crates/testbed/src/cluster/process_faults.rs
@@ -40,7 +40,7 @@
         while all.join_next().await.is_some() {}
     }
 
-    /// Plays an event on one proxy process.
+    /// Applies an event to one proxy process.
     pub(super) async fn apply_process_fault(self: Arc<Self>, proxy: usize, event: FaultSpec, end: Micros) {
         match event.kind {
             FaultKind::Stall => {
--- a/crates/testbed/src/cluster/processes.rs
+++ b/crates/testbed/src/cluster/processes.rs
@@ -38,7 +38,7 @@
     pub launcher: PathBuf,
     /// The executable of the proxy.
     pub path: PathBuf,
-    /// Its arguments.
+    /// Arguments of the executable.
     pub arguments: Vec<String>,
     /// Additional environment variables.
     pub environment: Vec<(String, String)>,
@@ -63,13 +63,13 @@
 
 /// Addresses of a proxy as a member of the membership.
 pub struct Peer {
-    /// Address at which it sends and receives datagrams.
+    /// Address at which the proxy sends and receives datagrams.
     pub address: SocketAddr,
-    /// Address at which the others reach it.
+    /// Address at which the other proxies reach this one.
     pub advertise: SocketAddr,
     /// Peers that it contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// Admin endpoint, which reports its view.
+    /// Admin endpoint, which reports the proxy's view of the membership.
     pub admin: SocketAddr,
     /// Reserves the address of the admin endpoint.
     pub _holder: Socket,
@@ -269,7 +269,7 @@
             if let Some(status) = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten()) {
                 return Err(format!("proxy n{} ended before it was ready: {status}", self.number));
             }
-            if timeout(START_TIMEOUT, healthy(self.address)).await.is_ok_and(|healthy| healthy) {
+            if timeout(START_TIMEOUT, is_healthy(self.address)).await.is_ok_and(|healthy| healthy) {
                 return Ok(());
             }
             if Instant::now() > deadline {
@@ -381,7 +381,7 @@
 }
 
 /// Whether a proxy answers its health check with 200.
-async fn healthy(address: SocketAddr) -> bool {
+async fn is_healthy(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address).await else { return false };
     let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: localhost\r\n\r\n").await;
     let mut start = [0; 12];
--- a/crates/testbed/src/cluster/record.rs
+++ b/crates/testbed/src/cluster/record.rs
@@ -1,5 +1,5 @@
 //! Observations of all parts of the test cluster, timed by one shared clock. `judge` evaluates them after the
-//! play.
+//! run.
 
 use hdrhistogram::Histogram;
 use oakport_core::{EndpointState, Micros, Outcome};
@@ -169,9 +169,9 @@
     OpenConnections { at: Micros, open: usize },
 }
 
-/// The state that all parts of a play share: scenario, seed, requests, clock and observations.
+/// The state that all parts of a run share: scenario, seed, requests, clock and observations.
 pub struct Shared {
-    /// The scenario that is played.
+    /// The scenario of the run.
     pub scenario: Scenario,
     /// The seed of all random streams.
     pub seed: u64,
--- a/crates/testbed/src/cluster/servers.rs
+++ b/crates/testbed/src/cluster/servers.rs
@@ -50,8 +50,8 @@
     cold_arrivals: Window<()>,
     /// Notifies the connection of an attempt when the work is done.
     waiting: HashMap<usize, oneshot::Sender<()>>,
-    /// Open connections.
-    open: usize,
+    /// Number of open connections.
+    open_connections: usize,
     /// Random stream of the injected errors and resets.
     fault_random: Pcg64,
 }
@@ -60,9 +60,9 @@
 pub struct TestServer {
     /// Index in the fleet.
     pub number: usize,
-    /// Index of its zone in the scenario.
+    /// Index of the server's zone in the scenario.
     pub zone: usize,
-    /// Label of the software release that it runs.
+    /// Label of the software release that the server runs.
     pub release: String,
     /// Address of its listener.
     pub address: SocketAddr,
@@ -77,7 +77,7 @@
 static NEXT_ATTEMPT: AtomicU64 = AtomicU64::new(0);
 
 impl TestServer {
-    /// Starts a server. With a `started` of 0 it counts as running for long and is warm.
+    /// Starts a server. With a `started` of 0, the server counts as having run for long and is warm.
     pub fn start(
         shared: &Arc<Shared>,
         number: usize,
@@ -91,7 +91,7 @@
             faults: ConnectionFaults::default(),
             cold_arrivals: Window::default(),
             waiting: HashMap::new(),
-            open: 0,
+            open_connections: 0,
             fault_random: random::stream(shared.seed, StreamId::Policy(1_000_000 + number)),
         };
         let server = Arc::new(TestServer {
@@ -107,7 +107,7 @@
         let accepting = Arc::clone(&server);
         tokio::spawn(async move {
             let on_connection = |stream, generation| {
-                tokio::spawn(Arc::clone(&accepting).connection(stream, generation));
+                tokio::spawn(Arc::clone(&accepting).serve_connection(stream, generation));
             };
             accepting.listener.serve(on_connection).await;
         });
@@ -115,7 +115,7 @@
         Ok(server)
     }
 
-    /// Its name in the endpoint list.
+    /// Name of the server in the endpoint list.
     pub fn name(&self) -> String {
         name(self.number)
     }
@@ -127,21 +127,21 @@
 
     /// Number of open connections.
     pub fn connections(&self) -> usize {
-        self.inner().open
+        self.inner().open_connections
     }
 
-    /// When its process started; 0: long ago.
+    /// When the server process started; 0 if it was running before the test began.
     pub fn started(&self) -> Micros {
         self.inner().server.started
     }
 
-    /// Whether it runs and is not draining.
+    /// Whether the server is running and not draining.
     pub fn is_ready(&self) -> bool {
         let inner = self.inner();
         inner.server.up && !inner.server.draining
     }
 
-    /// Changes its health, to inject or end a fault.
+    /// Changes the health of the server, to inject or end a fault.
     pub fn change_health(&self, change: impl FnOnce(&mut Health)) {
         let mut inner = self.inner();
         inner.server.advance(self.shared.now());
@@ -152,7 +152,7 @@
         self.changed.notify_one();
     }
 
-    /// Changes the injected faults of its connections.
+    /// Changes the injected faults of the server's connections.
     pub fn change_connection_faults(&self, change: impl FnOnce(&mut ConnectionFaults)) {
         change(&mut self.inner().faults);
     }
@@ -184,7 +184,7 @@
         self.inner().server.draining = true;
     }
 
-    /// Simulates the end of its process: connections are reset and new ones refused.
+    /// Simulates the end of the server process: connections are reset and new ones refused.
     pub fn stop(&self) {
         let mut inner = self.inner();
         inner.server.stop(self.shared.now());
@@ -225,13 +225,13 @@
     }
 
     /// Serves one connection until it ends.
-    async fn connection(self: Arc<Self>, mut stream: TcpStream, generation: u32) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream, generation: u32) {
         let counted = CountedConnection::new(&self);
         if counted.total > self.shared.scenario.server.max_connections {
             return http::reset(stream);
         }
         self.inner().server.add_handshake_work();
-        // Without the option the exchange is only slower.
+        // Best effort: TCP_NODELAY only reduces latency.
         let _ = stream.set_nodelay(true);
         let mut state = self.listener.watch();
         let mut buffer = BytesMut::new();
@@ -488,13 +488,13 @@
 impl<'a> CountedConnection<'a> {
     fn new(server: &'a TestServer) -> Self {
         let mut inner = server.inner();
-        inner.open += 1;
-        CountedConnection { server, total: inner.open }
+        inner.open_connections += 1;
+        CountedConnection { server, total: inner.open_connections }
     }
 }
 
 impl Drop for CountedConnection<'_> {
     fn drop(&mut self) {
-        self.server.inner().open -= 1;
+        self.server.inner().open_connections -= 1;
     }
 }
--- a/crates/testbed/src/cluster/site.rs
+++ b/crates/testbed/src/cluster/site.rs
@@ -1,4 +1,5 @@
-//! Everything around the proxies: servers, discovery agents and relays, and the updates the agents receive.
+//! The environment of the proxies: servers, discovery agents and relays, and the list updates that the
+//! agents receive.
 
 use super::discovery::{Agent, ListedServer};
 use super::links::Relay;
@@ -133,7 +134,7 @@
     }
 
     /// Address at which a proxy reaches its discovery agent.
-    pub fn discovery_of(&self, proxy: usize) -> SocketAddr {
+    pub fn discovery_address(&self, proxy: usize) -> SocketAddr {
         self.relays.get(&(proxy, None)).map_or(self.agents[proxy].address, |relay| relay.address())
     }
 
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -2,7 +2,7 @@
 //! compares their figures.
 
 use crate::cluster::{Program, RunConfig, Verdict};
-use crate::fleet::{play_with_progress_bar, read, RunError, RunStatus, UNLIMITED};
+use crate::fleet::{read, run_with_progress_bar, RunError, RunStatus, UNLIMITED};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use oakport_simulator::scenario::Scenario;
@@ -73,9 +73,9 @@
         let mut pairs: Vec<[Verdict; 2]> = Vec::new();
         for number in 0..self.plays {
             let seed = self.seed + number;
-            let play = |path: &PathBuf, scenario: &Scenario| {
+            let run = |path: &PathBuf, scenario: &Scenario| {
                 let program = Program::oakport(&testbed, path);
-                play_with_progress_bar(
+                run_with_progress_bar(
                     &RunConfig {
                         scenario: scenario.clone(),
                         seed,
@@ -87,11 +87,11 @@
                 )
             };
             pairs.push(if number % 2 == 0 {
-                let a = play(&self.a, &scenario)?;
-                [a, play(b, &other)?]
+                let a = run(&self.a, &scenario)?;
+                [a, run(b, &other)?]
             } else {
-                let b = play(b, &other)?;
-                [play(&self.a, &scenario)?, b]
+                let b = run(b, &other)?;
+                [run(&self.a, &scenario)?, b]
             });
         }
         println!("{}", self.table(&pairs));
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -2,7 +2,7 @@
 //! writes a report.
 
 use crate::cluster::{Progress, RunConfig};
-use crate::fleet::{play_with_progress, verdict_table, write, Programs, RunError, RunStatus, UNLIMITED};
+use crate::fleet::{run_with_progress, verdict_table, write, Programs, RunError, RunStatus, UNLIMITED};
 use crate::report;
 use clap::Args;
 use oakport_core::Micros;
@@ -75,7 +75,7 @@
                 }
             }
         };
-        let verdict = play_with_progress(&config, &report_progress, UNLIMITED)?;
+        let verdict = run_with_progress(&config, &report_progress, UNLIMITED)?;
         print!("{}", verdict_table(&verdict, false));
         write(
             &self.out,
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -104,7 +104,7 @@
     Interrupted,
 }
 
-/// The worst outcome of the scenarios that were played.
+/// The worst outcome of the scenarios that were run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunStatus {
     /// All rules were kept and all expectations held.
@@ -116,7 +116,7 @@
 }
 
 impl RunStatus {
-    /// The status of a play with this verdict.
+    /// The status of a run with this verdict.
     pub fn of(verdict: &Verdict) -> Self {
         match () {
             () if verdict.timers_too_late() => RunStatus::NotJudged,
@@ -141,7 +141,7 @@
             let (program, replacement) = (program.clone(), replacement.clone());
             let config =
                 RunConfig { scenario, seed: self.seed, program, replacement, logs: self.logs.clone() };
-            let verdict = play_with_progress_bar(&config, UNLIMITED)?;
+            let verdict = run_with_progress_bar(&config, UNLIMITED)?;
             if let Some(folder) = &self.report {
                 let page =
                     report::html(&name, &config.scenario, self.seed, &verdict).map_err(RunError::Failed)?;
@@ -173,11 +173,11 @@
     Ok((name, scenario))
 }
 
-/// Plays a scenario, with a progress bar on a terminal, until its end or Ctrl-C.
+/// Runs a scenario, with a progress bar on a terminal, until its end or Ctrl-C.
 ///
 /// # Errors
-/// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
-pub fn play_with_progress_bar(config: &RunConfig, max_duration: Duration) -> Result<Verdict, RunError> {
+/// The scenario cannot be run or takes longer than `max_duration`, or Ctrl-C was pressed.
+pub fn run_with_progress_bar(config: &RunConfig, max_duration: Duration) -> Result<Verdict, RunError> {
     let is_terminal = std::io::stderr().is_terminal();
     let progress_bar = if is_terminal {
         indicatif::ProgressBar::new(config.scenario.duration)
@@ -192,16 +192,16 @@
         Progress::Event(at, text) => progress_bar.set_message(format!("{} s: {text}", at / 1_000_000)),
         Progress::At(at, _) => progress_bar.set_position(at),
     };
-    let verdict = play_with_progress(config, &report_progress, max_duration);
+    let verdict = run_with_progress(config, &report_progress, max_duration);
     progress_bar.finish_and_clear();
     verdict
 }
 
-/// Plays a scenario, reporting its progress to `report_progress`, until its end or Ctrl-C.
+/// Runs a scenario, reporting its progress to `report_progress`, until its end or Ctrl-C.
 ///
 /// # Errors
-/// The scenario cannot be played or takes longer than `max_duration`, or Ctrl-C was pressed.
-pub fn play_with_progress(
+/// The scenario cannot be run or takes longer than `max_duration`, or Ctrl-C was pressed.
+pub fn run_with_progress(
     config: &RunConfig,
     report_progress: &ProgressCallback<'_>,
     max_duration: Duration,
@@ -213,7 +213,7 @@
             verdict = cluster::run(config, report_progress) => verdict.map_err(RunError::Failed),
             _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
             () = tokio::time::sleep(max_duration) => {
-                Err(RunError::Failed(format!("play did not end within {max_duration:?}")))
+                Err(RunError::Failed(format!("run did not end within {max_duration:?}")))
             }
         }
     })
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -80,7 +80,7 @@
         Command::Overhead(overhead) => overhead.run().map(|held| u8::from(!held)).map_err(failure),
         Command::Scale(scale) => scale.run().map(|held| u8::from(!held)).map_err(failure),
         Command::Forward { broken } => forward(broken).map(|()| 0).map_err(|e| (e, 1)),
-        Command::Hold { command } => Err((hold(&command), 1)),
+        Command::Hold { command } => Err((exec_tied_to_parent(&command), 1)),
     };
     match result {
         Ok(status) => ExitCode::from(status),
@@ -106,8 +106,9 @@
     tokio::task::LocalSet::new().block_on(&runtime, forwarder::run(broken))
 }
 
-/// Replaces this process by the command; returns only on failure, with the reason.
-fn hold(command: &[OsString]) -> String {
+/// Replaces this process by the command, which is killed when the parent process ends. Returns only on
+/// failure, with the reason.
+fn exec_tied_to_parent(command: &[OsString]) -> String {
     let Some((program, arguments)) = command.split_first() else { return "no program to execute".to_owned() };
     if let Err(e) = nix::sys::prctl::set_pdeathsig(nix::sys::signal::Signal::SIGKILL) {
         return format!("setting the parent-death signal: {e}");
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a play as one HTML file, with plots.
+//! The report of a run as one HTML file, with plots.
 
 use crate::cluster::{Second, Verdict, RULES};
 use askama::Template;
@@ -30,7 +30,7 @@
 </style></head><body>
 <h1>{{ name }}</h1>
 <p>{{ purpose }}. Seed {{ seed }}.</p>
-<p class="{% if well %}well{% else %}bad{% endif %}">{{ verdict }}</p>
+<p class="{% if is_ok %}well{% else %}bad{% endif %}">{{ verdict }}</p>
 {% for violation in violations %}<p class="bad">{{ violation }}</p>{% endfor %}
 {% if !events.is_empty() %}<p>Shaded: {% for event in events %}{{ event }}{% if !loop.last %}; {% endif %}{% endfor %}.</p>{% endif %}
 {% for plot in plots %}<h2>{{ plot.title }}</h2>
@@ -47,7 +47,7 @@
     name: &'a str,
     purpose: &'a str,
     seed: u64,
-    well: bool,
+    is_ok: bool,
     verdict: String,
     violations: &'a [String],
     events: Vec<String>,
@@ -81,7 +81,7 @@
     scenario.events.iter().map(event).collect()
 }
 
-/// Renders the report of a play.
+/// Renders the report of a run.
 ///
 /// # Errors
 /// A plot or the page could not be rendered.
@@ -129,7 +129,7 @@
         name,
         purpose: &scenario.purpose,
         seed,
-        well: verdict.passed() && !verdict.timers_too_late(),
+        is_ok: verdict.passed() && !verdict.timers_too_late(),
         verdict: verdict_text,
         violations: &verdict.violations,
         events: faults
@@ -148,7 +148,7 @@
     (name.to_owned(), points.collect())
 }
 
-/// Draws lines over the duration of the play, with the times of faults shaded.
+/// Draws lines over the duration of the run, with the times of faults shaded.
 fn draw(
     lines: &[Line],
     faults: &[(f64, f64, String)],
@@ -159,7 +159,7 @@
     let points = || lines.iter().flat_map(|(_, points)| points);
     let end = points().map(|p| p.0).fold(1.0, f64::max) + 0.5;
     let top = max.unwrap_or_else(|| points().map(|p| p.1).fold(1.0, f64::max) * 1.08);
-    // In most plays nearly all requests are served, so the axis starts just below the lowest value.
+    // In most runs nearly all requests are served, so the axis starts just below the lowest value.
     let min = points().map(|p| p.1).fold(top, f64::min);
     let bottom = if max.is_some() { (min - 3.0).max(0.0).floor() } else { 0.0 };
     let mut svg = String::new();
--- a/crates/testbed/src/scale/calls.rs
+++ b/crates/testbed/src/scale/calls.rs
@@ -55,7 +55,7 @@
         tokio::select! {
             result = run => result.map_err(MeasureError::Failed),
             () = tokio::time::sleep_until(point.deadline.into()) => {
-                Err(MeasureError::NotRun("the measurement did not end in its time".to_owned()))
+                Err(MeasureError::NotRun("the time limit was reached".to_owned()))
             }
             _ = tokio::signal::ctrl_c() => Err(MeasureError::Failed("interrupted".to_owned())),
         }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -248,7 +248,7 @@
     let scenario = disturbance.scenario(balancers, servers)?;
     let verdict = simulate_with(&scenario, "oakport", PolicyKind::Oakport.visibility(), &make, seed);
     if meter.is_late.get() {
-        let reason = format!("{disturbance:?} with {servers} servers did not end in its time");
+        let reason = format!("{disturbance:?} with {servers} servers did not end before the time limit");
         return Err(MeasureError::NotRun(reason));
     }
     Ok(Simulated {
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -33,7 +33,7 @@
         Some(fit)
     }
 
-    /// What the figure would be at a size.
+    /// Fitted value of the figure at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.factor * size.powf(self.exponent)
     }
--- a/crates/testbed/src/scale/peers.rs
+++ b/crates/testbed/src/scale/peers.rs
@@ -447,7 +447,7 @@
     for event in 0..(length / interval) as usize {
         let begin = network.elapsed_s();
         let member = network.draw(size);
-        // Each 24th event is a death, whose replacement by another machine is later than this phase.
+        // Every 24th event is a death; another machine replaces the member only after this phase.
         if event % ((deaths + restarts) / deaths) == 0 {
             network.crash(member);
         } else {
--- a/crates/testbed/src/scale/peers/member.rs
+++ b/crates/testbed/src/scale/peers/member.rs
@@ -31,11 +31,11 @@
 pub struct WindowResult {
     /// Datagrams sent, due at their receivers.
     pub sent: Vec<Event>,
-    /// When its next timer is due, if it must be set.
+    /// When the member's next timer is due, if one must be set.
     pub due: Option<Micros>,
-    /// Members that it has declared dead, with their incarnations.
+    /// Members that were declared dead, with their incarnations.
     pub dead: Vec<(usize, u64)>,
-    /// Scopes that it has declared silent.
+    /// Scopes that were declared silent.
     pub silent: Vec<String>,
 }
 
@@ -65,7 +65,7 @@
 /// A simulated process, running or not.
 pub struct Member {
     number: usize,
-    /// The state machine of its membership, if it runs.
+    /// Membership state machine; `None` while the process does not run.
     pub node: Option<Box<Node>>,
     random: Pcg32,
     sent: u64,
@@ -75,7 +75,7 @@
     next_timer: Micros,
     /// Resources used since the last tally.
     pub usage: Usage,
-    /// Heap bytes of its state machine.
+    /// Heap bytes of the state machine.
     pub heap: i64,
 }
 
--- a/crates/testbed/src/scale/peers/net.rs
+++ b/crates/testbed/src/scale/peers/net.rs
@@ -33,7 +33,7 @@
 pub enum Scopes {
     /// All members of the fleet.
     One,
-    /// Those of a zone; of other zones they know only the number of members.
+    /// Members of the same zone; of other zones, a member knows only the number of members.
     Zones,
 }
 
@@ -137,7 +137,7 @@
         index::sample(&mut self.random, self.members.len(), self.members.len()).into_vec()
     }
 
-    /// A random number below another.
+    /// A random number less than `below`.
     pub fn draw(&mut self, below: usize) -> usize {
         self.random.gen_range(0..below)
     }
--- a/crates/testbed/src/scale/peers/topology.rs
+++ b/crates/testbed/src/scale/peers/topology.rs
@@ -12,9 +12,10 @@
 const PORT: u16 = 7_946;
 /// Latency between two members of a zone: the minimum, and the largest random addition.
 const ZONE_LATENCY_US: (Micros, Micros) = (2_000, 3_000);
-/// The same between two zones of a region.
+/// Latency between two zones of a region: the minimum, and the largest random addition.
 const REGION_LATENCY_US: (Micros, Micros) = (3_000, 5_000);
-/// The same from a region to the next; the minimum doubles to the region after it.
+/// Latency from a region to the next: the minimum, which doubles for the region after that, and the largest
+/// random addition.
 const INTER_REGION_LATENCY_US: (Micros, Micros) = (14_000, 3_000);
 /// Shortest latency of any datagram.
 pub const MIN_LATENCY_US: Micros = ZONE_LATENCY_US.0;
--- a/crates/testbed/src/scale/point.rs
+++ b/crates/testbed/src/scale/point.rs
@@ -17,7 +17,7 @@
     pub size: usize,
     /// Seed of the random draws.
     pub seed: u64,
-    /// The measurement stops by itself at this time.
+    /// Time at which the measurement stops.
     pub deadline: Instant,
     /// The program under test, for roles that start processes.
     pub program: Program,
@@ -26,9 +26,9 @@
 /// Why a point has no figures, or only some of them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MeasureError {
-    /// The measurement would not end in its time, or needs more resources than this machine has to spare.
+    /// The measurement would exceed its time limit, or needs more resources than this machine has available.
     NotRun(String),
-    /// As `NotRun`, but for a later part of the measurement: the figures of the parts that had ended.
+    /// A later part of the measurement was not run: the figures of the parts that had ended, and the reason.
     Partial(Figures, String),
     /// The measurement failed.
     Failed(String),
@@ -52,7 +52,7 @@
 pub struct RoleSpec {
     /// Name of the role.
     pub name: &'static str,
-    /// What a size counts.
+    /// Unit of the sizes, in the plural, such as "hops".
     pub size_unit: &'static str,
     /// Default sizes, the largest at least 20 times the smallest.
     pub sizes: &'static [usize],
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -158,7 +158,7 @@
 struct Proxy {
     supervisor: ProxySupervisor,
     admin: SocketAddr,
-    /// Content of its settings file at the start.
+    /// Contents of the proxy's settings file at the start.
     file: Value,
     log: PathBuf,
 }
@@ -353,7 +353,7 @@
     proxies: Vec<Proxy>,
     ids: Ids,
     pause: Duration,
-    /// Folder of their logs.
+    /// Folder of the proxies' logs.
     _logs: TempDir,
     _site: Site,
 }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -4,7 +4,7 @@
 mod plan;
 
 use crate::cluster::{Program, RunConfig, Verdict};
-use crate::fleet::{play_with_progress_bar, write, Programs, RunError, RunStatus};
+use crate::fleet::{run_with_progress_bar, write, Programs, RunError, RunStatus};
 use clap::Args;
 use comfy_table::{presets, Table};
 use oakport_core::Micros;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A play that exceeds the duration of its scenario by more than this counts as unfinished.
+/// A run that exceeds the duration of its scenario by more than this counts as unfinished.
 const MAX_OVERTIME: Duration = Duration::from_secs(60);
 
 /// Plays many short scenarios with real processes, each with a fleet and faults drawn from a seed.
@@ -45,7 +45,7 @@
     logs: PathBuf,
 }
 
-/// The outcome of one play.
+/// The outcome of one run.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
@@ -53,20 +53,22 @@
     events: String,
     requests: u64,
     seconds: f64,
-    result: PlayResult,
+    result: RunResult,
 }
 
-/// How a play ended.
+/// How a run ended.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum PlayResult {
+enum RunResult {
     /// All rules were kept.
-    Kept,
+    #[serde(rename = "kept")]
+    Passed,
     /// Rules were broken: descriptions of the first violations.
     Broken(Vec<String>),
     /// The test cluster itself was too late to judge.
-    Late,
-    /// The play itself failed, or did not end in its time.
+    #[serde(rename = "late")]
+    NotJudged,
+    /// The run itself failed, or exceeded its time limit.
     Unfinished(String),
 }
 
@@ -84,9 +86,9 @@
         let [program, replacement] = self.programs.resolve()?;
         let mut outcomes = Vec::new();
         for seed in seeds {
-            let outcome = self.play(seed, &program, &replacement)?;
+            let outcome = self.run_seed(seed, &program, &replacement)?;
             println!("{}", line(&outcome));
-            if !matches!(outcome.result, PlayResult::Kept) {
+            if !matches!(outcome.result, RunResult::Passed) {
                 println!("  again: {}", self.command(seed));
             }
             outcomes.push(outcome);
@@ -100,7 +102,7 @@
         Ok(outcomes.iter().map(Outcome::status).max().unwrap_or(RunStatus::Passed))
     }
 
-    fn play(&self, seed: u64, program: &Program, replacement: &Program) -> Result<Outcome, RunError> {
+    fn run_seed(&self, seed: u64, program: &Program, replacement: &Program) -> Result<Outcome, RunError> {
         let text = plan::plan(seed);
         let scenario =
             Scenario::parse(&text).map_err(|e| RunError::Failed(format!("plan of seed {seed}: {e}")))?;
@@ -114,17 +116,17 @@
         let (program, replacement) = (program.clone(), replacement.clone());
         let config = RunConfig { scenario, seed, program, replacement, logs: Some(folder.clone()) };
         let start = Instant::now();
-        let verdict = play_with_progress_bar(&config, max_duration);
+        let verdict = run_with_progress_bar(&config, max_duration);
         let seconds = start.elapsed().as_secs_f64();
         let (result, requests) = match verdict {
             Ok(verdict) => {
                 self.report(&folder, &verdict)?;
-                (PlayResult::of(&verdict), verdict.seconds.iter().map(|second| second.requests).sum())
+                (RunResult::of(&verdict), verdict.seconds.iter().map(|second| second.requests).sum())
             }
             Err(RunError::Interrupted) => return Err(RunError::Interrupted),
-            Err(RunError::Failed(reason)) => (PlayResult::Unfinished(reason), 0),
+            Err(RunError::Failed(reason)) => (RunResult::Unfinished(reason), 0),
         };
-        if matches!(result, PlayResult::Kept) {
+        if matches!(result, RunResult::Passed) {
             // A folder that cannot be removed does no harm.
             let _ = std::fs::remove_dir_all(&folder);
         }
@@ -139,7 +141,7 @@
         write(&folder.join("verdict.json"), &text)
     }
 
-    /// The command that plays a seed again.
+    /// The command that runs a seed again.
     fn command(&self, seed: u64) -> String {
         format!(
             "oakport-testbed soak --seeds 1 --first {seed}{} --logs {}",
@@ -149,12 +151,12 @@
     }
 }
 
-impl PlayResult {
+impl RunResult {
     fn of(verdict: &Verdict) -> Self {
         match RunStatus::of(verdict) {
-            RunStatus::Passed => PlayResult::Kept,
-            RunStatus::Failed => PlayResult::Broken(verdict.violations.clone()),
-            RunStatus::NotJudged => PlayResult::Late,
+            RunStatus::Passed => RunResult::Passed,
+            RunStatus::Failed => RunResult::Broken(verdict.violations.clone()),
+            RunStatus::NotJudged => RunResult::NotJudged,
         }
     }
 }
@@ -162,9 +164,9 @@
 impl Outcome {
     fn status(&self) -> RunStatus {
         match self.result {
-            PlayResult::Kept => RunStatus::Passed,
-            PlayResult::Broken(_) | PlayResult::Unfinished(_) => RunStatus::Failed,
-            PlayResult::Late => RunStatus::NotJudged,
+            RunResult::Passed => RunStatus::Passed,
+            RunResult::Broken(_) | RunResult::Unfinished(_) => RunStatus::Failed,
+            RunResult::NotJudged => RunStatus::NotJudged,
         }
     }
 }
@@ -173,15 +175,15 @@
     Duration::from_micros(length)
 }
 
-/// The outcome of a play as a line, followed by a line for each violation.
+/// The outcome of a run as a line, followed by a line for each violation.
 fn line(outcome: &Outcome) -> String {
     let Outcome { seed, events, requests, seconds, result } = outcome;
     let head = format!("seed {seed}: {events}; {requests} requests, {seconds:.1} s");
     match result {
-        PlayResult::Kept => format!("{head}: rules kept"),
-        PlayResult::Late => format!("{head}: NOT JUDGED, the test cluster was too late"),
-        PlayResult::Unfinished(reason) => format!("{head}: PLAY FAILED: {reason}"),
-        PlayResult::Broken(violations) => format!("{head}: BROKEN\n  {}", violations.join("\n  ")),
+        RunResult::Passed => format!("{head}: rules kept"),
+        RunResult::NotJudged => format!("{head}: NOT JUDGED, the test cluster was too late"),
+        RunResult::Unfinished(reason) => format!("{head}: PLAY FAILED: {reason}"),
+        RunResult::Broken(violations) => format!("{head}: BROKEN\n  {}", violations.join("\n  ")),
     }
 }
 
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Draws the scenario of a soak play from its seed: a small fleet and its faults, as TOML.
+//! Draws the scenario of a soak run from its seed: a small fleet and its faults, as TOML.
 
 mod transfers;
 
@@ -16,8 +16,8 @@
 const UTILISATION: RangeInclusive<f64> = 0.1..=0.4;
 const REQUESTS_PER_SECOND: RangeInclusive<f64> = 30.0..=300.0;
 const CORES_PER_ENDPOINT: f64 = 2.0;
-/// Duration of the request load. Events that end a process start early enough that it is killed before the end
-/// of the load.
+/// Duration of the request load. Events that end a process start early enough that the process is killed
+/// before the end of the load.
 const LENGTH_MS: u64 = 9_000;
 const PROCESS_EVENT_AT_MS: RangeInclusive<u64> = 800..=3_500;
 const TEMPORARY_EVENT_AT_MS: RangeInclusive<u64> = 500..=6_000;
@@ -199,7 +199,7 @@
         self.write_part(0.3..=1.0);
     }
 
-    /// Adds faults of endpoints that last for the whole play.
+    /// Adds faults of endpoints that last for the whole run.
     fn permanent_endpoint_faults(&mut self) {
         for (kind, after_ms) in
             [("extra_responses", EXTRA_RESPONSE_AFTER_MS), ("closes_idle", CLOSES_IDLE_AFTER_MS)]
--- a/crates/testbed/src/soak/plan/transfers.rs
+++ b/crates/testbed/src/soak/plan/transfers.rs
@@ -15,7 +15,7 @@
 const SEED_MASK: u64 = 0x6c61_7267_6562_6f64;
 /// Requests a second of each class with large bodies, over all client proxies.
 const REQUESTS_PER_SECOND: RangeInclusive<f64> = 1.0..=3.0;
-/// From about the initial size of the system's buffers of a connection to more than they hold.
+/// From about the initial size of a connection's kernel buffers to more than they can hold.
 const RESPONSE_BYTES: RangeInclusive<usize> = 2_500_000..=4_500_000;
 const REQUEST_BYTES: RangeInclusive<usize> = 150_000..=700_000;
 const RESPONSE_WRITE_BYTES_PER_SECOND: RangeInclusive<usize> = 1_000_000..=8_000_000;
--- a/crates/testbed/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -14,7 +14,7 @@
         .expect("oakport-testbed starts")
 }
 
-/// Plays the small scenario; returns the rules that were broken.
+/// Runs the small scenario; returns the rules that were broken.
 fn broken_rules(arguments: &[&str], folder: &Path) -> Vec<String> {
     let json = folder.join(format!("{}.json", arguments.join("")));
     let fixed = ["fleet", "scenarios/fleet/small.toml", "--json", json.to_str().expect("a path")];
@@ -42,13 +42,13 @@
         (&["--forwarder", "--broken", "ignores-grace"], &["one_answer"]),
     ];
     let folder = tempfile::tempdir().expect("a folder");
-    // Five plays run concurrently: a play waits for its timers most of the time.
+    // Five at once: a run waits for its timers most of the time.
     for chunk in cases.chunks(5) {
         std::thread::scope(|scope| {
-            let plays: Vec<_> =
+            let runs: Vec<_> =
                 chunk.iter().map(|case| scope.spawn(|| broken_rules(case.0, folder.path()))).collect();
-            for ((arguments, rules), play) in chunk.iter().zip(plays) {
-                assert_eq!(play.join().expect("a play"), *rules, "{arguments:?}");
+            for ((arguments, rules), run) in chunk.iter().zip(runs) {
+                assert_eq!(run.join().expect("a run"), *rules, "{arguments:?}");
             }
         });
     }
--- a/crates/testbed/tests/leftovers.rs
+++ b/crates/testbed/tests/leftovers.rs
@@ -1,4 +1,4 @@
-//! A play that ends early leaves no processes, files or descriptors behind.
+//! A run that ends early leaves no processes, files or descriptors behind.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -38,7 +38,7 @@
 
 /// Starts the small scenario with its temporary files in `folder`; waits until its three proxies run, and
 /// returns them.
-fn start_play(folder: &Path) -> (Child, Vec<u32>) {
+fn start_run(folder: &Path) -> (Child, Vec<u32>) {
     let (logs, own) = (folder.join("logs"), folder.join("own"));
     std::fs::create_dir_all(&own).expect("a folder");
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
@@ -59,7 +59,7 @@
 fn an_interrupted_play_leaves_no_process_and_no_file() {
     for (signal, status) in [(Signal::SIGINT, Some(130)), (Signal::SIGKILL, None)] {
         let folder = tempfile::tempdir().expect("a folder");
-        let (mut testbed, proxies) = start_play(folder.path());
+        let (mut testbed, proxies) = start_run(folder.path());
         kill(Pid::from_raw(testbed.id() as i32), signal).expect("the testbed runs");
         assert_eq!(testbed.wait().expect("the testbed ends").code(), status);
         wait_until("all proxies have ended", || proxies.iter().all(|pid| parent_of(*pid).is_none()));
@@ -104,13 +104,13 @@
                 panic!("on purpose");
             }
         };
-        let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-            // The panic drops everything that the play has started.
+            // The panic drops everything that the run has started.
             let _ = runtime.block_on(cluster::run(&config, &panics));
         }));
-        assert!(played.is_err(), "round {round}");
+        assert!(result.is_err(), "round {round}");
         open_descriptors.push(count_descriptors());
     }
     let own_pid = std::process::id();
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -69,14 +69,14 @@
 fn missing_files_roles_figures_and_ends_are_reported_with_their_line() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("a.json"), JSON).expect("written");
-    let draw = |request: &str| {
+    let regeneration_error = |request: &str| {
         let page = format!("# Page\n<!-- scale {request} -->\n<!-- end -->\n");
         page::regenerate(&page, folder.path(), SPECS).expect_err("nothing to generate from")
     };
-    assert!(draw("b.json peers x").contains("line 2: b.json: "));
-    assert_eq!(draw("a.json"), "line 2: expected a file, a role and figures");
-    assert_eq!(draw("a.json calls x"), "line 2: unknown role 'calls'");
-    assert_eq!(draw("a.json peers x"), "line 2: a.json has no figure 'x' of peers");
+    assert!(regeneration_error("b.json peers x").contains("line 2: b.json: "));
+    assert_eq!(regeneration_error("a.json"), "line 2: expected a file, a role and figures");
+    assert_eq!(regeneration_error("a.json calls x"), "line 2: unknown role 'calls'");
+    assert_eq!(regeneration_error("a.json peers x"), "line 2: a.json has no figure 'x' of peers");
     let page = "<!-- scale a.json peers memory_bytes -->\n";
     let error = page::regenerate(page, folder.path(), SPECS).expect_err("the end line is missing");
     assert!(error.starts_with("line 1: the table has no end"), "{error}");
--- a/crates/testbed/tests/scale_calls.rs
+++ b/crates/testbed/tests/scale_calls.rs
@@ -9,12 +9,12 @@
     let testbed = Path::new(env!("CARGO_BIN_EXE_oakport-testbed"));
     let oakport = testbed.with_file_name("oakport");
     assert!(oakport.is_file(), "oakport is built with the workspace");
-    let paces = [LoadStep { rate: 49.0, duration: 2_000_000 }, LoadStep { rate: 245.0, duration: 500_000 }];
+    let steps = [LoadStep { rate: 49.0, duration: 2_000_000 }, LoadStep { rate: 245.0, duration: 500_000 }];
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let played = runtime.block_on(chain::run(&Program::oakport(testbed, &oakport), hops, &paces, 1));
-    let played = played.expect("the measurement succeeds");
-    assert_eq!(played.outcomes.len(), paces.len());
-    for outcome in &played.outcomes {
+    let result = runtime.block_on(chain::run(&Program::oakport(testbed, &oakport), hops, &steps, 1));
+    let result = result.expect("the measurement succeeds");
+    assert_eq!(result.outcomes.len(), steps.len());
+    for outcome in &result.outcomes {
         let (proxies, direct) = (&outcome.proxies, &outcome.direct);
         assert!(proxies.sent > SERVERS, "{proxies:?}");
         assert_eq!(proxies.sent, direct.sent, "the same calls with and without proxies");
@@ -27,8 +27,8 @@
             assert_eq!(latencies.len(), *sent as u64);
         }
     }
-    assert_eq!(played.processes.len(), hops);
-    let left = played.processes.iter().filter(|pid| Path::new(&format!("/proc/{pid}")).exists()).count();
+    assert_eq!(result.processes.len(), hops);
+    let left = result.processes.iter().filter(|pid| Path::new(&format!("/proc/{pid}")).exists()).count();
     assert_eq!(left, 0, "processes are left");
 }
 
--- a/crates/testbed/tests/scale_decisions.rs
+++ b/crates/testbed/tests/scale_decisions.rs
@@ -10,7 +10,7 @@
 
 fn simulate_and_check(balancers: usize, disturbance: Disturbance) -> Simulated {
     let simulated = simulate_service(balancers, 6, disturbance, 1, Instant::now() + TIME_LIMIT)
-        .expect("the simulation ends in its time");
+        .expect("the simulation ends within its time limit");
     let verdict = &simulated.verdict;
     println!(
         "{balancers} {disturbance:?}: {} tries, {} events, {verdict:?}",
--- a/crates/testbed/tests/scale_peers.rs
+++ b/crates/testbed/tests/scale_peers.rs
@@ -15,7 +15,7 @@
 
 fn measure(size: usize, scopes: Scopes, all: &[Phase]) -> Figures {
     let deadline = Instant::now() + Duration::from_secs(600);
-    run_phases(&point(size, deadline), scopes, all).expect("the measurement ends in its time")
+    run_phases(&point(size, deadline), scopes, all).expect("the measurement ends within its time limit")
 }
 
 /// Checks that all members knew of the change within this many seconds of virtual time.
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,14 +1,14 @@
-//! The soak command: its plans, a few plays with oakport, and detection of faulty forwarders.
+//! The soak command: its plans, a few runs with oakport, and detection of faulty forwarders.
 
 use serde_json::Value;
 use std::path::Path;
 use std::process::{Command, Output};
 use std::thread;
 
-/// First seed and number of consecutive seeds of each run; the runs are concurrent. The seeds include plays
-/// that a proxy without observation of endpoints fails (11, 18 and 19), series of signals, restarts, upgrades
-/// and crowds.
-const PLAYED: [(u64, u64); 4] = [(1, 3), (9, 3), (17, 3), (34, 3)];
+/// First seed and number of consecutive seeds of each soak command; the commands run concurrently. The seeds
+/// include plans that a proxy without observation of endpoints fails (11, 18 and 19), series of signals,
+/// restarts, upgrades and crowds.
+const SEED_RANGES: [(u64, u64); 4] = [(1, 3), (9, 3), (17, 3), (34, 3)];
 /// Number of seeds that are tried until the fault of a forwarder is detected.
 const MAX_SEEDS: u64 = 4;
 
@@ -24,7 +24,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Plays seeds; returns the outcomes from the JSON file, and the output.
+/// Runs seeds; returns the outcomes from the JSON file, and the output.
 fn outcomes(first: u64, seeds: u64, more: &[&str], folder: &Path) -> (Vec<Value>, Output) {
     let json = folder.join(format!("{first}-{}.json", more.join("")));
     let logs = folder.join(format!("{first}-{}", more.join("")));
@@ -36,10 +36,12 @@
     (serde_json::from_str(&found).expect("JSON"), output)
 }
 
-/// The rules that a play broke, from the descriptions of its violations.
+/// The rules that a run broke, from the descriptions of its violations.
 fn broken_rules(outcome: &Value) -> Vec<String> {
-    let stories = outcome["result"]["broken"].as_array().into_iter().flatten();
-    stories.filter_map(|story| Some(story.as_str()?.split(": ").nth(1)?.to_owned())).collect()
+    let descriptions = outcome["result"]["broken"].as_array().into_iter().flatten();
+    descriptions
+        .filter_map(|description| Some(description.as_str()?.split(": ").nth(1)?.to_owned()))
+        .collect()
 }
 
 #[test]
@@ -70,27 +72,28 @@
     }
 }
 
-/// A play that was not judged because the machine was too busy does not count as passed: most plays must be
+/// A run that was not judged because the machine was too busy does not count as passed: most runs must be
 /// judged.
 #[test]
 fn fixed_seeds_keep_all_rules() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path();
-    let played: Vec<(Vec<Value>, Output)> = thread::scope(|scope| {
-        let running = PLAYED.map(|(first, seeds)| scope.spawn(move || outcomes(first, seeds, &[], path)));
-        running.into_iter().map(|play| play.join().expect("a play")).collect()
+    let results: Vec<(Vec<Value>, Output)> = thread::scope(|scope| {
+        let running =
+            SEED_RANGES.map(|(first, seeds)| scope.spawn(move || outcomes(first, seeds, &[], path)));
+        running.into_iter().map(|run| run.join().expect("a run")).collect()
     });
-    let mut kept = 0;
-    for (outcomes, output) in &played {
+    let mut passed = 0;
+    for (outcomes, output) in &results {
         println!("{}", text(&output.stdout));
         for outcome in outcomes {
             let result = &outcome["result"];
             assert!(result == "kept" || result == "late", "{outcome:#}");
-            kept += usize::from(result == "kept");
+            passed += usize::from(result == "kept");
         }
     }
-    let all: usize = played.iter().map(|(outcomes, _)| outcomes.len()).sum();
-    assert!(kept * 2 > all, "{kept} of {all} plays were judged");
+    let all: usize = results.iter().map(|(outcomes, _)| outcomes.len()).sum();
+    assert!(passed * 2 > all, "{passed} of {all} runs were judged");
 }
 
 #[test]
@@ -119,17 +122,16 @@
         })
     };
     thread::scope(|scope| {
-        let plays: Vec<_> =
-            cases.iter().map(|form| (form, scope.spawn(move || is_detected(*form)))).collect();
-        for (form, play) in plays {
-            assert!(play.join().expect("a play"), "{form:?}");
+        let runs: Vec<_> = cases.iter().map(|form| (form, scope.spawn(move || is_detected(*form)))).collect();
+        for (form, run) in runs {
+            assert!(run.join().expect("a run"), "{form:?}");
         }
     });
 }
 
-/// Proxies that never start are reported as an unfinished play.
+/// Proxies that never start are reported as an unfinished run.
 #[test]
-fn a_play_that_fails_does_not_pass() {
+fn a_run_that_fails_does_not_pass() {
     let folder = tempfile::tempdir().expect("a folder");
     let (outcomes, output) = outcomes(1, 1, &["--oakport", "/bin/false"], folder.path());
     assert!(outcomes[0]["result"]["unfinished"].is_string(), "{outcomes:?}");
--- a/crates/testbed/tests/throng.rs
+++ b/crates/testbed/tests/throng.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Plays the short scenario; returns its verdict.
-fn play(arguments: &[&str], folder: &Path) -> Value {
+/// Runs the short scenario; returns its verdict.
+fn run_scenario(arguments: &[&str], folder: &Path) -> Value {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let json = folder.join(format!("{}.json", arguments.len()));
     let mut testbed = Command::new(env!("CARGO_BIN_EXE_oakport-testbed"));
@@ -24,7 +24,7 @@
     let oakport = Path::new(env!("CARGO_BIN_EXE_oakport-testbed")).with_file_name("oakport");
     assert!(oakport.is_file(), "oakport is built with the workspace");
     let folder = tempfile::tempdir().expect("a folder");
-    let verdict = play(&[], folder.path());
+    let verdict = run_scenario(&[], folder.path());
     let figure = |name: &str| verdict["figures"][name].as_f64().expect("a figure");
     // Two servers return cold and two are new; not all of them must have received calls by the end.
     assert!(figure("cold.servers") >= 2.0, "{verdict:#}");
@@ -34,7 +34,7 @@
         assert_eq!(verdict["rules"][rule], 0, "{rule}: {:#}", verdict["stories"]);
     }
 
-    let broken = play(&["--forwarder", "--broken", "ignores-cold"], folder.path());
+    let broken = run_scenario(&["--forwarder", "--broken", "ignores-cold"], folder.path());
     assert_ne!(broken["rules"]["cold"], 0, "{broken:#}");
     assert!(broken["figures"]["cold.most_share_of_bound"].as_f64().is_some_and(|max_share| max_share > 1.0));
 }
