--- a/crates/testbed/src/cluster/events.rs
+++ b/crates/testbed/src/cluster/events.rs
@@ -1,4 +1,4 @@
-//! Plays the events of a scenario: applies each fault to the affected servers and proxies, and removes it at
+//! Runs the events of a scenario: applies each fault to the affected servers and proxies, and removes it at
 //! its end.
 
 use super::clients::App;
@@ -25,22 +25,22 @@
 const DRAIN_US: Micros = 2_000_000;
 
 /// All parts of a running test cluster.
-pub struct Fleet {
+pub struct TestCluster {
     /// Servers, discovery agents and relays.
     pub site: Site,
     /// The proxy processes.
-    pub seats: Vec<Mutex<ProxySupervisor>>,
+    pub supervisors: Vec<Mutex<ProxySupervisor>>,
     /// The application that uses each proxy.
     pub apps: Vec<Arc<App>>,
     /// Relays the datagrams between the proxies; `None` if they reach each other directly.
     pub datagrams: Option<DatagramRelay>,
-    /// The options of this play.
-    pub play: RunConfig,
+    /// The configuration of this run.
+    pub config: RunConfig,
 }
 
-impl Fleet {
-    /// Plays one event from its start to its end.
-    pub async fn play_event(self: Arc<Self>, number: usize) {
+impl TestCluster {
+    /// Runs one event from its start to its end.
+    pub async fn run_event(self: Arc<Self>, number: usize) {
         let event = self.site.shared.scenario.events[number].clone();
         let (begin, end) = (self.site.shared.at(event.at), self.site.shared.at(event.at + event.duration));
         self.site.shared.sleep_until(begin).await;
@@ -188,24 +188,25 @@
         let step = event.duration / affected.len().max(1) as Micros;
         let mut all = JoinSet::new();
         for (index, server) in affected.into_iter().enumerate() {
-            let fleet = Arc::clone(self);
+            let cluster = Arc::clone(self);
             all.spawn(async move {
                 let at = begin + step * index as Micros;
-                fleet.site.shared.sleep_until(at).await;
+                cluster.site.shared.sleep_until(at).await;
                 server.drain();
-                fleet.site.announce(&server, EndpointState::Draining);
-                fleet.site.shared.sleep_until(at + DRAIN_US).await;
+                cluster.site.announce(&server, EndpointState::Draining);
+                cluster.site.shared.sleep_until(at + DRAIN_US).await;
                 server.stop();
-                fleet.site.announce(&server, EndpointState::Removed);
-                let started = fleet.site.shared.now();
-                let mut servers = fleet.site.machines();
-                // If no socket can be opened, the fleet has one server fewer.
+                cluster.site.announce(&server, EndpointState::Removed);
+                let started = cluster.site.shared.now();
+                let mut servers = cluster.site.servers();
+                // If no socket can be opened, the cluster has one server fewer.
                 let next =
-                    TestServer::start(&fleet.site.shared, servers.len(), server.zone, "second", started).ok();
+                    TestServer::start(&cluster.site.shared, servers.len(), server.zone, "second", started)
+                        .ok();
                 servers.extend(next.clone());
                 drop(servers);
                 if let Some(next) = next {
-                    fleet.site.announce(&next, EndpointState::Ready);
+                    cluster.site.announce(&next, EndpointState::Ready);
                 }
             });
         }
@@ -213,10 +214,10 @@
     }
 
     /// Starts a new process; a failure to start shows in the verdict.
-    pub(super) async fn start_process(&self, seat: &mut ProxySupervisor) {
-        if seat.start(&self.play.program).is_ok() {
+    pub(super) async fn start_process(&self, supervisor: &mut ProxySupervisor) {
+        if supervisor.start(&self.config.program).is_ok() {
             // If the process does not become ready in time, its clients notice.
-            let _ = seat.ready().await;
+            let _ = supervisor.ready().await;
         }
     }
 
@@ -224,11 +225,11 @@
     pub async fn monitor(self: Arc<Self>) {
         loop {
             sleep(MONITOR_INTERVAL).await;
-            let open = self.site.machines().iter().map(|server| server.connections()).sum();
+            let open = self.site.servers().iter().map(|server| server.connections()).sum();
             self.site.shared.record(Observation::OpenConnections { at: self.site.shared.now(), open });
-            for seat in &self.seats {
-                if let Ok(mut seat) = seat.try_lock() {
-                    seat.check_exit();
+            for supervisor in &self.supervisors {
+                if let Ok(mut supervisor) = supervisor.try_lock() {
+                    supervisor.check_exit();
                 }
             }
         }
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -16,7 +16,7 @@
 //!   times the number of changes, plus the cost of the idle process.
 
 use super::point::{Bound, Figures, MeasureError, Point, RoleSpec};
-use crate::cluster::discovery::{Agent, Member};
+use crate::cluster::discovery::{Agent, ListedServer};
 use crate::cluster::process_stats;
 use crate::cluster::processes::ProxySupervisor;
 use crate::cluster::record::Shared;
@@ -47,7 +47,7 @@
         budget("pushed.whole.bytes", BYTES_PER_S),
         budget("pushed.zone.bytes", BYTES_PER_S),
     ],
-    measure: play,
+    measure: measure_fully,
 };
 
 /// The operators' budgets.
@@ -115,17 +115,17 @@
     };
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_fully(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::FULL)
 }
 
 /// Measures one size with a process that receives pushed lists and one that polls, concurrently.
 ///
 /// # Errors
-/// See `Stopped`.
+/// See `MeasureError`.
 pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(failed)?;
-    let played = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let both = async {
             tokio::try_join!(
                 measure_mode(point, ListMode::Pushed, extent),
@@ -134,10 +134,10 @@
         };
         timeout_at(point.deadline.into(), both).await
     });
-    let (pushed, asked) =
-        played.map_err(|_| MeasureError::NotRun("the time limit was reached".to_owned()))??;
+    let (pushed, polled) =
+        result.map_err(|_| MeasureError::NotRun("the time limit was reached".to_owned()))??;
     let mut figures = Figures::new();
-    for (mode, of_mode) in [("pushed", pushed), ("asked", asked)] {
+    for (mode, of_mode) in [("pushed", pushed), ("asked", polled)] {
         for (name, figure) in of_mode {
             if ["memory_bytes", "day.cpu_share", "day.bytes_per_s"].contains(&name.as_str()) {
                 let most = figures.entry(name.clone()).or_insert(figure);
@@ -178,9 +178,9 @@
 struct Process {
     shared: Arc<Shared>,
     agent: Arc<Agent>,
-    seat: ProxySupervisor,
+    supervisor: ProxySupervisor,
     pid: u32,
-    operator: SocketAddr,
+    admin: SocketAddr,
 }
 
 /// Processor time and bytes used so far, or by a change.
@@ -196,14 +196,14 @@
         let scenario = Scenario::parse(SCENARIO).map_err(failed)?;
         let shared = Arc::new(Shared::new(scenario, point.seed));
         let agent = Agent::start(&shared, 0).await.map_err(failed)?;
-        let mut seat =
+        let mut supervisor =
             ProxySupervisor::new(&shared, &agent, 0, agent.address, false, None).map_err(failed)?;
-        let operator = seat.enable_admin().map_err(failed)?;
-        seat.set_config_override(mode.file_change());
-        seat.start(&point.program).map_err(failed)?;
-        seat.ready().await.map_err(failed)?;
-        let pid = seat.pid().ok_or_else(|| failed("the process ended after it became ready"))?;
-        let process = Process { shared, agent, seat, pid, operator };
+        let admin = supervisor.enable_admin().map_err(failed)?;
+        supervisor.set_config_override(mode.file_change());
+        supervisor.start(&point.program).map_err(failed)?;
+        supervisor.ready().await.map_err(failed)?;
+        let pid = supervisor.pid().ok_or_else(|| failed("the process ended after it became ready"))?;
+        let process = Process { shared, agent, supervisor, pid, admin };
         process.agent.wait_for_acknowledgement(0).await;
         process.wait_until_in_force(0, Instant::now()).await?;
         Ok(process)
@@ -217,10 +217,10 @@
     }
 
     /// The list entry of a server.
-    fn list_entry(&self, server: usize, state: EndpointState) -> Member {
+    fn list_entry(&self, server: usize, state: EndpointState) -> ListedServer {
         // Nothing listens at this address, and nothing is sent there.
         let [_, _, high, low] = (server as u32).to_be_bytes();
-        Member {
+        ListedServer {
             state,
             address: SocketAddr::from((Ipv4Addr::new(127, 9, high, low), 1)),
             zone: format!("zone-{:02}", server % ZONES),
@@ -233,14 +233,14 @@
         &self,
         servers: impl Iterator<Item = usize>,
         state: EndpointState,
-    ) -> Vec<(usize, Member)> {
+    ) -> Vec<(usize, ListedServer)> {
         servers.map(|server| (server, self.list_entry(server, state))).collect()
     }
 
     /// Waits until the process has received the agent's current version, shown by its next call.
     async fn wait_until_received(&self) -> Result<(), MeasureError> {
-        let taken = timeout(MAX_WAIT, self.agent.wait_for_acknowledgement(self.agent.version())).await;
-        taken.map_err(|_| {
+        let result = timeout(MAX_WAIT, self.agent.wait_for_acknowledgement(self.agent.version())).await;
+        result.map_err(|_| {
             MeasureError::NotRun(format!("the process did not receive a list within {MAX_WAIT:?}"))
         })
     }
@@ -249,7 +249,7 @@
     async fn wait_until_in_force(&self, servers: usize, since: Instant) -> Result<f64, MeasureError> {
         loop {
             let listed =
-                process_stats::admin_report(self.operator).await.map_err(failed)?["hosts_listed"].as_u64();
+                process_stats::admin_report(self.admin).await.map_err(failed)?["hosts_listed"].as_u64();
             if listed == Some(servers as u64) {
                 return Ok(since.elapsed().as_secs_f64() * 1e3);
             }
@@ -262,7 +262,7 @@
 
     /// Number of servers that the process reports.
     async fn listed(&self) -> Result<f64, MeasureError> {
-        let report = process_stats::admin_report(self.operator).await.map_err(failed)?;
+        let report = process_stats::admin_report(self.admin).await.map_err(failed)?;
         report["hosts_listed"].as_f64().ok_or_else(|| failed("no hosts_listed in the report of the process"))
     }
 
@@ -331,7 +331,7 @@
     let mut last: Option<Process> = None;
     for start in 0..extent.starts.max(2) {
         if let Some(mut before) = last.take() {
-            before.seat.end(Duration::ZERO).await;
+            before.supervisor.end(Duration::ZERO).await;
         }
         let process = Process::start(point, mode).await?;
         let all = process.list_entries(0..size, EndpointState::Ready);
@@ -370,19 +370,19 @@
     let before = process.usage()?;
     sleep(extent.quiet).await;
     let after = process.usage()?;
-    let second = extent.quiet.as_secs_f64();
-    let quiet = [(after.cpu_s - before.cpu_s) / second, (after.bytes - before.bytes) as f64 / second];
+    let seconds = extent.quiet.as_secs_f64();
+    let quiet = [(after.cpu_s - before.cpu_s) / seconds, (after.bytes - before.bytes) as f64 / seconds];
     add("quiet.cpu_share", quiet[0]);
     add("quiet.bytes_per_s", quiet[1]);
 
-    let mut beat = interval(extent.pause);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticker = interval(extent.pause);
+    ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut usages = Vec::new();
     for restart in 0..extent.restarts {
         // Far apart in the list, as machines that fail on one day are.
         let server = restart * size / extent.restarts;
         for state in STATES_PER_EVENT {
-            beat.tick().await;
+            ticker.tick().await;
             let change = || process.agent.update_all([(server, process.list_entry(server, state))]);
             usages.push(process.cost(change).await?);
         }
@@ -393,6 +393,6 @@
     add("day.bytes_per_s", quiet[1] + bytes);
     add("day.listed", process.listed().await?);
     add("memory_bytes", process_stats::memory(process.pid).map_err(failed)?.peak as f64);
-    process.seat.end(Duration::ZERO).await;
+    process.supervisor.end(Duration::ZERO).await;
     Ok(figures)
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -59,7 +59,7 @@
         expected_zero("wrong_100.old_lost"),
         expected_zero("calls.failed"),
     ],
-    measure: play,
+    measure: measure_fully,
 };
 
 /// The operators' budget for a change of settings.
@@ -111,20 +111,20 @@
         Extent { changes: 5, pause: Duration::from_millis(400), interval: Duration::from_millis(100) };
 }
 
-fn play(point: &Point) -> Result<Figures, MeasureError> {
+fn measure_fully(point: &Point) -> Result<Figures, MeasureError> {
     measure(point, Extent::FULL)
 }
 
 /// Measures one number of processes.
 ///
 /// # Errors
-/// See `Stopped`.
+/// See `MeasureError`.
 pub fn measure(point: &Point, extent: Extent) -> Result<Figures, MeasureError> {
     check_resources(point.size as u64)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(failed)?;
-    let played =
+    let result =
         runtime.block_on(async { timeout_at(point.deadline.into(), measure_fleet(point, extent)).await });
-    played.unwrap_or_else(|_| Err(MeasureError::NotRun("the time limit was reached".to_owned())))
+    result.unwrap_or_else(|_| Err(MeasureError::NotRun("the time limit was reached".to_owned())))
 }
 
 fn failed(error: impl std::fmt::Display) -> MeasureError {
@@ -156,9 +156,9 @@
 
 /// A client proxy under test, with its files.
 struct Proxy {
-    seat: ProxySupervisor,
-    operator: SocketAddr,
-    /// Content of its settings file at the start.
+    supervisor: ProxySupervisor,
+    admin: SocketAddr,
+    /// Contents of the proxy's settings file at the start.
     file: Value,
     log: PathBuf,
 }
@@ -217,15 +217,16 @@
     /// Replaces the settings file and sends SIGHUP; returns the time before that.
     fn change(&self, settings: Settings) -> io::Result<Instant> {
         let begin = Instant::now();
-        let (file, new) = (self.seat.config_path(), self.seat.config_path().with_extension("new"));
+        let (file, new) =
+            (self.supervisor.config_path(), self.supervisor.config_path().with_extension("new"));
         std::fs::write(&new, settings.file(&self.file).to_string())?;
         std::fs::rename(&new, &file)?;
-        self.seat.reload();
+        self.supervisor.reload();
         Ok(begin)
     }
 
     async fn report(&self) -> Result<Value, MeasureError> {
-        process_stats::admin_report(self.operator).await.map_err(failed)
+        process_stats::admin_report(self.admin).await.map_err(failed)
     }
 
     async fn count(&self, figure: &str) -> Result<u64, MeasureError> {
@@ -293,11 +294,11 @@
 /// Counts of the calls of all applications, and of those that were not served.
 #[derive(Default)]
 struct Calls {
-    asked: AtomicU64,
+    sent: AtomicU64,
     failed: AtomicU64,
 }
 
-/// Runs an application, without end.
+/// Runs an application. Never returns.
 async fn application(mut client: Client, number: usize, count: usize, calls: Arc<Calls>) {
     // Spreads the calls of the applications over the interval.
     sleep(CALL_INTERVAL * number as u32 / count.max(1) as u32).await;
@@ -306,7 +307,7 @@
     loop {
         ticker.tick().await;
         let served = matches!(timeout(CALL_TIMEOUT, client.call(CLASS)).await, Ok(Ok(200)));
-        calls.asked.fetch_add(1, Ordering::Relaxed);
+        calls.sent.fetch_add(1, Ordering::Relaxed);
         calls.failed.fetch_add(u64::from(!served), Ordering::Relaxed);
     }
 }
@@ -352,7 +353,7 @@
     proxies: Vec<Proxy>,
     ids: Ids,
     pause: Duration,
-    /// Folder of their logs.
+    /// Folder of the proxies' logs.
     _logs: TempDir,
     _site: Site,
 }
@@ -393,16 +394,17 @@
             let mut batch = Vec::new();
             for number in proxies.len()..(proxies.len() + START_BATCH).min(point.size) {
                 let (agent, logs) = (&site.agents[number], logs.path());
-                let mut seat = ProxySupervisor::new(&shared, agent, number, agent.address, false, Some(logs))
-                    .map_err(failed)?;
-                let operator = seat.enable_admin().map_err(failed)?;
-                seat.start(&point.program).map_err(failed)?;
-                let text = std::fs::read_to_string(seat.config_path()).map_err(failed)?;
+                let mut supervisor =
+                    ProxySupervisor::new(&shared, agent, number, agent.address, false, Some(logs))
+                        .map_err(failed)?;
+                let admin = supervisor.enable_admin().map_err(failed)?;
+                supervisor.start(&point.program).map_err(failed)?;
+                let text = std::fs::read_to_string(supervisor.config_path()).map_err(failed)?;
                 let file = serde_json::from_str(&text).map_err(failed)?;
-                batch.push(Proxy { seat, operator, file, log: logs.join(format!("n{number}-1.log")) });
+                batch.push(Proxy { supervisor, admin, file, log: logs.join(format!("n{number}-1.log")) });
             }
             for proxy in &mut batch {
-                proxy.seat.ready().await.map_err(failed)?;
+                proxy.supervisor.ready().await.map_err(failed)?;
             }
             proxies.append(&mut batch);
         }
@@ -421,7 +423,7 @@
     async fn wait_until_in_force(&self, settings: Settings, since: &[Instant], times: &mut Times) {
         let mut probes = JoinSet::new();
         for (proxy, since) in self.proxies.iter().zip(since) {
-            let client = Client::new(proxy.seat.address, &self.ids);
+            let client = Client::new(proxy.supervisor.address, &self.ids);
             probes.spawn(time_until_served(client, settings.class(), *since, self.pause));
         }
         while let Some(probed) = probes.join_next().await {
@@ -434,16 +436,16 @@
 
     /// Processor time of a change in one process in seconds, and the longest call meanwhile in milliseconds.
     async fn cost(&self, proxy: &Proxy, settings: Settings) -> Result<[f64; 2], MeasureError> {
-        let cpu_s = || process_stats::cpu_s(proxy.seat.pid().unwrap_or(0)).map_err(failed);
-        let mut client = Client::new(proxy.seat.address, &self.ids);
+        let cpu_s = || process_stats::cpu_s(proxy.supervisor.pid().unwrap_or(0)).map_err(failed);
+        let mut client = Client::new(proxy.supervisor.address, &self.ids);
         client.call(CLASS).await.map_err(failed)?;
         sleep(PROBE_PAUSE).await;
         let before = cpu_s()?;
         let (begin, mut longest) = (proxy.change(settings).map_err(failed)?, Duration::ZERO);
         while begin.elapsed() < MAX_WAIT {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             client.call(CLASS).await.map_err(failed)?;
-            longest = longest.max(asked.elapsed());
+            longest = longest.max(sent_at.elapsed());
             if client.call(&settings.class()).await.map_err(failed)? == 200 {
                 return Ok([cpu_s()? - before, longest.as_secs_f64() * 1e3]);
             }
@@ -470,7 +472,7 @@
     async fn serving(&self, settings: Settings) -> usize {
         let mut probes = JoinSet::new();
         for proxy in &self.proxies {
-            let mut client = Client::new(proxy.seat.address, &self.ids);
+            let mut client = Client::new(proxy.supervisor.address, &self.ids);
             probes.spawn(async move { timeout(CALL_TIMEOUT, client.call(&settings.class())).await });
         }
         probes.join_all().await.iter().filter(|probed| matches!(probed, Ok(Ok(200)))).count()
@@ -518,7 +520,7 @@
     let (size, mut figures) = (fleet.proxies.len(), Figures::new());
     let (mut applications, calls) = (JoinSet::new(), Arc::<Calls>::default());
     for (number, proxy) in fleet.proxies.iter().enumerate() {
-        let client = Client::new(proxy.seat.address, &fleet.ids);
+        let client = Client::new(proxy.supervisor.address, &fleet.ids);
         applications.spawn(application(client, number, size, Arc::clone(&calls)));
     }
 
@@ -536,14 +538,14 @@
     // Keeps the class, so that only one value differs.
     let before = fleet.reports_without_counters().await?;
     let settings = Settings::Objective(version);
-    let mut taken = Vec::new();
+    let mut accepted_files = Vec::new();
     for proxy in &fleet.proxies {
-        taken.push(proxy.count("reconfig_ok").await? + 1);
+        accepted_files.push(proxy.count("reconfig_ok").await? + 1);
     }
     fleet.change(settings)?;
-    for (proxy, taken) in fleet.proxies.iter().zip(&taken) {
+    for (proxy, accepted) in fleet.proxies.iter().zip(&accepted_files) {
         let begin = Instant::now();
-        while proxy.count("reconfig_ok").await? < *taken && begin.elapsed() < MAX_WAIT {
+        while proxy.count("reconfig_ok").await? < *accepted && begin.elapsed() < MAX_WAIT {
             sleep(fleet.pause).await;
         }
     }
@@ -563,8 +565,8 @@
     fleet.wait_until_in_force(settings, &since, &mut times).await;
     times.add_to("ten", &mut figures);
     let mut least = RAPID_CHANGES;
-    for (proxy, taken) in fleet.proxies.iter().zip(&taken) {
-        least = least.min(proxy.count("reconfig_ok").await?.saturating_sub(*taken));
+    for (proxy, accepted) in fleet.proxies.iter().zip(&accepted_files) {
+        least = least.min(proxy.count("reconfig_ok").await?.saturating_sub(*accepted));
     }
     figures.insert("ten.taken_least".to_owned(), least as f64);
 
@@ -579,7 +581,7 @@
         figures.insert(format!("known_{servers}.cpu_s"), cpu_s);
         figures.insert(format!("known_{servers}.longest_call_ms"), longest);
     }
-    // Gives all processes the same settings again.
+    // Restores the same settings in all processes.
     version += 1;
     settings = Settings::Version(version);
     since = fleet.change(settings)?;
@@ -589,26 +591,26 @@
 
     for ((name, faults), files) in INVALID_FILES.into_iter().zip(1..) {
         version += 1;
-        let wrong = Settings::Invalid(version, faults);
+        let invalid = Settings::Invalid(version, faults);
         let before = fleet.log_lengths()?;
-        fleet.change(wrong)?;
-        let not_told = fleet.wait_until_rejected(files).await?;
-        let (in_force, old_lost) = (fleet.serving(wrong).await, size - fleet.serving(settings).await);
+        fleet.change(invalid)?;
+        let not_rejected = fleet.wait_until_rejected(files).await?;
+        let (in_force, old_lost) = (fleet.serving(invalid).await, size - fleet.serving(settings).await);
         let [lines, bytes] = fleet.log_output_since(&before)?;
-        let counted = [("not_told", not_told), ("in_force", in_force), ("old_lost", old_lost)];
+        let counted = [("not_told", not_rejected), ("in_force", in_force), ("old_lost", old_lost)];
         let logged = [("log_lines", lines), ("log_bytes", bytes)];
         let all = counted.into_iter().chain(logged);
         figures.extend(all.map(|(figure, n)| (format!("{name}.{figure}"), n as f64)));
     }
 
     applications.shutdown().await;
-    let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.seat.pid()?).ok());
+    let memory = fleet.proxies.iter().filter_map(|proxy| process_stats::memory(proxy.supervisor.pid()?).ok());
     figures.insert("memory_bytes".to_owned(), memory.map(|memory| memory.peak).max().unwrap_or(0) as f64);
-    figures.insert("calls.asked".to_owned(), calls.asked.load(Ordering::Relaxed) as f64);
+    figures.insert("calls.asked".to_owned(), calls.sent.load(Ordering::Relaxed) as f64);
     figures.insert("calls.failed".to_owned(), calls.failed.load(Ordering::Relaxed) as f64);
     figures.insert("pause_ms".to_owned(), fleet.pause.as_secs_f64() * 1e3);
     for proxy in &mut fleet.proxies {
-        proxy.seat.end(Duration::ZERO).await;
+        proxy.supervisor.end(Duration::ZERO).await;
     }
     Ok(figures)
 }
